--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -84,11 +84,16 @@
         this.links = new Links(loop, deployment);
         this.peers = new Peers(loop, deployment, inTurn, this::pulse, this::heard, links, this::linkTable);
         this.routes = new StateRoutes(loop, inTurn, links, peers, leaderLeaseMs);
-        this.state = new StateApi(routes, loop, deployment.stateAddress(), STATE_TIMEOUT_MS,
-                deployment.requestsPerS());
+        this.state = new StateApi(routes, loop, deployment.stateAddress(), STATE_TIMEOUT_MS, deployment.requestsPerS());
         this.cloud = new CloudApi(inTurn, deployment.cloudAddress(), CLOUD_TIMEOUT_MS);
-        this.elector = new Elector(loop, deployment.node(), state, random, leaderLeaseMs,
-                new Candidacy(links, peers, routes, (long) (deployment.reportS() * 1000), leaderLeaseMs), this);
+        this.elector = new Elector(
+                loop,
+                deployment.node(),
+                state,
+                random,
+                leaderLeaseMs,
+                new Candidacy(links, peers, routes, (long) (deployment.reportS() * 1000), leaderLeaseMs),
+                this);
         this.reportRoutes = new ReportRoutes(loop, deployment, elector, peers, links);
         this.frontDoor = new FrontDoor(loop, deployment, state, this::progress);
     }
@@ -108,8 +113,12 @@
         if (message instanceof Begin) {
             long surelyMs = deployment.surelyCancelledMs(leaderLeaseMs / 1000.0);
             if (surelyMs > deployment.cancelS() * 1000) {
-                log.warn("cancel_s is {} s, but a cancelled task on a machine that can't be reached may stay for {} s, "
-                        + "as lease_s is {} s", deployment.cancelS(), surelyMs / 1000.0, deployment.workerLeaseS());
+                log.warn(
+                        "cancel_s is {} s, but a cancelled task on a machine that can't be reached may stay for {} s, "
+                                + "as lease_s is {} s",
+                        deployment.cancelS(),
+                        surelyMs / 1000.0,
+                        deployment.workerLeaseS());
             }
             elector.tell(new Elector.Begin());
             peers.tell(new Peers.Begin());
@@ -140,9 +149,14 @@
             reply.accept(new Answer(503, Json.bytes(UserWire.error("records of another version")), 1));
         } else if (!state.reachable() && peers.withState() != null) {
             // Cut off from the state service while a peer is not: let the peer answer.
-            peers.relay(peers.withState(), call, RELAY_TIMEOUT_MS, answer -> reply.accept(
-                    !answer.isNone() ? answer
-                            : new Answer(503, Json.bytes(UserWire.error("no state service")), 1)));
+            peers.relay(
+                    peers.withState(),
+                    call,
+                    RELAY_TIMEOUT_MS,
+                    answer -> reply.accept(
+                            !answer.isNone()
+                                    ? answer
+                                    : new Answer(503, Json.bytes(UserWire.error("no state service")), 1)));
         } else {
             frontDoor.tell(new FrontDoor.Request(call, reply));
         }
@@ -174,7 +188,8 @@
     /** Reports that another controller passes on. They go no further from here. */
     private void passedReports(ReportBatch batch, Consumer<Answer> reply, long at) {
         long restMs = batch.getPatienceMs() - (loop.now() - at);
-        Gathered<Outcome> outcomes = new Gathered<>(batch.getReports().size(),
+        Gathered<Outcome> outcomes = new Gathered<>(
+                batch.getReports().size(),
                 outcome(new Answer(503, new byte[0])),
                 all -> reply.accept(new Answer(200, PeerWire.bytes(new Outcomes(all)))));
         // What is not answered in time is of no use to its worker, and must not keep the others.
@@ -185,8 +200,10 @@
             if (leader != null) {
                 reported(PeerWire.content(batch.getReports().get(i)), one, true);
             } else {
-                one.accept(new Answer(421, Json.bytes(WorkerWire.redirect(
-                        deployment.node().equals(elector.leader()) ? null : elector.leader()))));
+                one.accept(new Answer(
+                        421,
+                        Json.bytes(WorkerWire.redirect(
+                                deployment.node().equals(elector.leader()) ? null : elector.leader()))));
             }
         }
     }
@@ -210,16 +227,24 @@
         } else if (body instanceof ReportBatch batch) {
             passedReports(batch, reply, at);
         } else if (body instanceof StateCall passed) {
-            state.pass(passed.getMethod(), passed.getPath(), PeerWire.content(passed.getContent()),
-                    passed.getTimeoutMs() - (loop.now() - at), outcome(reply));
+            state.pass(
+                    passed.getMethod(),
+                    passed.getPath(),
+                    PeerWire.content(passed.getContent()),
+                    passed.getTimeoutMs() - (loop.now() - at),
+                    outcome(reply));
         } else if (body instanceof LinkTable table) {
             peers.tell(new Peers.LinksTold(table, own -> reply.accept(new Answer(200, PeerWire.bytes(own)))));
         } else if (body instanceof Relay relay) {
             byte[] content = relay.getContent().getBytes(java.nio.charset.StandardCharsets.UTF_8);
             Call relayed = new Call(null, relay.getMethod(), relay.getPath(), content);
-            frontDoor.tell(new FrontDoor.Request(relayed, here(answer -> reply.accept(new Answer(200,
-                    PeerWire.bytes(new Relayed(answer.status(),
-                            new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8))))))));
+            frontDoor.tell(new FrontDoor.Request(
+                    relayed,
+                    here(answer -> reply.accept(new Answer(
+                            200,
+                            PeerWire.bytes(new Relayed(
+                                    answer.status(),
+                                    new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8))))))));
         } else {
             reply.accept(new Answer(400, new byte[0]));
         }
@@ -231,13 +256,18 @@
 
     private Pulse pulse(List<Progress> progress) {
         // Others pass calls on by this controller only where it needs nobody for them itself.
-        return new Pulse(deployment.node(), elector.term(), elector.leader(), state.reachable() && routes.by() == null,
-                reportRoutes.redirects(), progress);
+        return new Pulse(
+                deployment.node(),
+                elector.term(),
+                elector.leader(),
+                state.reachable() && routes.by() == null,
+                reportRoutes.redirects(),
+                progress);
     }
 
     private LinkTable linkTable() {
-        return new LinkTable(deployment.node(), elector.term(), elector.leader(), routes.by(), peers.lagMs(),
-                links.rows());
+        return new LinkTable(
+                deployment.node(), elector.term(), elector.leader(), routes.by(), peers.lagMs(), links.rows());
     }
 
     private void heard(Pulse pulse) {
@@ -276,7 +306,7 @@
                 JsonNode kept = CloudApi.typesJson(known);
                 // Half a list would tell users that their jobs fit nothing.
                 if (Json.bytes(kept).length <= deployment.valueBytes()) {
-                    state.commit(new StateApi.Transaction().put(Records.TYPES, kept), result -> { });
+                    state.commit(new StateApi.Transaction().put(Records.TYPES, kept), result -> {});
                 }
             }
             after(types == null ? RETRY_MS : againMs, this::learnTypes);
@@ -298,8 +328,19 @@
 
     @Override
     public void elected(long term, long version, long claimUntil) {
-        leader = new Leader(loop, deployment, tuning, state, cloud, peers, links, routes::detourMs,
-                leaderLeaseMs, term, version, claimUntil,
+        leader = new Leader(
+                loop,
+                deployment,
+                tuning,
+                state,
+                cloud,
+                peers,
+                links,
+                routes::detourMs,
+                leaderLeaseMs,
+                term,
+                version,
+                claimUntil,
                 why -> elector.tell(new Elector.GiveWay(why)));
         if (types != null) {
             leader.tell(new Leader.TypesKnown(types));
--- a/src/main/java/notchpick/app/LinkReport.java
+++ b/src/main/java/notchpick/app/LinkReport.java
@@ -59,13 +59,20 @@
         if (answer.status() != 200 || !(PeerWire.body(answer.body()) instanceof LinkTable table)) {
             return asked.node() + ": runs a version that does not tell its links\n";
         }
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%s: term %d, leader %s, state service %s, timers %d ms late%n", table.getNode(), table.getTerm(),
+        StringBuilder text = new StringBuilder(String.format(
+                Locale.ROOT,
+                "%s: term %d, leader %s, state service %s, timers %d ms late%n",
+                table.getNode(),
+                table.getTerm(),
                 table.getLeader() == null ? "unknown" : table.getLeader(),
-                table.getStateBy() == null ? "by its own link" : "through " + table.getStateBy(), table.getLagMs()));
+                table.getStateBy() == null ? "by its own link" : "through " + table.getStateBy(),
+                table.getLagMs()));
         for (LinkRow row : table.getLinks()) {
-            text.append(String.format(Locale.ROOT, "  %-8s %-20s %-12s %12s %10s %12s%n",
-                    row.getKind().name().toLowerCase(Locale.ROOT), row.getName(),
+            text.append(String.format(
+                    Locale.ROOT,
+                    "  %-8s %-20s %-12s %12s %10s %12s%n",
+                    row.getKind().name().toLowerCase(Locale.ROOT),
+                    row.getName(),
                     row.getCondition().name().toLowerCase(Locale.ROOT).replace('_', ' '),
                     row.getAgeMs() < 0 ? "never" : String.format(Locale.ROOT, "%.1f s ago", row.getAgeMs() / 1000.0),
                     row.getDelayMs() < 0 ? "-" : row.getDelayMs() + " ms",
--- a/src/main/java/notchpick/app/Main.java
+++ b/src/main/java/notchpick/app/Main.java
@@ -21,21 +21,34 @@
 import picocli.CommandLine.ScopeType;
 
 /** The command line. */
-@Command(name = "notchpick", mixinStandardHelpOptions = true, version = "notchpick 0.1.0",
+@Command(
+        name = "notchpick",
+        mixinStandardHelpOptions = true,
+        version = "notchpick 0.1.0",
         description = "Runs one controller of a cluster scheduler, until it is killed.",
-        footer = {"", "Limits that deployment.state.next announces in the settings are kept to from the start.",
-            "Logs go to standard error; LOG_LEVEL is one of error, info (default), debug."})
+        footer = {
+            "",
+            "Limits that deployment.state.next announces in the settings are kept to from the start.",
+            "Logs go to standard error; LOG_LEVEL is one of error, info (default), debug."
+        })
 public final class Main implements Callable<Integer> {
     private static final long CONNECT_TIMEOUT_MS = 1000;
     private static final int CONNECTIONS_PER_TARGET = 16;
     private static final int THREADS = 16;
     private static final int IDLE_THREAD_MS = 60_000;
 
-    @Option(names = "--config", required = true, scope = ScopeType.INHERIT, paramLabel = "FILE",
+    @Option(
+            names = "--config",
+            required = true,
+            scope = ScopeType.INHERIT,
+            paramLabel = "FILE",
             description = "the platform's settings (JSON)")
     private Path config;
 
-    @Option(names = "--tuning", scope = ScopeType.INHERIT, paramLabel = "FILE",
+    @Option(
+            names = "--tuning",
+            scope = ScopeType.INHERIT,
+            paramLabel = "FILE",
             description = "the operators' own settings (JSON)")
     private Path tuning;
 
@@ -67,8 +80,10 @@
         return run(config, tuning, true);
     }
 
-    @Command(description = "Asks all controllers of the deployment how their links are, and prints that; status 1 "
-            + "if none answered.", mixinStandardHelpOptions = true)
+    @Command(
+            description = "Asks all controllers of the deployment how their links are, and prints that; status 1 "
+                    + "if none answered.",
+            mixinStandardHelpOptions = true)
     int status() throws Exception {
         Deployment deployment;
         try {
@@ -114,8 +129,8 @@
 
     private static void serve(Deployment deployment, Tuning tuned) throws Exception {
         // Jetty's own way to make threads looks for a security manager, which takes a tenth of the start.
-        QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4, IDLE_THREAD_MS, -1, null, null,
-                work -> new Thread(work, "jetty"));
+        QueuedThreadPool threads =
+                new QueuedThreadPool(THREADS, 4, IDLE_THREAD_MS, -1, null, null, work -> new Thread(work, "jetty"));
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", false);
         scheduler.start();
@@ -123,9 +138,14 @@
         Controller controller = new Controller(new SerialLoop(), deployment, tuned, caller, new Random());
         Handler outside = controller::serve;
         Handler peers = controller::servePeer;
-        JettyServer server = new JettyServer(threads, scheduler, new ArrayByteBufferPool(),
-                Map.of(deployment.serveOn(), outside, deployment.peerBind(), peers), deployment.peerBind(),
-                (long) (deployment.workerLeaseS() * 4000), deployment.connectionsTaken(),
+        JettyServer server = new JettyServer(
+                threads,
+                scheduler,
+                new ArrayByteBufferPool(),
+                Map.of(deployment.serveOn(), outside, deployment.peerBind(), peers),
+                deployment.peerBind(),
+                (long) (deployment.workerLeaseS() * 4000),
+                deployment.connectionsTaken(),
                 (long) (deployment.reportS() * 2000));
         controller.tell(new Controller.Begin());
         server.start();
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -69,7 +69,9 @@
         for (JsonNode node : deployment.path("objectives")) {
             Objective objective = objective(node);
             if (objective != null && node.path("class").isTextual()) {
-                objectives.computeIfAbsent(node.path("class").asText(), c -> new ArrayList<>()).add(objective);
+                objectives
+                        .computeIfAbsent(node.path("class").asText(), c -> new ArrayList<>())
+                        .add(objective);
             }
         }
         List<String> zones = new ArrayList<>();
--- a/src/main/java/notchpick/app/TuningFile.java
+++ b/src/main/java/notchpick/app/TuningFile.java
@@ -25,7 +25,8 @@
             if (node == null) {
                 throw new Settings.Unusable("the tuning file " + file + " does not hold a JSON object");
             }
-            JsonSchema schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream);
+            JsonSchema schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                    .getSchema(schemaStream);
             faults = schema.validate(node);
         } catch (IOException e) {
             throw new Settings.Unusable("can't read the tuning file " + file);
--- a/src/main/java/notchpick/bookkeeping/Binding.java
+++ b/src/main/java/notchpick/bookkeeping/Binding.java
@@ -23,6 +23,7 @@
 
     /** As its job's; see {@link Roster#respec}. */
     public JobSpec spec;
+
     public final int task;
     public final Machine machine;
     private final String taskName;
@@ -47,7 +48,10 @@
 
     /** Whether stopping the task now loses neither its work nor its users' count of its start. */
     public boolean mayBeMoved(long now) {
-        return spec.checkpointS() > 0 && running && !saving && stopGraceS == null
+        return spec.checkpointS() > 0
+                && running
+                && !saving
+                && stopGraceS == null
                 && now - runningSince >= LEFT_ALONE_MS;
     }
 
--- a/src/main/java/notchpick/bookkeeping/Job.java
+++ b/src/main/java/notchpick/bookkeeping/Job.java
@@ -20,6 +20,7 @@
     public JobSpec spec;
     /** Version of its description, which is deleted when the job ends. */
     public final long version;
+
     public final BitSet done;
     /** Those of the done tasks that the state service knows of. */
     public final BitSet durable;
@@ -31,14 +32,17 @@
     public final BitSet leased = new BitSet();
     /** Machines on which tasks of it have failed. */
     private final Set<String> failedOn = new HashSet<>();
+
     private int pause = 1;
     /** Whether a task of it ever failed, so that some machine may be shunned. */
     public boolean hasFailed;
+
     public long notBefore;
     /** Since when its next task has been skipped for want of room; 0: not at all. */
     public long skippedSince;
     /** Since when others have gone first where its image was missing; 0: not at all. */
     public long deferredSince;
+
     public int running;
     /** Whether it still needs other jobs to be done: then it is there for its users alone. */
     public boolean held;
--- a/src/main/java/notchpick/bookkeeping/Ledger.java
+++ b/src/main/java/notchpick/bookkeeping/Ledger.java
@@ -33,6 +33,7 @@
     private static final long RETRY_MS = 200;
     /** What was refused for good alone is tried again only now and then. */
     private static final long REFUSED_MS = 10_000;
+
     private static final int MALFORMED = 400;
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
     private static final int MAX_BYTES = 58 << 10;
@@ -48,6 +49,7 @@
     private final Map<String, Change> waiting = new LinkedHashMap<>();
     /** Changes of a batch that was refused for good: each goes alone, until the one at fault is found. */
     private final Set<String> suspects = new HashSet<>();
+
     private boolean busy;
     private double budget;
     private long budgetAt;
@@ -60,7 +62,7 @@
      */
     public record Prepared(List<Write> writes, Runnable durable, Runnable overtaken, Runnable refused) {
         public Prepared(List<Write> writes, Runnable durable, Runnable overtaken) {
-            this(writes, durable, overtaken, () -> { });
+            this(writes, durable, overtaken, () -> {});
         }
     }
 
@@ -101,8 +103,14 @@
     }
 
     /** @param timer runs something in the owner's turn after some milliseconds */
-    public Ledger(StateApi state, EventLoop loop, BiConsumer<Long, Runnable> timer, long leaderVersion,
-            int maxWrites, double writesPerS, Runnable deposed) {
+    public Ledger(
+            StateApi state,
+            EventLoop loop,
+            BiConsumer<Long, Runnable> timer,
+            long leaderVersion,
+            int maxWrites,
+            double writesPerS,
+            Runnable deposed) {
         this.state = state;
         this.loop = loop;
         this.timer = timer;
@@ -255,7 +263,8 @@
         if (batch.size() == 1) {
             Sent sent = batch.get(0);
             suspects.remove(sent.name());
-            List<String> keys = sent.prepared().writes().stream().map(Write::key).toList();
+            List<String> keys =
+                    sent.prepared().writes().stream().map(Write::key).toList();
             LOG.error("the state service will not take the write of {}; the others go on", keys);
             sent.prepared().refused().run();
             timer.accept(REFUSED_MS, () -> {
--- a/src/main/java/notchpick/bookkeeping/Machine.java
+++ b/src/main/java/notchpick/bookkeeping/Machine.java
@@ -33,6 +33,7 @@
     public long sequence = -1;
     /** When the newest report came; since that moment its lease runs. */
     public long reportedAt;
+
     public boolean everReported;
     /** Its last report came from it directly, not by another controller. */
     public boolean reportsHere;
@@ -40,6 +41,7 @@
     public boolean awaitsAnswer;
     /** No former leader's order can reach it any more, and all that is on it has been reported. */
     public boolean settled;
+
     public Double noticeS;
     public long idleSince;
     public long quarantinedUntil;
@@ -49,6 +51,7 @@
     public long blamedSince;
     /** A former leader may have sent it orders. */
     public boolean hinted;
+
     public boolean releaseDurable;
     private Amounts leased = Amounts.NONE;
     private Amounts held = Amounts.NONE;
@@ -122,7 +125,10 @@
 
     /** Whether tasks may be started on it. */
     public boolean isUsable(long now, double reportMs) {
-        return life == Life.UP && settled && noticeS == null && quarantinedUntil <= now
+        return life == Life.UP
+                && settled
+                && noticeS == null
+                && quarantinedUntil <= now
                 // A machine that has missed reports may be gone; what is started there would only wait.
                 && now - reportedAt < 2 * reportMs;
     }
--- a/src/main/java/notchpick/bookkeeping/Records.java
+++ b/src/main/java/notchpick/bookkeeping/Records.java
@@ -39,7 +39,11 @@
     private Records() {}
 
     /** How a job stands; the last two are for good. */
-    public enum Fate { OPEN, DONE, CANCELLED }
+    public enum Fate {
+        OPEN,
+        DONE,
+        CANCELLED
+    }
 
     /**
      * How a job stands.
@@ -62,15 +66,22 @@
     }
 
     public static ObjectNode job(JobRecord record) {
-        ObjectNode node = Json.object().put("state", record.fate().name().toLowerCase()).put("tasks", record.tasks())
-                .put("done", record.done()).put("endedAt", record.endedAt());
+        ObjectNode node = Json.object()
+                .put("state", record.fate().name().toLowerCase())
+                .put("tasks", record.tasks())
+                .put("done", record.done())
+                .put("endedAt", record.endedAt());
         return record.service() ? node.put("service", true) : node;
     }
 
     public static JobRecord job(JsonNode value) {
         Fate fate = value.path("state").asText().equals("done") ? Fate.DONE : Fate.CANCELLED;
-        return new JobRecord(fate, value.path("tasks").asInt(), value.path("done").asInt(),
-                value.path("endedAt").asLong(), value.path("service").asBoolean());
+        return new JobRecord(
+                fate,
+                value.path("tasks").asInt(),
+                value.path("done").asInt(),
+                value.path("endedAt").asLong(),
+                value.path("service").asBoolean());
     }
 
     public static ObjectNode spec(JobSpec spec) {
@@ -107,7 +118,9 @@
 
     /** As many bytes as {@link #spec} takes at the most. */
     public static int specBytes(JobSpec spec) {
-        int text = Json.textBytes(spec.jobClass()) + Json.textBytes(spec.team()) + Json.textBytes(spec.image())
+        int text = Json.textBytes(spec.jobClass())
+                + Json.textBytes(spec.team())
+                + Json.textBytes(spec.image())
                 + (spec.zone() == null ? 0 : Json.textBytes(spec.zone()));
         for (String type : spec.types() == null ? List.<String>of() : spec.types()) {
             text += Json.textBytes(type) + 1;
@@ -154,7 +167,10 @@
     }
 
     private static Amounts amounts(JsonNode node) {
-        return new Amounts(node.path("cores").asDouble(), node.path("gpus").asDouble(), node.path("ram").asDouble());
+        return new Amounts(
+                node.path("cores").asDouble(),
+                node.path("gpus").asDouble(),
+                node.path("ram").asDouble());
     }
 
     /**
@@ -170,11 +186,22 @@
             String job = binding.spec.id();
             if (!jobs.has(job)) {
                 Amounts demand = binding.spec.demand();
-                jobs.putArray(job).add(binding.spec.team()).add(demand.cores()).add(demand.gpus()).add(demand.ram());
+                jobs.putArray(job)
+                        .add(binding.spec.team())
+                        .add(demand.cores())
+                        .add(demand.gpus())
+                        .add(demand.ram());
             }
-            tasks.computeIfAbsent(binding.machine, machine -> machines.putArray(machine.name)
-                    .add(machine.type()).add(machine.zone()).add(machine.spot()).addArray())
-                    .add(job).add(binding.task).add(binding.attempt);
+            tasks.computeIfAbsent(
+                            binding.machine,
+                            machine -> machines.putArray(machine.name)
+                                    .add(machine.type())
+                                    .add(machine.zone())
+                                    .add(machine.spot())
+                                    .addArray())
+                    .add(job)
+                    .add(binding.task)
+                    .add(binding.attempt);
         }
         return node;
     }
@@ -183,7 +210,8 @@
     public static int startBytes(Binding binding) {
         JobSpec spec = binding.spec;
         Amounts demand = spec.demand();
-        int job = Json.textBytes(spec.id()) * 2 + Json.textBytes(spec.team())
+        int job = Json.textBytes(spec.id()) * 2
+                + Json.textBytes(spec.team())
                 + (demand.cores() + "" + demand.gpus() + demand.ram()).length();
         Machine machine = binding.machine;
         int place = Json.textBytes(machine.name) + Json.textBytes(machine.type()) + Json.textBytes(machine.zone());
@@ -201,17 +229,45 @@
         Map<String, JobSpec> jobs = new HashMap<>();
         node.path("jobs").fields().forEachRemaining(field -> {
             JsonNode job = field.getValue();
-            Amounts demand = new Amounts(job.path(1).asDouble(), job.path(2).asDouble(), job.path(3).asDouble());
-            jobs.put(field.getKey(), new JobSpec(field.getKey(), "", job.path(0).asText(), JobSpec.Form.ARRAY,
-                    JobSpec.Priority.NORMAL, 0, demand, null, null, false, false, true, "", 0, 0, 0, 0, null, 0));
+            Amounts demand = new Amounts(
+                    job.path(1).asDouble(), job.path(2).asDouble(), job.path(3).asDouble());
+            jobs.put(
+                    field.getKey(),
+                    new JobSpec(
+                            field.getKey(),
+                            "",
+                            job.path(0).asText(),
+                            JobSpec.Form.ARRAY,
+                            JobSpec.Priority.NORMAL,
+                            0,
+                            demand,
+                            null,
+                            null,
+                            false,
+                            false,
+                            true,
+                            "",
+                            0,
+                            0,
+                            0,
+                            0,
+                            null,
+                            0));
         });
         List<Hint> hints = new ArrayList<>();
         node.path("machines").fields().forEachRemaining(field -> {
             JsonNode machine = field.getValue();
-            Pool pool = new Pool(machine.path(0).asText(), machine.path(1).asText(), machine.path(2).asBoolean());
+            Pool pool = new Pool(
+                    machine.path(0).asText(),
+                    machine.path(1).asText(),
+                    machine.path(2).asBoolean());
             JsonNode tasks = machine.path(3);
             for (int i = 0; i + 2 < tasks.size(); i += 3) {
-                hints.add(new Hint(field.getKey(), pool, jobs.get(tasks.get(i).asText()), tasks.get(i + 1).asInt(),
+                hints.add(new Hint(
+                        field.getKey(),
+                        pool,
+                        jobs.get(tasks.get(i).asText()),
+                        tasks.get(i + 1).asInt(),
                         tasks.get(i + 2).asLong()));
             }
         });
@@ -223,7 +279,9 @@
         ObjectNode node = Json.object();
         ArrayNode jobs = node.putArray("jobs");
         for (DoneMarks run : marks) {
-            jobs.addArray().add(run.job.spec.id()).add(run.first)
+            jobs.addArray()
+                    .add(run.job.spec.id())
+                    .add(run.first)
                     .add(Base64.getEncoder().encodeToString(run.write().toByteArray()));
         }
         return node;
@@ -231,7 +289,9 @@
 
     /** As many bytes as a run of done marks takes among {@link #done} at the most. */
     public static int doneBytes(DoneMarks run) {
-        return Json.textBytes(run.job.spec.id()) + Integer.toString(run.first).length() + PUNCTUATION_BYTES
+        return Json.textBytes(run.job.spec.id())
+                + Integer.toString(run.first).length()
+                + PUNCTUATION_BYTES
                 + (run.count / 8 + 3) / 3 * 4;
     }
 
@@ -241,7 +301,9 @@
     public static List<DoneRun> done(JsonNode node) {
         List<DoneRun> runs = new ArrayList<>();
         for (JsonNode run : node.path("jobs")) {
-            runs.add(new DoneRun(run.path(0).asText(), run.path(1).asInt(),
+            runs.add(new DoneRun(
+                    run.path(0).asText(),
+                    run.path(1).asInt(),
                     BitSet.valueOf(Base64.getDecoder().decode(run.path(2).asText()))));
         }
         return runs;
@@ -276,7 +338,9 @@
                 break;
             }
             node.putObject(team)
-                    .put("cores", amounts.cores()).put("gpus", amounts.gpus()).put("ram", amounts.ram());
+                    .put("cores", amounts.cores())
+                    .put("gpus", amounts.gpus())
+                    .put("ram", amounts.ram());
         }
         return node;
     }
--- a/src/main/java/notchpick/bookkeeping/SharedValues.java
+++ b/src/main/java/notchpick/bookkeeping/SharedValues.java
@@ -65,6 +65,7 @@
         private final Set<U> units = new LinkedHashSet<>();
         /** Units that have moved away: until they are durable elsewhere they must stand here. */
         private final Set<U> awaited = new HashSet<>();
+
         private int limit;
         private int bytes;
         private int staleBytes;
@@ -100,7 +101,13 @@
      * @param maxWrites the most that one transaction may write
      * @param durable hears which units the state service now has, as they were when that write was prepared
      */
-    public SharedValues(Ledger ledger, String prefix, Form<U> form, Fill fill, int valueBytes, int maxWrites,
+    public SharedValues(
+            Ledger ledger,
+            String prefix,
+            Form<U> form,
+            Fill fill,
+            int valueBytes,
+            int maxWrites,
             Consumer<List<U>> durable) {
         this.ledger = ledger;
         this.prefix = prefix;
@@ -114,8 +121,8 @@
 
     /** Notes a value that has been read, with those of its units that still matter. */
     public void loaded(String key, Collection<U> units) {
-        Slot<U> slot = slots.computeIfAbsent(Integer.parseInt(key.substring(prefix.length())),
-                n -> new Slot<>(key, limit));
+        Slot<U> slot =
+                slots.computeIfAbsent(Integer.parseInt(key.substring(prefix.length())), n -> new Slot<>(key, limit));
         for (U unit : units) {
             int bytes = form.bytes().applyAsInt(unit);
             Slot<U> other = slotOf.putIfAbsent(unit, slot);
@@ -172,7 +179,9 @@
     public void tidy() {
         Slot<U> stalest = null;
         for (Slot<U> slot : slots.values()) {
-            if (slot.staleBytes > 0 && slot.hasRoomFor(0) && (stalest == null || slot.staleBytes > stalest.staleBytes)) {
+            if (slot.staleBytes > 0
+                    && slot.hasRoomFor(0)
+                    && (stalest == null || slot.staleBytes > stalest.staleBytes)) {
                 stalest = slot;
             }
         }
@@ -220,7 +229,8 @@
             if (!slot.isDue()) {
                 continue;
             }
-            if (!writes.isEmpty() && (alone > 0 || writes.size() == maxWrites || bytes + slot.bytes > TRANSACTION_BYTES)) {
+            if (!writes.isEmpty()
+                    && (alone > 0 || writes.size() == maxWrites || bytes + slot.bytes > TRANSACTION_BYTES)) {
                 break;
             }
             bytes += slot.bytes;
@@ -233,14 +243,18 @@
             return null;
         }
         alone = Math.max(0, alone - 1);
-        return new Prepared(writes, () -> {
-            written.forEach((slot, changes) -> slot.saved = changes);
-            units.forEach(this::awaitNoMore);
-            durable.accept(units);
-            if (slots.values().stream().anyMatch(Slot::isDue)) {
-                ledger.write(prefix, this::prepare);
-            }
-        }, () -> { }, () -> refused(written.keySet()));
+        return new Prepared(
+                writes,
+                () -> {
+                    written.forEach((slot, changes) -> slot.saved = changes);
+                    units.forEach(this::awaitNoMore);
+                    durable.accept(units);
+                    if (slots.values().stream().anyMatch(Slot::isDue)) {
+                        ledger.write(prefix, this::prepare);
+                    }
+                },
+                () -> {},
+                () -> refused(written.keySet()));
     }
 
     /** One of the values is at fault: each goes alone then. */
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -97,8 +97,8 @@
      * Where the settings leave no room for that, it is as much as a leader needs to go on at all.
      */
     public long knowledgeMs(double leaderLeaseS) {
-        return Math.max((long) (1000 * leaderLeaseS),
-                (long) (1000 * (cancelS - reportS)) - surelyOverMs(1000 * workerLeaseS));
+        return Math.max(
+                (long) (1000 * leaderLeaseS), (long) (1000 * (cancelS - reportS)) - surelyOverMs(1000 * workerLeaseS));
     }
 
     /** In what time from its confirmation every task of a cancelled job is surely gone, whatever fails. */
--- a/src/main/java/notchpick/coordination/leading/Boots.java
+++ b/src/main/java/notchpick/coordination/leading/Boots.java
@@ -21,6 +21,7 @@
 final class Boots {
     /** A machine that comes at all is usually up after 1.5 boot times. */
     private static final double OVERDUE_BOOTS = 2.5;
+
     private static final int OVERDUE_REPORTS = 3;
     /** While all are late, this part of a pool is replaced at a time: should none of them ever come, these will. */
     private static final double REPLACED_PART = 0.25;
@@ -65,8 +66,9 @@
         late.clear();
         Map<Pool, List<Machine>> overdue = new HashMap<>();
         for (Machine machine : roster.machines.values()) {
-            if (machine.life == Life.BOOTING && now - machine.knownSince
-                    > OVERDUE_BOOTS * nominalMs.applyAsDouble(machine.type()) + OVERDUE_REPORTS * reportMs) {
+            if (machine.life == Life.BOOTING
+                    && now - machine.knownSince
+                            > OVERDUE_BOOTS * nominalMs.applyAsDouble(machine.type()) + OVERDUE_REPORTS * reportMs) {
                 overdue.computeIfAbsent(machine.pool, pool -> new ArrayList<>()).add(machine);
             }
         }
--- a/src/main/java/notchpick/coordination/leading/Demand.java
+++ b/src/main/java/notchpick/coordination/leading/Demand.java
@@ -33,8 +33,13 @@
      * @param types as they become known
      * @param refused pools that the cloud has lately refused
      */
-    Demand(EventLoop loop, Deployment deployment, Roster roster, Estimates estimates,
-            Map<String, MachineType> types, Predicate<Pool> refused) {
+    Demand(
+            EventLoop loop,
+            Deployment deployment,
+            Roster roster,
+            Estimates estimates,
+            Map<String, MachineType> types,
+            Predicate<Pool> refused) {
         this.loop = loop;
         this.deployment = deployment;
         this.roster = roster;
@@ -51,7 +56,8 @@
                 continue;
             }
             double runS = estimates.runS(job.spec);
-            order.add(new Waiting<>(job, job.spec, job.wanted() * runS * job.spec.demand().cores(), runS));
+            order.add(new Waiting<>(
+                    job, job.spec, job.wanted() * runS * job.spec.demand().cores(), runS));
         }
         Map<String, Amounts> byTeam = new HashMap<>();
         double cores = 0;
@@ -90,7 +96,8 @@
             return false;
         }
         double ageS = spec.ageS(loop.wallTime());
-        double bootS = types.values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+        double bootS =
+                types.values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
         // What a machine rented now could still bring in time.
         double slackS = deployment.objectives().slackS(spec, ageS + bootS, waiting.runS());
         return slackS >= 0 && queueS > slackS + bootS;
@@ -99,14 +106,17 @@
     /** Whether no machine it may use is rented cheaply, nor can be: it would wait for ever. */
     private boolean isStranded(JobSpec spec) {
         for (Machine machine : roster.machines.values()) {
-            if (machine.spot() && machine.life != Life.RELEASED && spec.demand().fitsIn(machine.size)
+            if (machine.spot()
+                    && machine.life != Life.RELEASED
+                    && spec.demand().fitsIn(machine.size)
                     && spec.allows(machine.type(), machine.zone(), true)) {
                 return false;
             }
         }
         for (MachineType type : types.values()) {
             for (String zone : type.zones()) {
-                if (spec.allows(type.name(), zone, true) && spec.demand().fitsIn(type.size())
+                if (spec.allows(type.name(), zone, true)
+                        && spec.demand().fitsIn(type.size())
                         && !refused.test(new Pool(type.name(), zone, true))) {
                     return false;
                 }
--- a/src/main/java/notchpick/coordination/leading/Entitlement.java
+++ b/src/main/java/notchpick/coordination/leading/Entitlement.java
@@ -19,6 +19,7 @@
     private long regainedAt = Long.MIN_VALUE / 2;
     /** All cancellations confirmed before are known; when a read was sent, not when its answer came. */
     private long knownAt = Long.MIN_VALUE / 2;
+
     private boolean loaded;
 
     Entitlement(LongSupplier clock, Deployment deployment, double leaderLeaseS, long claimUntil) {
--- a/src/main/java/notchpick/coordination/leading/Fleet.java
+++ b/src/main/java/notchpick/coordination/leading/Fleet.java
@@ -25,7 +25,6 @@
 import notchpick.scheduling.FleetPlan.Need;
 import notchpick.scheduling.FleetPlan.Owned;
 import notchpick.scheduling.FleetPlan.Pool;
-import notchpick.scheduling.JobOrder;
 import notchpick.scheduling.MachineType;
 import notchpick.transport.EventLoop;
 import org.slf4j.Logger;
@@ -56,6 +55,7 @@
     private final Set<Pool> asked = new HashSet<>();
     /** Released for good; a late report must not bring one back. */
     private final Set<String> released = new HashSet<>();
+
     private long lastRequest;
     private boolean releasing;
     private boolean listed;
@@ -64,8 +64,17 @@
      * @param gone hears of machines of which it is sure that nothing is on them any more
      * @param refused hears when the cloud has given less than was asked
      */
-    Fleet(EventLoop loop, Deployment deployment, Roster roster, Estimates estimates, CloudApi cloud, Ledger ledger,
-            long term, Consumer<Machine> gone, Runnable refused, BiConsumer<Long, Runnable> timer) {
+    Fleet(
+            EventLoop loop,
+            Deployment deployment,
+            Roster roster,
+            Estimates estimates,
+            CloudApi cloud,
+            Ledger ledger,
+            long term,
+            Consumer<Machine> gone,
+            Runnable refused,
+            BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
         this.roster = roster;
@@ -96,7 +105,10 @@
 
     /** How long an image of this size takes on the slowest type. */
     double fetchS(double imageGb) {
-        double slowest = types.values().stream().mapToDouble(MachineType::fetchGbPerS).filter(rate -> rate > 0).min()
+        double slowest = types.values().stream()
+                .mapToDouble(MachineType::fetchGbPerS)
+                .filter(rate -> rate > 0)
+                .min()
                 .orElse(Double.POSITIVE_INFINITY);
         return imageGb / slowest;
     }
@@ -122,8 +134,8 @@
     /** What a former leader may have asked the cloud to take back: not to be used again. */
     void load(List<String> names) {
         for (String name : names) {
-            Machine machine = roster.machines.computeIfAbsent(name,
-                    n -> new Machine(n, new Pool("", "", false), Amounts.NONE, loop.now()));
+            Machine machine = roster.machines.computeIfAbsent(
+                    name, n -> new Machine(n, new Pool("", "", false), Amounts.NONE, loop.now()));
             machine.life = Life.RELEASED;
             machine.releaseDurable = true;
         }
@@ -147,16 +159,17 @@
         List<Need> needs = demand.needs();
         List<Owned> owned = new ArrayList<>();
         for (Machine machine : roster.machines.values()) {
-            boolean isHere = machine.life == Life.UP && machine.noticeS == null
+            boolean isHere = machine.life == Life.UP
+                    && machine.noticeS == null
                     // What is silent takes nothing new; what runs there is not rented for twice.
                     && (!machine.isIdle() || silentMs(machine, awakeSince, now) <= silentForLongMs());
             if (machine.life == Life.BOOTING || isHere) {
                 owned.add(new Owned(machine.name, machine.pool, machine.size, machine.isIdle()));
             }
         }
-        double bootS = types.values().stream().mapToDouble(MachineType::bootS).max().orElse(0);
-        FleetPlan.Plan plan = FleetPlan.plan(needs, owned, types, 2 * bootS,
-                this::wasRefused, boots::isLate);
+        double bootS =
+                types.values().stream().mapToDouble(MachineType::bootS).max().orElse(0);
+        FleetPlan.Plan plan = FleetPlan.plan(needs, owned, types, 2 * bootS, this::wasRefused, boots::isLate);
         plan.rent().forEach((pool, count) -> {
             if (asked.add(pool)) {
                 rent(pool, count);
@@ -165,8 +178,12 @@
         Silence silence = new Silence(roster.machines.values(), now, awakeSince, silentForLongMs());
         boolean leaving = false;
         for (Machine machine : roster.machines.values()) {
-            retire(machine, plan.unneeded().contains(machine.name), silentMs(machine, awakeSince, now),
-                    silence.covers(machine.zone()), now);
+            retire(
+                    machine,
+                    plan.unneeded().contains(machine.name),
+                    silentMs(machine, awakeSince, now),
+                    silence.covers(machine.zone()),
+                    now);
             leaving |= machine.life == Life.RELEASED && !machine.releaseDurable;
         }
         if (leaving) {
@@ -190,40 +207,52 @@
 
     private void rent(String request, Pool pool, int count, int tries) {
         int number = Math.min(count, CloudApi.MAX_RENT);
-        cloud.rent(request, pool.type(), pool.zone(), pool.spot(), number, result -> timer.accept(0L, () -> {
-            long now = loop.now();
-            if (result == null && tries > 1) {
-                // The same name again: if the first did rent, this tells what.
-                timer.accept(1000L, () -> rent(request, pool, count, tries - 1));
-                return;
-            }
-            if (result == null) {
-                asked.remove(pool);
-                return;
-            }
-            LOG.info("rented {} of {} {} in {}{}", result.machines().size(), number, pool.type(), pool.zone(),
-                    pool.spot() ? " (spot)" : "");
-            for (String name : result.machines()) {
-                roster.machines.computeIfAbsent(name, n -> new Machine(n, pool, size(pool.type()), now));
-            }
-            if (result.refused() || result.machines().size() < number) {
-                refusedUntil.put(pool, now + (long) (bootMs(pool.type()) * 0.7));
-                asked.remove(pool);
-                // What it does not give is to be had elsewhere, and boots no sooner for waiting.
-                refused.run();
-            } else if (count > number) {
-                // All pools together stay within what the cloud takes.
-                timer.accept((long) (1000 * asked.size() / deployment.cloudRps()), () -> rent(pool, count - number));
-            } else {
-                asked.remove(pool);
-            }
-        }));
+        cloud.rent(
+                request,
+                pool.type(),
+                pool.zone(),
+                pool.spot(),
+                number,
+                result -> timer.accept(0L, () -> {
+                    long now = loop.now();
+                    if (result == null && tries > 1) {
+                        // The same name again: if the first did rent, this tells what.
+                        timer.accept(1000L, () -> rent(request, pool, count, tries - 1));
+                        return;
+                    }
+                    if (result == null) {
+                        asked.remove(pool);
+                        return;
+                    }
+                    LOG.info(
+                            "rented {} of {} {} in {}{}",
+                            result.machines().size(),
+                            number,
+                            pool.type(),
+                            pool.zone(),
+                            pool.spot() ? " (spot)" : "");
+                    for (String name : result.machines()) {
+                        roster.machines.computeIfAbsent(name, n -> new Machine(n, pool, size(pool.type()), now));
+                    }
+                    if (result.refused() || result.machines().size() < number) {
+                        refusedUntil.put(pool, now + (long) (bootMs(pool.type()) * 0.7));
+                        asked.remove(pool);
+                        // What it does not give is to be had elsewhere, and boots no sooner for waiting.
+                        refused.run();
+                    } else if (count > number) {
+                        // All pools together stay within what the cloud takes.
+                        timer.accept(
+                                (long) (1000 * asked.size() / deployment.cloudRps()), () -> rent(pool, count - number));
+                    } else {
+                        asked.remove(pool);
+                    }
+                }));
     }
 
     /** Moves a machine on towards its release where there is a reason to. */
     private void retire(Machine machine, boolean unneeded, long silentMs, boolean zoneIsSilent, long now) {
         switch (machine.life) {
-            case BOOTING -> { }
+            case BOOTING -> {}
             case UP -> {
                 if (machine.isIdle() && unneeded && now - machine.idleSince > keepIdleMs(machine)) {
                     machine.life = Life.RELEASED;
@@ -237,7 +266,7 @@
                     machine.life = Life.RELEASED;
                 }
             }
-            case RELEASED -> { }
+            case RELEASED -> {}
         }
     }
 
@@ -251,7 +280,9 @@
 
     /** A cheap machine is kept for as long as another would now take to boot; an ordinary one hardly at all. */
     private double keepIdleMs(Machine machine) {
-        return machine.spot() || boots.isLate(machine.pool) ? boots.expectedMs(machine.type()) : 2000 * deployment.reportS();
+        return machine.spot() || boots.isLate(machine.pool)
+                ? boots.expectedMs(machine.type())
+                : 2000 * deployment.reportS();
     }
 
     /**
@@ -278,10 +309,13 @@
             return null;
         }
         Write write = Write.put(Records.RELEASED, Records.released(names)).bytes(bytes + RELEASED_FRAME_BYTES);
-        return new Prepared(List.of(write), () -> {
-            names.forEach(machine -> machine.releaseDurable = true);
-            release();
-        }, () -> { });
+        return new Prepared(
+                List.of(write),
+                () -> {
+                    names.forEach(machine -> machine.releaseDurable = true);
+                    release();
+                },
+                () -> {});
     }
 
     /** Asks for the release of what is marked as released durably; again until it is confirmed. */
@@ -299,20 +333,22 @@
             return;
         }
         releasing = true;
-        cloud.release(names, confirmed -> timer.accept(0L, () -> {
-            releasing = false;
-            if (!confirmed) {
-                return;
-            }
-            LOG.info("released {}", names);
-            for (String name : names) {
-                Machine machine = roster.machines.get(name);
-                released.add(name);
-                gone.accept(machine);
-                roster.machines.remove(name);
-            }
-            release();
-        }));
+        cloud.release(
+                names,
+                confirmed -> timer.accept(0L, () -> {
+                    releasing = false;
+                    if (!confirmed) {
+                        return;
+                    }
+                    LOG.info("released {}", names);
+                    for (String name : names) {
+                        Machine machine = roster.machines.get(name);
+                        released.add(name);
+                        gone.accept(machine);
+                        roster.machines.remove(name);
+                    }
+                    release();
+                }));
     }
 
     /** Reads the whole list; machines that nobody knew are taken on. */
@@ -321,17 +357,19 @@
     }
 
     private void list(String after) {
-        cloud.list(after, page -> timer.accept(0L, () -> {
-            if (page == null) {
-                return;
-            }
-            page.machines().forEach(this::listed);
-            if (page.more() && !page.machines().isEmpty()) {
-                list(page.machines().get(page.machines().size() - 1).machine());
-            } else {
-                listed = true;
-            }
-        }));
+        cloud.list(
+                after,
+                page -> timer.accept(0L, () -> {
+                    if (page == null) {
+                        return;
+                    }
+                    page.machines().forEach(this::listed);
+                    if (page.more() && !page.machines().isEmpty()) {
+                        list(page.machines().get(page.machines().size() - 1).machine());
+                    } else {
+                        listed = true;
+                    }
+                }));
     }
 
     private void listed(Listed listed) {
--- a/src/main/java/notchpick/coordination/leading/Granting.java
+++ b/src/main/java/notchpick/coordination/leading/Granting.java
@@ -39,6 +39,7 @@
     private static final double MAKE_ROOM_RATIO = 0.2;
     /** Whose next task is of an earlier group goes first; the paper's ranking decides within each. */
     private static final int GUARANTEED = 0;
+
     private static final int URGENT = 1;
     private static final int PROMISED = 2;
     private static final int OTHERS = 3;
@@ -56,8 +57,14 @@
     private long updatedAt;
     private long roomMadeAt;
 
-    Granting(EventLoop loop, Deployment deployment, Tuning tuning, Roster roster, Estimates estimates,
-            RoomLeases leases, ToDoubleFunction<String> fetchGbPerS) {
+    Granting(
+            EventLoop loop,
+            Deployment deployment,
+            Tuning tuning,
+            Roster roster,
+            Estimates estimates,
+            RoomLeases leases,
+            ToDoubleFunction<String> fetchGbPerS) {
         this.loop = loop;
         this.deployment = deployment;
         this.tuning = tuning;
@@ -92,12 +99,26 @@
     }
 
     /** Jobs of the same shape find the same machine, unless their tasks have failed on some. */
-    private record Shape(Amounts demand, List<String> types, String zone, boolean spot, boolean ordinary,
-            boolean urgent, String image) {
+    private record Shape(
+            Amounts demand,
+            List<String> types,
+            String zone,
+            boolean spot,
+            boolean ordinary,
+            boolean urgent,
+            String image) {
         static Shape of(Job job) {
             JobSpec spec = job.spec;
-            return spec.isConstrained() || job.hasFailed ? null : new Shape(spec.demand(), spec.types(), spec.zone(),
-                    spec.spot(), job.mayUseOrdinary(), spec.isUrgent(), spec.image());
+            return spec.isConstrained() || job.hasFailed
+                    ? null
+                    : new Shape(
+                            spec.demand(),
+                            spec.types(),
+                            spec.zone(),
+                            spec.spot(),
+                            job.mayUseOrdinary(),
+                            spec.isUrgent(),
+                            spec.image());
         }
     }
 
@@ -111,6 +132,7 @@
         private final Set<Shape> missed = new HashSet<>();
         /** Jobs that found no room. */
         private final List<Job> skipped = new ArrayList<>();
+
         private Amounts held;
 
         Turn(String team, List<Job> jobs, RoomLeases.Leased leased) {
@@ -142,7 +164,8 @@
             }
             JobSpec next = jobs.get(0).spec;
             Deployment.Limit limit = deployment.limit(team);
-            return limit != null && limit.guarantees(held.plus(next.demand())) ? GUARANTEED
+            return limit != null && limit.guarantees(held.plus(next.demand()))
+                    ? GUARANTEED
                     : next.isUrgent() ? URGENT : canBeKept(next) ? PROMISED : OTHERS;
         }
     }
@@ -159,7 +182,8 @@
             }
             present.add(job.spec.team());
             if (job.waits() && job.notBefore <= now) {
-                waiting.computeIfAbsent(job.spec.team(), team -> new ArrayList<>()).add(job);
+                waiting.computeIfAbsent(job.spec.team(), team -> new ArrayList<>())
+                        .add(job);
             }
         }
         updateCommitments(present, total);
@@ -183,7 +207,11 @@
             List<Waiting<Job>> order = new ArrayList<>();
             for (Job job : jobs) {
                 double runS = estimates.runS(job.spec);
-                order.add(new Waiting<>(job, job.spec, job.unfinished() * runS * job.spec.demand().cores(), runS));
+                order.add(new Waiting<>(
+                        job,
+                        job.spec,
+                        job.unfinished() * runS * job.spec.demand().cores(),
+                        runS));
             }
             List<Job> sorted = new ArrayList<>();
             JobOrder.sorted(order, loop.wallTime(), deployment.objectives(), coresOf(team, total, present.size()))
@@ -194,7 +222,8 @@
         Map<Machine, Turn> barred = new HashMap<>();
         while (!active.isEmpty()) {
             Turn turn = active.stream()
-                    .min(Comparator.<Turn>comparingInt(Turn::group).thenComparingDouble(t -> t.rank(total))
+                    .min(Comparator.<Turn>comparingInt(Turn::group)
+                            .thenComparingDouble(t -> t.rank(total))
                             .thenComparing(t -> t.team))
                     .orElseThrow();
             if (!grantOne(turn, open, barred, now)) {
@@ -216,7 +245,8 @@
     /** What a team can count on, about: its guarantee, an equal part, or what it has now. */
     private double coresOf(String team, Amounts total, int teams) {
         Deployment.Limit limit = deployment.limit(team);
-        double cores = Math.max(total.cores() / Math.max(1, teams), roster.use(team).cores());
+        double cores =
+                Math.max(total.cores() / Math.max(1, teams), roster.use(team).cores());
         if (limit == null) {
             return cores;
         }
@@ -276,7 +306,7 @@
         Job head = null;
         Machine headMachine = null;
         Map<Shape, Machine> chosen = new IdentityHashMap<>();
-        for (int i = 0; i < turn.jobs.size();) {
+        for (int i = 0; i < turn.jobs.size(); ) {
             Job job = turn.jobs.get(i);
             if (!job.waits() || limit != null && !limit.allows(turn.held.plus(job.spec.demand()))) {
                 turn.jobs.remove(i);
@@ -344,14 +374,14 @@
                 && (m.spot() || job.mayUseOrdinary())
                 && now - m.failedJobs.getOrDefault(job.spec.id(), now - shunMs) >= shunMs
                 && (barred.get(m) == null || barred.get(m) == turn);
-        return job.spec.isUrgent() ? open.chooseSoonest(job.spec, admits, m -> answerInMs(m, now))
+        return job.spec.isUrgent()
+                ? open.chooseSoonest(job.spec, admits, m -> answerInMs(m, now))
                 : open.choose(job.spec, admits);
     }
 
     /** Orders ride in the answers to reports: when the next can be given on this machine. */
     private long answerInMs(Machine machine, long now) {
-        return machine.awaitsAnswer ? 0
-                : Math.max(1, machine.reportedAt + (long) (reportMs()) - now);
+        return machine.awaitsAnswer ? 0 : Math.max(1, machine.reportedAt + (long) (reportMs()) - now);
     }
 
     private void grant(Turn turn, Job job, Machine machine, SiteIndex<Machine> open) {
@@ -385,7 +415,8 @@
             return false;
         }
         Machine nearest = open.sites().stream()
-                .filter(m -> barred.get(m) == null && job.spec.demand().fitsIn(m.size)
+                .filter(m -> barred.get(m) == null
+                        && job.spec.demand().fitsIn(m.size)
                         && job.spec.allows(m.type(), m.zone(), m.spot()))
                 .max(Comparator.comparingDouble(m -> m.room().cores()))
                 .orElse(null);
--- a/src/main/java/notchpick/coordination/leading/Leader.java
+++ b/src/main/java/notchpick/coordination/leading/Leader.java
@@ -78,18 +78,31 @@
     private long tickedAt;
     /** When this controller last stood still, the end of that. */
     private long awakeSince;
+
     private boolean begun;
     private long lastReportAt;
     /** Since when reports have come by others only; 0: some worker gets its answers from here. */
     private long passedSince;
+
     private long bypassedSince;
     private boolean roundDue;
     private long rounds;
     private long roundTookMs;
 
     /** @param detourMs how long the state service has been reached through another controller */
-    public Leader(EventLoop loop, Deployment deployment, Tuning tuning, StateApi state, CloudApi cloud, Peers peers,
-            Links links, LongSupplier detourMs, long leaderLeaseMs, long term, long version, long claimUntil,
+    public Leader(
+            EventLoop loop,
+            Deployment deployment,
+            Tuning tuning,
+            StateApi state,
+            CloudApi cloud,
+            Peers peers,
+            Links links,
+            LongSupplier detourMs,
+            long leaderLeaseMs,
+            long term,
+            long version,
+            long claimUntil,
             Consumer<String> giveWay) {
         super(loop);
         this.deployment = deployment;
@@ -106,18 +119,45 @@
         this.bypassedSince = loop.now();
         this.awakeSince = loop.now();
         this.graceMs = deployment.graceMs(leaderLeaseMs / 1000.0);
-        this.ledger = new Ledger(state, loop, this::after, version, deployment.writesAtOnce(),
-                0.7 * deployment.stateWriteRps(), () -> giveWay.accept("its key is not there any more"));
-        this.fleet = new Fleet(loop, deployment, roster, estimates, cloud, ledger, term, this::gone, this::reviewFleet,
-                this::after);
-        this.leases = new RoomLeases(loop, deployment, tuning, roster, peers, term, this::placed, this::roundSoon,
-                this::after);
+        this.ledger = new Ledger(
+                state,
+                loop,
+                this::after,
+                version,
+                deployment.writesAtOnce(),
+                0.7 * deployment.stateWriteRps(),
+                () -> giveWay.accept("its key is not there any more"));
+        this.fleet = new Fleet(
+                loop, deployment, roster, estimates, cloud, ledger, term, this::gone, this::reviewFleet, this::after);
+        this.leases = new RoomLeases(
+                loop, deployment, tuning, roster, peers, term, this::placed, this::roundSoon, this::after);
         this.granting = new Granting(loop, deployment, tuning, roster, estimates, leases, fleet::fetchGbPerS);
-        this.jobs = new OpenJobs(loop, deployment, state, roster, ledger, entitlement, leaderLeaseMs / WATCHES_PER_LEASE,
-                this::stageS, this::after, this::roundSoon, this::answerHeld);
+        this.jobs = new OpenJobs(
+                loop,
+                deployment,
+                state,
+                roster,
+                ledger,
+                entitlement,
+                leaderLeaseMs / WATCHES_PER_LEASE,
+                this::stageS,
+                this::after,
+                this::roundSoon,
+                this::answerHeld);
         this.starts = new Starts(loop, deployment, roster, ledger, fleet, this::answer);
-        this.reports = new Reports(loop, deployment, roster, estimates, fleet, jobs, starts, term, entitlement,
-                () -> rounds, this::roundSoon, this::after);
+        this.reports = new Reports(
+                loop,
+                deployment,
+                roster,
+                estimates,
+                fleet,
+                jobs,
+                starts,
+                term,
+                entitlement,
+                () -> rounds,
+                this::roundSoon,
+                this::after);
         this.takeOver = new TakeOver(loop, state, ledger, this::after, jobs, starts, fleet, granting, this::begin);
         every(unreadMs(), () -> {
             // In an outage nobody else could read it either.
@@ -183,10 +223,14 @@
     }
 
     private void saveCommitments() {
-        ledger.write(Records.COMMITMENTS, () -> new Prepared(
-                List.of(Write.put(Records.COMMITMENTS,
-                        Records.commitments(granting.commitments(), deployment.valueBytes()))),
-                () -> { }, () -> { }));
+        ledger.write(
+                Records.COMMITMENTS,
+                () -> new Prepared(
+                        List.of(Write.put(
+                                Records.COMMITMENTS,
+                                Records.commitments(granting.commitments(), deployment.valueBytes()))),
+                        () -> {},
+                        () -> {}));
     }
 
     /** Who reports here twice running got the first answer; others may report here in vain. */
@@ -259,8 +303,9 @@
             // Until it has settled, a former leader may have answered it during its grace.
             long since = machine.reportedAt + (machine.settled ? 0 : graceMs);
             if (machine.life != Life.BOOTING && now - since > Deployment.surelyOverMs(leaseMs)) {
-                machine.bindings.values().forEach(
-                        binding -> log.info("task {} is lost with {}", binding.taskName(), machine.name));
+                machine.bindings
+                        .values()
+                        .forEach(binding -> log.info("task {} is lost with {}", binding.taskName(), machine.name));
                 roster.unbindAll(machine);
                 machine.settled = false;
             }
@@ -298,8 +343,10 @@
      * is more likely that this controller is cut off than that all of them are gone.
      */
     private boolean othersMayDoBetter() {
-        return peers.redirects() > 0 || !deployment.peers().isEmpty() && peers.live().isEmpty()
-                && roster.machines.values().stream().anyMatch(machine -> machine.life == Life.UP);
+        return peers.redirects() > 0
+                || !deployment.peers().isEmpty()
+                        && peers.live().isEmpty()
+                        && roster.machines.values().stream().anyMatch(machine -> machine.life == Life.UP);
     }
 
     /**
@@ -320,7 +367,8 @@
 
     /** When nothing waits, half-empty machines whose tasks can save their progress are emptied. */
     private void consolidate(long now) {
-        if (leases.outstanding() > 0 || fleet.bootsAreLate()
+        if (leases.outstanding() > 0
+                || fleet.bootsAreLate()
                 || roster.jobs.values().stream().anyMatch(job -> job.waits() && !job.isDoubted())) {
             return;
         }
@@ -337,7 +385,8 @@
                 candidates.add(new Candidate<>(machine, movable(machine, now)));
             }
         }
-        int most = Consolidation.most(candidates.size(), 1 - free / Math.max(1, roster.total().cores()));
+        int most = Consolidation.most(
+                candidates.size(), 1 - free / Math.max(1, roster.total().cores()));
         for (Machine machine : Consolidation.find(candidates, moving, most - leaving)) {
             log.info("machine {} is emptied", machine.name);
             machine.life = Life.LEAVING;
@@ -363,7 +412,9 @@
     /** Before the cloud takes a machine, tasks that can save their progress are told to. */
     private void saveWork(Machine machine) {
         for (Binding binding : machine.bindings.values()) {
-            if (binding.spec.checkpointS() > 0 && binding.running && binding.stopGraceS == null
+            if (binding.spec.checkpointS() > 0
+                    && binding.running
+                    && binding.stopGraceS == null
                     && machine.noticeS < binding.spec.saveS() + 2 * deployment.reportS()) {
                 binding.stopGraceS = Math.ceil(binding.spec.saveS());
             }
--- a/src/main/java/notchpick/coordination/leading/OpenJobs.java
+++ b/src/main/java/notchpick/coordination/leading/OpenJobs.java
@@ -61,9 +61,18 @@
      * @param watchMs how long one look at users' changes waits for them
      * @param changed hears when jobs have come or gone; saved, when tasks' ends have become durable
      */
-    OpenJobs(EventLoop loop, Deployment deployment, StateApi state, Roster roster, Ledger ledger,
-            Entitlement entitlement, long watchMs, ToDoubleFunction<JobSpec> stageS, BiConsumer<Long, Runnable> timer,
-            Runnable changed, Runnable saved) {
+    OpenJobs(
+            EventLoop loop,
+            Deployment deployment,
+            StateApi state,
+            Roster roster,
+            Ledger ledger,
+            Entitlement entitlement,
+            long watchMs,
+            ToDoubleFunction<JobSpec> stageS,
+            BiConsumer<Long, Runnable> timer,
+            Runnable changed,
+            Runnable saved) {
         this.loop = loop;
         this.deployment = deployment;
         this.state = state;
@@ -74,11 +83,16 @@
         this.saved = saved;
         this.entitlement = entitlement;
         this.watchMs = watchMs;
-        this.pipelines = new Pipelines(loop, deployment, roster, ledger, new Fates(state), stageS, timer, changed,
-                this::cancelled);
-        this.marks = new SharedValues<>(ledger, Records.DONE_TASKS,
-                new SharedValues.Form<>(Records::doneBytes, Records::done), SharedValues.Fill.FULLEST,
-                deployment.valueBytes(), deployment.writesAtOnce(), this::durable);
+        this.pipelines = new Pipelines(
+                loop, deployment, roster, ledger, new Fates(state), stageS, timer, changed, this::cancelled);
+        this.marks = new SharedValues<>(
+                ledger,
+                Records.DONE_TASKS,
+                new SharedValues.Form<>(Records::doneBytes, Records::done),
+                SharedValues.Fill.FULLEST,
+                deployment.valueBytes(),
+                deployment.writesAtOnce(),
+                this::durable);
     }
 
     private <T> Consumer<T> inTurn(Consumer<T> then) {
@@ -156,7 +170,9 @@
                 open.add(entry.key().substring(Records.OPEN.length()));
                 opened(entry.key(), entry.value(), entry.version());
             }
-            List.copyOf(roster.jobs.keySet()).stream().filter(id -> !open.contains(id)).forEach(this::closed);
+            List.copyOf(roster.jobs.keySet()).stream()
+                    .filter(id -> !open.contains(id))
+                    .forEach(this::closed);
             entitlement.known(sentAt);
             watch(ok.value().revision());
         }));
@@ -241,17 +257,20 @@
         List<Write> writes = List.of(
                 Write.put(Records.JOB + id, Records.job(record)).unguarded(),
                 Write.delete(Records.OPEN + id).at(job.version));
-        return new Prepared(writes, () -> {
-            LOG.info("job {} is done", id);
-            closed(id);
-            pipelines.ended(id, record);
-            saved.run();
-        }, () -> {
-            // Cancelled meanwhile, or ended by a transaction whose answer was lost; the watch tells it too.
-            closed(id);
-            pipelines.settle();
-            saved.run();
-        });
+        return new Prepared(
+                writes,
+                () -> {
+                    LOG.info("job {} is done", id);
+                    closed(id);
+                    pipelines.ended(id, record);
+                    saved.run();
+                },
+                () -> {
+                    // Cancelled meanwhile, or ended by a transaction whose answer was lost; the watch tells it too.
+                    closed(id);
+                    pipelines.settle();
+                    saved.run();
+                });
     }
 
     /** Writes away what is left of jobs that are over. */
--- a/src/main/java/notchpick/coordination/leading/Pipelines.java
+++ b/src/main/java/notchpick/coordination/leading/Pipelines.java
@@ -52,8 +52,15 @@
      * @param ready hears when jobs need nothing more
      * @param cancelled hears of jobs whose cancellation for another's has become durable
      */
-    Pipelines(EventLoop loop, Deployment deployment, Roster roster, Ledger ledger, Fates fates,
-            ToDoubleFunction<JobSpec> stageS, BiConsumer<Long, Runnable> timer, Runnable ready,
+    Pipelines(
+            EventLoop loop,
+            Deployment deployment,
+            Roster roster,
+            Ledger ledger,
+            Fates fates,
+            ToDoubleFunction<JobSpec> stageS,
+            BiConsumer<Long, Runnable> timer,
+            Runnable ready,
             Consumer<Collection<String>> cancelled) {
         this.loop = loop;
         this.roster = roster;
@@ -87,8 +94,7 @@
         for (String next : dependencies.resolved(id, record)) {
             Job job = roster.jobs.get(next);
             job.held = false;
-            roster.respec(job, job.spec.readyAt(
-                    Math.max(job.spec.submittedAt(), dependencies.lastEndedAt(next))));
+            roster.respec(job, job.spec.readyAt(Math.max(job.spec.submittedAt(), dependencies.lastEndedAt(next))));
             LOG.info("job {} needs nothing more", next);
             letGo = true;
         }
@@ -106,15 +112,17 @@
             return;
         }
         reading = true;
-        fates.read(Set.copyOf(dependencies.unresolved()), found -> timer.accept(0L, () -> {
-            reading = false;
-            if (found != null) {
-                found.forEach(this::ended);
-            }
-            if (!dependencies.unresolved().isEmpty()) {
-                timer.accept(RETRY_MS, this::settle);
-            }
-        }));
+        fates.read(
+                Set.copyOf(dependencies.unresolved()),
+                found -> timer.accept(0L, () -> {
+                    reading = false;
+                    if (found != null) {
+                        found.forEach(this::ended);
+                    }
+                    if (!dependencies.unresolved().isEmpty()) {
+                        timer.accept(RETRY_MS, this::settle);
+                    }
+                }));
     }
 
     private void recount(Collection<String> changed) {
@@ -144,18 +152,23 @@
             Job job = roster.jobs.get(id);
             if (job != null && next.size() < cascadeJobs) {
                 next.add(id);
-                writes.add(Write.put(Records.JOB + id,
-                        Records.job(JobRecord.open(job.spec).cancelled(loop.wallTime()))).unguarded());
+                writes.add(Write.put(
+                                Records.JOB + id,
+                                Records.job(JobRecord.open(job.spec).cancelled(loop.wallTime())))
+                        .unguarded());
                 writes.add(Write.delete(Records.OPEN + id).at(job.version));
             }
         }
         if (next.isEmpty()) {
             return null;
         }
-        return new Prepared(writes, () -> {
-            LOG.info("jobs {} are cancelled with what they need", next);
-            cancelled.accept(next);
-            cascade();
-        }, () -> timer.accept(RETRY_MS, this::cascade));
+        return new Prepared(
+                writes,
+                () -> {
+                    LOG.info("jobs {} are cancelled with what they need", next);
+                    cancelled.accept(next);
+                    cascade();
+                },
+                () -> timer.accept(RETRY_MS, this::cascade));
     }
 }
--- a/src/main/java/notchpick/coordination/leading/Placer.java
+++ b/src/main/java/notchpick/coordination/leading/Placer.java
@@ -63,9 +63,26 @@
         List<Placed> placed = new ArrayList<>();
         for (Want want : grant.getWants()) {
             Amounts demand = new Amounts(want.getCores(), want.getGpus(), want.getRam());
-            JobSpec spec = new JobSpec(want.getJob(), "", grant.getTeam(), JobSpec.Form.ARRAY,
-                    JobSpec.Priority.NORMAL, want.getTasks().size(), demand, want.getTypes(), want.getZone(), false,
-                    false, want.getSpot(), want.getImage(), 0, 0, 0, 0, null, 0);
+            JobSpec spec = new JobSpec(
+                    want.getJob(),
+                    "",
+                    grant.getTeam(),
+                    JobSpec.Form.ARRAY,
+                    JobSpec.Priority.NORMAL,
+                    want.getTasks().size(),
+                    demand,
+                    want.getTypes(),
+                    want.getZone(),
+                    false,
+                    false,
+                    want.getSpot(),
+                    want.getImage(),
+                    0,
+                    0,
+                    0,
+                    0,
+                    null,
+                    0);
             Map<String, Integer> zoneRoom = new HashMap<>(want.getZoneRoom());
             for (int task : want.getTasks()) {
                 LeasedRoom room = index.choose(spec, r -> zoneRoom.getOrDefault(r.zone(), 1) > 0);
--- a/src/main/java/notchpick/coordination/leading/Reports.java
+++ b/src/main/java/notchpick/coordination/leading/Reports.java
@@ -65,8 +65,18 @@
      * @param rounds how many rounds of granting have begun
      * @param news hears when a report may have made room
      */
-    Reports(EventLoop loop, Deployment deployment, Roster roster, Estimates estimates, Fleet fleet, OpenJobs jobs,
-            Starts starts, long term, Entitlement entitlement, LongSupplier rounds, Runnable news,
+    Reports(
+            EventLoop loop,
+            Deployment deployment,
+            Roster roster,
+            Estimates estimates,
+            Fleet fleet,
+            OpenJobs jobs,
+            Starts starts,
+            long term,
+            Entitlement entitlement,
+            LongSupplier rounds,
+            Runnable news,
             BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
@@ -106,8 +116,9 @@
             return;
         }
         Machine known = roster.machines.get(report.machine());
-        if (known != null && (report.session() < known.session
-                || report.session() == known.session && report.sequence() <= known.sequence)) {
+        if (known != null
+                && (report.session() < known.session
+                        || report.session() == known.session && report.sequence() <= known.sequence)) {
             reply.accept(refusal());
             return;
         }
@@ -117,8 +128,8 @@
         }
         Machine machine = roster.machines.computeIfAbsent(report.machine(), name -> {
             LOG.info("machine {} reports unasked", name);
-            return new Machine(name, new Pool(report.type(), report.zone(), report.spot()),
-                    fleet.size(report.type()), now);
+            return new Machine(
+                    name, new Pool(report.type(), report.zone(), report.spot()), fleet.size(report.type()), now);
         });
         // The worker has given an earlier report up.
         refuse(machine);
@@ -193,8 +204,10 @@
         for (TaskReport task : report.tasks()) {
             Binding binding = machine.bindings.get(task.name());
             if (task.phase() == WorkerWire.Phase.EXITED) {
-                if (binding != null && binding.attempt == task.attempt()
-                        && binding.phase != Phase.PLANNED && binding.phase != Phase.READY) {
+                if (binding != null
+                        && binding.attempt == task.attempt()
+                        && binding.phase != Phase.PLANNED
+                        && binding.phase != Phase.READY) {
                     exited(binding, task.exit(), now);
                     changed = true;
                 }
@@ -238,12 +251,14 @@
     private boolean dropAbsent(Machine machine, Set<Binding> there) {
         boolean dropped = false;
         for (Binding binding : List.copyOf(machine.bindings.values())) {
-            boolean left = !there.contains(binding) && switch (binding.phase) {
-                case PLANNED, READY -> false;
-                // Its order was executed before this report was made, or never will be; so with a former leader's,
-                // as the worker has seen this term and drops what may still come of it.
-                case SENT, SEEN, HINTED -> true;
-            };
+            boolean left = !there.contains(binding)
+                    && switch (binding.phase) {
+                        case PLANNED, READY -> false;
+                        // Its order was executed before this report was made, or never will be; so with a former
+                        // leader's,
+                        // as the worker has seen this term and drops what may still come of it.
+                        case SENT, SEEN, HINTED -> true;
+                    };
             if (left) {
                 roster.unbind(binding);
                 dropped = true;
@@ -266,8 +281,11 @@
             return binding;
         }
         Job job = roster.jobs.get(task.job());
-        if (job == null || task.task() >= job.spec.tasks() || job.done.get(task.task())
-                || job.bound.containsKey(task.task()) || job.leased.get(task.task())) {
+        if (job == null
+                || task.task() >= job.spec.tasks()
+                || job.done.get(task.task())
+                || job.bound.containsKey(task.task())
+                || job.leased.get(task.task())) {
             return null;
         }
         Binding found = roster.bind(job.spec, task.task(), machine, task.attempt(), Phase.SEEN);
@@ -285,7 +303,7 @@
                     estimates.observe(binding.spec, (now - binding.runningSince) / 1000.0);
                 }
             }
-            case STOPPED -> { }
+            case STOPPED -> {}
             case ERROR -> failed(machine, job, binding, now);
             case FULL, IN_USE -> machine.quarantinedUntil = now + (long) (deployment.reportS() * 1000);
             case UNKNOWN -> {
@@ -389,15 +407,19 @@
     /** A done task's worker may forget it only when the state service has it. */
     private boolean mayForget(TaskReport task) {
         Job job = roster.jobs.get(task.job());
-        return task.exit() != Exit.DONE || job == null || job.spec.isService()
-                || task.task() >= job.spec.tasks() || job.durable.get(task.task());
+        return task.exit() != Exit.DONE
+                || job == null
+                || job.spec.isService()
+                || task.task() >= job.spec.tasks()
+                || job.durable.get(task.task());
     }
 
     /** Whether one of its tasks has been over for so long that its lease must not go on without an order to stop. */
     private boolean mustEnd(Machine machine, List<TaskReport> tasks) {
         for (TaskReport task : tasks) {
             Binding binding = machine.bindings.get(task.name());
-            if (task.phase() != WorkerWire.Phase.EXITED && !roster.jobs.containsKey(task.job())
+            if (task.phase() != WorkerWire.Phase.EXITED
+                    && !roster.jobs.containsKey(task.job())
                     && (binding == null || !entitlement.mayKeepOver(binding.overSince))) {
                 return true;
             }
@@ -425,7 +447,8 @@
                     if (mayForget(task)) {
                         orders.add(new Forget(task.name(), task.attempt()));
                     }
-                } else if (binding == null || binding.attempt != task.attempt()
+                } else if (binding == null
+                        || binding.attempt != task.attempt()
                         // Cancelled while nobody led: its hint was read, its job was not open any more.
                         || !roster.jobs.containsKey(task.job())) {
                     orders.add(new Stop(task.name(), task.attempt(), 0));
--- a/src/main/java/notchpick/coordination/leading/RoomLeases.java
+++ b/src/main/java/notchpick/coordination/leading/RoomLeases.java
@@ -34,6 +34,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RoomLeases.class);
     /** Lease numbers carry the term above this many bits, so that they rise over all terms. */
     private static final int LEASE_BITS = 24;
+
     private static final BitSet NO_TASKS = new BitSet();
 
     private final EventLoop loop;
@@ -82,8 +83,16 @@
     }
 
     /** @param bound hears of every task that has been placed; changed, that room is free again */
-    RoomLeases(EventLoop loop, Deployment deployment, Tuning tuning, Roster roster, Peers peers, long term,
-            Consumer<Binding> bound, Runnable changed, BiConsumer<Long, Runnable> timer) {
+    RoomLeases(
+            EventLoop loop,
+            Deployment deployment,
+            Tuning tuning,
+            Roster roster,
+            Peers peers,
+            long term,
+            Consumer<Binding> bound,
+            Runnable changed,
+            BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
         this.tuning = tuning;
@@ -114,7 +123,8 @@
                 nodes.add(node);
             }
         }
-        List<String> teams = deployment.teams().stream().map(Deployment.Limit::team).sorted().toList();
+        List<String> teams =
+                deployment.teams().stream().map(Deployment.Limit::team).sorted().toList();
         return nodes.get(Math.floorMod(teams.indexOf(team), nodes.size()));
     }
 
@@ -141,8 +151,14 @@
         Set<String> images = new HashSet<>();
         leased.tasks.keySet().forEach(job -> images.add(job.spec.image()));
         List<Room> rooms = new ArrayList<>();
-        leased.room.forEach((machine, room) -> rooms.add(new Room(machine.name, machine.type(), machine.zone(),
-                machine.spot(), room.cores(), room.gpus(), room.ram(),
+        leased.room.forEach((machine, room) -> rooms.add(new Room(
+                machine.name,
+                machine.type(),
+                machine.zone(),
+                machine.spot(),
+                room.cores(),
+                room.gpus(),
+                room.ram(),
                 images.stream().filter(machine.images::contains).toList())));
         List<Want> wants = new ArrayList<>();
         leased.tasks.forEach((job, tasks) -> {
@@ -150,12 +166,20 @@
             Map<String, Integer> zoneRoom = new HashMap<>();
             if (spec.spread()) {
                 Map<String, Integer> taken = roster.zonesOf(spec.id());
-                deployment.zones().forEach(
-                        zone -> zoneRoom.put(zone, spec.zoneLimit() - taken.getOrDefault(zone, 0)));
+                deployment.zones().forEach(zone -> zoneRoom.put(zone, spec.zoneLimit() - taken.getOrDefault(zone, 0)));
             }
-            String zone = spec.oneZone() ? leased.room.keySet().iterator().next().zone() : spec.zone();
-            wants.add(new Want(spec.id(), spec.demand().cores(), spec.demand().gpus(), spec.demand().ram(),
-                    spec.image(), spec.types(), zone, spec.spot(), zoneRoom,
+            String zone =
+                    spec.oneZone() ? leased.room.keySet().iterator().next().zone() : spec.zone();
+            wants.add(new Want(
+                    spec.id(),
+                    spec.demand().cores(),
+                    spec.demand().gpus(),
+                    spec.demand().ram(),
+                    spec.image(),
+                    spec.types(),
+                    zone,
+                    spec.spot(),
+                    zoneRoom,
                     tasks.stream().boxed().toList()));
         });
         return new Grant(term, leased.number, leased.team, tuning.roomLeaseMs(), rooms, wants);
@@ -197,7 +221,9 @@
             Job job = roster.jobs.get(placed.getJob());
             Machine machine = roster.machines.get(placed.getMachine());
             int task = placed.getTask();
-            if (job == null || machine == null || !left.containsKey(machine)
+            if (job == null
+                    || machine == null
+                    || !left.containsKey(machine)
                     || !leased.tasks.getOrDefault(job, NO_TASKS).get(task)
                     || !job.pending.get(task)
                     || !job.spec.demand().fitsIn(left.get(machine))
@@ -209,7 +235,9 @@
             accepted++;
         }
         if (accepted < placements.getPlaced().size()) {
-            LOG.info("{} of {} placements refused", placements.getPlaced().size() - accepted,
+            LOG.info(
+                    "{} of {} placements refused",
+                    placements.getPlaced().size() - accepted,
                     placements.getPlaced().size());
         }
         // A team whose room is leased elsewhere takes no part in rounds; and what was not placed is free again.
--- a/src/main/java/notchpick/coordination/leading/Starts.java
+++ b/src/main/java/notchpick/coordination/leading/Starts.java
@@ -30,16 +30,20 @@
     private final SharedValues<Binding> values;
 
     /** @param ready hears of machines that have starts which may now be ordered */
-    Starts(EventLoop loop, Deployment deployment, Roster roster, Ledger ledger, Fleet fleet,
-            Consumer<Machine> ready) {
+    Starts(EventLoop loop, Deployment deployment, Roster roster, Ledger ledger, Fleet fleet, Consumer<Machine> ready) {
         this.loop = loop;
         this.roster = roster;
         this.ledger = ledger;
         this.fleet = fleet;
         this.ready = ready;
-        this.values = new SharedValues<>(ledger, Records.STARTS,
-                new SharedValues.Form<>(Records::startBytes, Records::starts), SharedValues.Fill.EMPTIEST,
-                deployment.valueBytes(), deployment.writesAtOnce(), this::durable);
+        this.values = new SharedValues<>(
+                ledger,
+                Records.STARTS,
+                new SharedValues.Form<>(Records::startBytes, Records::starts),
+                SharedValues.Fill.EMPTIEST,
+                deployment.valueBytes(),
+                deployment.writesAtOnce(),
+                this::durable);
     }
 
     /** What a former leader may have sent: it blocks those tasks, and counts, until workers tell. */
@@ -49,15 +53,16 @@
             Set<Binding> loaded = new HashSet<>();
             for (Hint hint : Records.hints(entry.value())) {
                 Machine machine = roster.machines.computeIfAbsent(hint.machine(), name -> {
-                    Machine found = new Machine(name, hint.pool(), fleet.size(hint.pool().type()), loop.now());
+                    Machine found = new Machine(
+                            name, hint.pool(), fleet.size(hint.pool().type()), loop.now());
                     found.life = Life.UP;
                     return found;
                 });
                 machine.hinted = true;
                 Job job = roster.jobs.get(hint.job().id());
                 if (job == null || !job.done.get(hint.task())) {
-                    loaded.add(roster.bind(job == null ? hint.job() : job.spec, hint.task(), machine,
-                            hint.attempt(), Phase.HINTED));
+                    loaded.add(roster.bind(
+                            job == null ? hint.job() : job.spec, hint.task(), machine, hint.attempt(), Phase.HINTED));
                 }
             }
             values.loaded(entry.key(), loaded);
--- a/src/main/java/notchpick/coordination/leading/TakeOver.java
+++ b/src/main/java/notchpick/coordination/leading/TakeOver.java
@@ -33,8 +33,16 @@
     private final LongConsumer done;
 
     /** @param done hears of the revision from which users' changes must be watched */
-    TakeOver(EventLoop loop, StateApi state, Ledger ledger, BiConsumer<Long, Runnable> timer, OpenJobs jobs,
-            Starts starts, Fleet fleet, Granting granting, LongConsumer done) {
+    TakeOver(
+            EventLoop loop,
+            StateApi state,
+            Ledger ledger,
+            BiConsumer<Long, Runnable> timer,
+            OpenJobs jobs,
+            Starts starts,
+            Fleet fleet,
+            Granting granting,
+            LongConsumer done) {
         this.loop = loop;
         this.state = state;
         this.ledger = ledger;
@@ -68,26 +76,30 @@
     /** @param then is given what there is, and when it was asked for */
     private void list(String prefix, ObjLongConsumer<Listing> then) {
         long sentAt = loop.now();
-        state.listAll(prefix, result -> timer.accept(0L, () -> {
-            if (result instanceof Ok<Listing> ok) {
-                then.accept(ok.value(), sentAt);
-            } else {
-                timer.accept(RETRY_MS, () -> list(prefix, then));
-            }
-        }));
+        state.listAll(
+                prefix,
+                result -> timer.accept(0L, () -> {
+                    if (result instanceof Ok<Listing> ok) {
+                        then.accept(ok.value(), sentAt);
+                    } else {
+                        timer.accept(RETRY_MS, () -> list(prefix, then));
+                    }
+                }));
     }
 
     /** Gives an empty object where there is no such key. */
     private void get(String key, Consumer<JsonNode> then) {
-        state.get(key, result -> timer.accept(0L, () -> {
-            if (result instanceof Ok<Entry> ok) {
-                ledger.known(key, ok.value().version());
-                then.accept(ok.value().value());
-            } else if (result instanceof Missing<Entry>) {
-                then.accept(Json.object());
-            } else {
-                timer.accept(RETRY_MS, () -> get(key, then));
-            }
-        }));
+        state.get(
+                key,
+                result -> timer.accept(0L, () -> {
+                    if (result instanceof Ok<Entry> ok) {
+                        ledger.known(key, ok.value().version());
+                        then.accept(ok.value().value());
+                    } else if (result instanceof Missing<Entry>) {
+                        then.accept(Json.object());
+                    } else {
+                        timer.accept(RETRY_MS, () -> get(key, then));
+                    }
+                }));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/Candidacy.java
+++ b/src/main/java/notchpick/coordination/membership/Candidacy.java
@@ -29,7 +29,8 @@
             return leaderLeaseMs;
         }
         return hearsWorkers(links.workersAgeMs()) || peers.live().stream().noneMatch(this::hearsWorkers)
-                ? 0 : leaderLeaseMs / 8;
+                ? 0
+                : leaderLeaseMs / 8;
     }
 
     private boolean hearsWorkers(long ageMs) {
--- a/src/main/java/notchpick/coordination/membership/Elector.java
+++ b/src/main/java/notchpick/coordination/membership/Elector.java
@@ -65,7 +65,13 @@
     private long looks;
 
     /** @param handicapMs how long to leave the field to those that are better connected */
-    public Elector(EventLoop loop, String node, StateApi state, Random random, long leaseMs, LongSupplier handicapMs,
+    public Elector(
+            EventLoop loop,
+            String node,
+            StateApi state,
+            Random random,
+            long leaseMs,
+            LongSupplier handicapMs,
             Listener listener) {
         super(loop);
         this.node = node;
@@ -145,7 +151,8 @@
         watching = true;
         state.changes(Records.LEADER, version, leaseMs, here(result -> {
             watching = false;
-            if (!leading && result instanceof Ok<Changes> ok
+            if (!leading
+                    && result instanceof Ok<Changes> ok
                     && ok.value().log().stream().anyMatch(change -> change.value() == null)) {
                 lookIn(random.nextInt((int) Math.max(1, pollMs / CROWD_PART)));
             }
@@ -180,7 +187,8 @@
                 }
                 watch(ok.value().version());
                 lookLater();
-            } else if (result instanceof Missing<Entry> && loop.now() >= standAsideUntil
+            } else if (result instanceof Missing<Entry>
+                    && loop.now() >= standAsideUntil
                     && loop.now() - vacantSince >= handicapMs.getAsLong()) {
                 stand();
             } else {
@@ -199,8 +207,10 @@
                 boolean known = foreign;
                 foreign = format != Records.FORMAT;
                 if (foreign && !known) {
-                    log.error("the state service holds records of form {}, this version reads form {}: not serving",
-                            format, Records.FORMAT);
+                    log.error(
+                            "the state service holds records of form {}, this version reads form {}: not serving",
+                            format,
+                            Records.FORMAT);
                 }
                 if (foreign) {
                     lookLater();
--- a/src/main/java/notchpick/coordination/membership/Link.java
+++ b/src/main/java/notchpick/coordination/membership/Link.java
@@ -5,10 +5,17 @@
 /** One link of this controller, judged by the traffic that flows over it anyway. */
 final class Link {
     /** The words of the wire, but not its classes: these are made from a schema, which a start can't wait for. */
-    enum Condition { UNKNOWN, UP, REFUSED, TURNED_AWAY, SILENT }
+    enum Condition {
+        UNKNOWN,
+        UP,
+        REFUSED,
+        TURNED_AWAY,
+        SILENT
+    }
 
     /** The newest delay weighs so much in the mean. */
     private static final double NEWEST = 0.2;
+
     private static final int TURNED_AWAY = 503;
 
     private final long periodMs;
--- a/src/main/java/notchpick/coordination/membership/Links.java
+++ b/src/main/java/notchpick/coordination/membership/Links.java
@@ -63,7 +63,10 @@
     /** Since any worker last got an answer from here; -1: none ever. */
     public long workersAgeMs() {
         long now = loop.now();
-        return workers.values().stream().mapToLong(link -> link.ageMs(now)).min().orElse(-1);
+        return workers.values().stream()
+                .mapToLong(link -> link.ageMs(now))
+                .min()
+                .orElse(-1);
     }
 
     /** One row for each link, as told to others. */
@@ -78,7 +81,12 @@
 
     private LinkRow row(LinkKind kind, String name, Link link) {
         long now = loop.now();
-        return new LinkRow(kind, name, LinkCondition.valueOf(link.condition().name()), link.ageMs(now),
-                link.delayMs(), link.perS(now));
+        return new LinkRow(
+                kind,
+                name,
+                LinkCondition.valueOf(link.condition().name()),
+                link.ageMs(now),
+                link.delayMs(),
+                link.perS(now));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/Peers.java
+++ b/src/main/java/notchpick/coordination/membership/Peers.java
@@ -54,6 +54,7 @@
     private final Map<String, Last> last = new HashMap<>();
     /** Counts of open jobs as a leader last told them. */
     private final Map<String, Progress> progress = new HashMap<>();
+
     private Last shown;
     private long pulsedAt;
     private long lagMs;
@@ -63,8 +64,14 @@
      * @param heard hears those of others
      * @param ownLinks what this controller tells of its links
      */
-    public Peers(EventLoop loop, Deployment deployment, Caller caller, Supplier<Pulse> own, Consumer<Pulse> heard,
-            Links links, Supplier<LinkTable> ownLinks) {
+    public Peers(
+            EventLoop loop,
+            Deployment deployment,
+            Caller caller,
+            Supplier<Pulse> own,
+            Consumer<Pulse> heard,
+            Links links,
+            Supplier<LinkTable> ownLinks) {
         super(loop);
         this.deployment = deployment;
         this.caller = caller;
@@ -128,7 +135,8 @@
         long least = -1;
         if (table != null) {
             for (LinkRow row : table.getLinks()) {
-                if (row.getKind() == kind && (name == null || row.getName().equals(name))
+                if (row.getKind() == kind
+                        && (name == null || row.getName().equals(name))
                         && row.getCondition() == LinkCondition.UP) {
                     long age = row.getAgeMs() + loop.now() - told.get(node).at();
                     least = least < 0 ? age : Math.min(least, age);
@@ -145,7 +153,9 @@
 
     /** Peers that can pass calls on to the state service, which they reach themselves. */
     List<String> wayToState() {
-        return live().stream().filter(node -> canPass(node) && last.get(node).pulse().getStateReachable()).toList();
+        return live().stream()
+                .filter(node -> canPass(node) && last.get(node).pulse().getStateReachable())
+                .toList();
     }
 
     private void pulse() {
@@ -200,7 +210,9 @@
 
     /** How many workers the peers have lately sent on to the leader. */
     public int redirects() {
-        return live().stream().mapToInt(node -> last.get(node).pulse().getRedirects()).sum();
+        return live().stream()
+                .mapToInt(node -> last.get(node).pulse().getRedirects())
+                .sum();
     }
 
     /** A job's counts as its leader last told them, or null. */
@@ -219,7 +231,11 @@
 
     /** Sends a message and gives what comes back, null if nothing does. */
     public void ask(String node, Object message, long timeoutMs, Consumer<Object> then) {
-        call(node, address(node), PeerWire.bytes(message), timeoutMs,
+        call(
+                node,
+                address(node),
+                PeerWire.bytes(message),
+                timeoutMs,
                 here(answer -> then.accept(answer.status() == 200 ? PeerWire.body(answer.body()) : null)));
     }
 
@@ -236,7 +252,8 @@
         String content = call.body() == null ? "" : new String(call.body(), java.nio.charset.StandardCharsets.UTF_8);
         ask(node, new Relay(call.method(), call.path(), content), timeoutMs, reply -> {
             if (reply instanceof Relayed relayed) {
-                then.accept(new Answer(relayed.getStatus(),
+                then.accept(new Answer(
+                        relayed.getStatus(),
                         relayed.getContent().getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         relayed.getStatus() == 503 ? 1 : 0));
             } else {
--- a/src/main/java/notchpick/coordination/membership/ReportRoutes.java
+++ b/src/main/java/notchpick/coordination/membership/ReportRoutes.java
@@ -45,6 +45,7 @@
     private static final Answer TRY_ANOTHER = new Answer(TURNED_AWAY, new byte[0]);
     /** So many reports wait to be passed on; one more takes the place of the oldest. */
     private static final int MOST_WAITING = 1000;
+
     private static final int BATCH = 64;
     private static final int BATCH_BYTES = 256 << 10;
     private static final int MOST_BATCHES = 4;
@@ -54,6 +55,7 @@
     private static final double REPLY_RATIO = 0.125;
     /** A worker that did not get through is tried again after so many leases at the most. */
     private static final int LEASES_BETWEEN_TRIES = 2;
+
     private static final int MOST_DOUBLINGS = 8;
 
     /** What is known of a worker that has been here during this term. */
@@ -65,6 +67,7 @@
         private long sentHomeAt;
         /** When its report was last passed on and answered; 0: never. */
         private long passedAt;
+
         private int failures;
         private long notHomeBefore;
         private long sentOnAt;
@@ -89,6 +92,7 @@
     private final Map<String, Long> triedAt = new HashMap<>();
     /** By controller that might share the work, when a worker was last sent there to see. */
     private final Map<String, Long> helpAskedAt = new HashMap<>();
+
     private int redirects;
     private boolean flushing;
     private int batchesOut;
@@ -168,7 +172,8 @@
             return;
         }
         if (isGuest(visit)) {
-            if (now >= visit.notHomeBefore && (serves(leader, report.zone(), 2 * reportMs) || isDue(triedAt, report.zone()))) {
+            if (now >= visit.notHomeBefore
+                    && (serves(leader, report.zone(), 2 * reportMs) || isDue(triedAt, report.zone()))) {
                 sendHome(came, visit, leader);
                 return;
             }
@@ -185,7 +190,9 @@
         if (!deployment.node().equals(keeper) && (keeper == null || !isRecent(visit.sentOnAt, leaseMs))) {
             visit.sentOnAt = now;
             // A leader of a version that takes no passed reports can only be tried again.
-            boolean mayTryAgain = keeper == null && peers.linksOf(leader) == null && peers.live().contains(leader);
+            boolean mayTryAgain = keeper == null
+                    && peers.linksOf(leader) == null
+                    && peers.live().contains(leader);
             redirect(came, mayTryAgain ? leader : keeper);
         } else {
             pass(came, visit, leader);
@@ -244,7 +251,9 @@
             List<String> all = new ArrayList<>(able);
             all.add(peer);
             Collections.sort(all);
-            if (!able.contains(peer) && peer.equals(keeper(report, all)) && reaches(peer, leader)
+            if (!able.contains(peer)
+                    && peer.equals(keeper(report, all))
+                    && reaches(peer, leader)
                     && isDue(helpAskedAt, peer)) {
                 return peer;
             }
@@ -318,13 +327,15 @@
     private void send(String leader, List<Waiting> batch, long restMs) {
         batchesOut++;
         passed += batch.size();
-        List<ByteBuffer> reports = batch.stream().map(one -> ByteBuffer.wrap(one.came().call().body())).toList();
+        List<ByteBuffer> reports = batch.stream()
+                .map(one -> ByteBuffer.wrap(one.came().call().body()))
+                .toList();
         // The leader has a little less time than its answer is waited for.
         long patienceMs = (long) (restMs * (1 - REPLY_RATIO));
         peers.ask(leader, new ReportBatch(patienceMs, reports), restMs, here(reply -> {
             batchesOut--;
-            List<Outcome> outcomes = reply instanceof Outcomes all && all.getEach().size() == batch.size()
-                    ? all.getEach() : null;
+            List<Outcome> outcomes =
+                    reply instanceof Outcomes all && all.getEach().size() == batch.size() ? all.getEach() : null;
             for (int i = 0; i < batch.size(); i++) {
                 answered(batch.get(i), outcomes == null ? null : outcomes.get(i));
             }
--- a/src/main/java/notchpick/coordination/membership/StateRoutes.java
+++ b/src/main/java/notchpick/coordination/membership/StateRoutes.java
@@ -45,6 +45,7 @@
         private String by;
         /** How many of its copies are out. */
         private int out;
+
         private boolean peerAnswered;
         private boolean over;
 
@@ -66,11 +67,13 @@
     private final Set<Sent> open = new LinkedHashSet<>();
     /** The peer by which requests go; null: the own link. */
     private String by;
+
     private long bySince;
     /** When the own link last brought an answer that was no refusal. */
     private long answeredAt = Long.MIN_VALUE;
     /** Since when the own link has answered without fail, while requests went by a peer; 0: it does not. */
     private long answersSince;
+
     private long noPeerUntil = Long.MIN_VALUE;
 
     public StateRoutes(EventLoop loop, Caller caller, Links links, Peers peers, long leaderLeaseMs) {
@@ -209,14 +212,15 @@
         sent.tried.add(node);
         sent.out++;
         ByteBuffer content = sent.call.body() == null ? null : ByteBuffer.wrap(sent.call.body());
-        StateCall call = new StateCall(sent.call.method(), sent.call.path(), content,
-                (long) (restMs * (1 - REPLY_RATIO)));
+        StateCall call =
+                new StateCall(sent.call.method(), sent.call.path(), content, (long) (restMs * (1 - REPLY_RATIO)));
         peers.ask(node, call, Math.max(1, restMs), here(reply -> answered(node, sent, reply)));
     }
 
     private void answered(String node, Sent sent, Object reply) {
         Answer answer = reply instanceof Outcome outcome
-                ? new Answer(outcome.getStatus(), PeerWire.content(outcome.getContent())) : Answer.NONE;
+                ? new Answer(outcome.getStatus(), PeerWire.content(outcome.getContent()))
+                : Answer.NONE;
         if (isServed(answer)) {
             sent.peerAnswered = true;
             boolean first = !sent.over;
--- a/src/main/java/notchpick/coordination/users/Acceptances.java
+++ b/src/main/java/notchpick/coordination/users/Acceptances.java
@@ -22,7 +22,11 @@
  */
 final class Acceptances {
     /** What becomes of a submission. */
-    enum Outcome { ACCEPTED, KNOWN, REFUSED }
+    enum Outcome {
+        ACCEPTED,
+        KNOWN,
+        REFUSED
+    }
 
     private static final int TOO_MANY = 429;
     private static final int MALFORMED = 400;
@@ -65,7 +69,9 @@
         for (Submission submission : waiting) {
             bytes += Records.specBytes(submission.spec());
             // A user's second try, sent before the first was answered, goes with the next and finds it known.
-            if (batch.size() == most || bytes > MAX_BYTES && !batch.isEmpty() || !ids.add(submission.spec().id())) {
+            if (batch.size() == most
+                    || bytes > MAX_BYTES && !batch.isEmpty()
+                    || !ids.add(submission.spec().id())) {
                 break;
             }
             batch.add(submission);
@@ -82,7 +88,9 @@
         for (Submission submission : batch) {
             String id = submission.spec().id();
             // One change only: what users may write is little, and conditions are free.
-            transaction.guard(Records.JOB + id, 0).guard(Records.OPEN + id, 0)
+            transaction
+                    .guard(Records.JOB + id, 0)
+                    .guard(Records.OPEN + id, 0)
                     .put(Records.OPEN + id, Records.spec(submission.spec()));
         }
         state.commit(transaction, result -> timer.accept(0L, () -> committed(batch, result)));
--- a/src/main/java/notchpick/coordination/users/FrontDoor.java
+++ b/src/main/java/notchpick/coordination/users/FrontDoor.java
@@ -130,8 +130,13 @@
             return;
         }
         if (Records.specBytes(spec) > deployment.valueBytes()) {
-            unlessKnown(id, error(400, "class, team, image, types and the jobs that it waits on are too long: "
-                    + "a description may take " + deployment.valueBytes() + " bytes"), reply);
+            unlessKnown(
+                    id,
+                    error(
+                            400,
+                            "class, team, image, types and the jobs that it waits on are too long: "
+                                    + "a description may take " + deployment.valueBytes() + " bytes"),
+                    reply);
             return;
         }
         String obstacle = obstacle(spec);
@@ -173,7 +178,8 @@
             return "more than the team's limit";
         }
         for (MachineType type : types) {
-            if (spec.allowsType(type.name()) && spec.demand().fitsIn(type.size())
+            if (spec.allowsType(type.name())
+                    && spec.demand().fitsIn(type.size())
                     && (spec.zone() == null || type.zones().contains(spec.zone()))) {
                 return null;
             }
@@ -209,7 +215,8 @@
                 return;
             }
             if (job.record().fate() != Fate.OPEN) {
-                reply.accept(new Answer(200, Json.bytes(UserWire.status(id, word(job.record().fate())))));
+                reply.accept(new Answer(
+                        200, Json.bytes(UserWire.status(id, word(job.record().fate())))));
                 return;
             }
             JobRecord cancelled = job.record().cancelled(loop.wallTime());
@@ -244,7 +251,9 @@
                 reply.accept(later("the state service does not answer"));
             } else if (told.open() != null) {
                 JobRecord record = told.open().record();
-                then.accept(new Known(told.doomed() ? record.cancelled(0) : record, told.open().version()));
+                then.accept(new Known(
+                        told.doomed() ? record.cancelled(0) : record,
+                        told.open().version()));
             } else if (!state.hasSpare()) {
                 reply.accept(later("too many ask at once"));
             } else {
--- a/src/main/java/notchpick/coordination/users/OpenCopy.java
+++ b/src/main/java/notchpick/coordination/users/OpenCopy.java
@@ -149,7 +149,9 @@
     private void tell(List<Asker> asking, boolean known) {
         List<Asker> held = new ArrayList<>();
         for (Asker asker : asking) {
-            if (known && dependencies.holds(asker.job()) && !dependencies.unresolved().isEmpty()) {
+            if (known
+                    && dependencies.holds(asker.job())
+                    && !dependencies.unresolved().isEmpty()) {
                 held.add(asker);
             } else {
                 tell(asker, known);
--- a/src/main/java/notchpick/coordination/users/Prerequisites.java
+++ b/src/main/java/notchpick/coordination/users/Prerequisites.java
@@ -55,8 +55,9 @@
             then.accept(new Verdict(false, null, false));
             return;
         }
-        fates.read(ended, found -> then.accept(found == null ? new Verdict(false, null, false)
-                : verdict(answers, ended, found)));
+        fates.read(
+                ended,
+                found -> then.accept(found == null ? new Verdict(false, null, false) : verdict(answers, ended, found)));
     }
 
     private static Verdict verdict(List<Told> answers, List<String> ended, Map<String, JobRecord> found) {
--- a/src/main/java/notchpick/protocol/CloudApi.java
+++ b/src/main/java/notchpick/protocol/CloudApi.java
@@ -29,10 +29,14 @@
         this.timeoutMs = timeoutMs;
     }
 
-    public enum ListedState { STARTING, RUNNING, FAILED }
+    public enum ListedState {
+        STARTING,
+        RUNNING,
+        FAILED
+    }
 
-    public record Listed(String machine, String address, String type, String zone, boolean spot,
-            ListedState state, double ageS) {}
+    public record Listed(
+            String machine, String address, String type, String zone, boolean spot, ListedState state, double ageS) {}
 
     public record Page(List<Listed> machines, boolean more) {}
 
@@ -92,15 +96,20 @@
     }
 
     public void rent(String request, String type, String zone, boolean spot, int count, Consumer<Rented> then) {
-        ObjectNode body = Json.object().put("hireSlip", request).put("boxKind", type).put("site", zone)
-                .put("borrowed", spot).put("number", count);
+        ObjectNode body = Json.object()
+                .put("hireSlip", request)
+                .put("boxKind", type)
+                .put("site", zone)
+                .put("borrowed", spot)
+                .put("number", count);
         caller.call(new Call(target, "POST", "/rentals", Json.bytes(body)), timeoutMs, answer -> {
             ObjectNode result = Json.object(answer.body());
             if (answer.status() == 200 && result != null) {
                 List<String> names = new ArrayList<>();
                 result.path("boxes").forEach(name -> names.add(name.asText()));
                 then.accept(new Rented(false, names));
-            } else if (answer.status() == 503 && result != null
+            } else if (answer.status() == 503
+                    && result != null
                     && result.path("error").asText().contains("capacity")) {
                 then.accept(new Rented(true, List.of()));
             } else {
@@ -114,7 +123,9 @@
         ObjectNode body = Json.object();
         ArrayNode names = body.putArray("boxes");
         machines.forEach(names::add);
-        caller.call(new Call(target, "POST", "/rentals/release", Json.bytes(body)), timeoutMs,
+        caller.call(
+                new Call(target, "POST", "/rentals/release", Json.bytes(body)),
+                timeoutMs,
                 answer -> then.accept(answer.status() == 200));
     }
 
--- a/src/main/java/notchpick/protocol/StateApi.java
+++ b/src/main/java/notchpick/protocol/StateApi.java
@@ -134,17 +134,32 @@
     }
 
     private void get(String key, boolean hasty, Consumer<Result<Entry>> then) {
-        send("GET", "/keys/" + key, null, timeoutMs, false, hasty,
+        send(
+                "GET",
+                "/keys/" + key,
+                null,
+                timeoutMs,
+                false,
+                hasty,
                 answer -> then.accept(read(answer, body -> entry(body))));
     }
 
     public void list(String prefix, String after, int limit, Consumer<Result<Listing>> then) {
         String path = "/keys?prefix=" + prefix + "&limit=" + limit + (after == null ? "" : "&since=" + after);
-        send("GET", path, null, timeoutMs, false, answer -> then.accept(read(answer, body -> {
-            List<Entry> entries = new ArrayList<>();
-            body.path("items").forEach(item -> entries.add(entry(item)));
-            return new Listing(entries, body.path("truncated").asBoolean(), body.path("ledgerNo").asLong());
-        })));
+        send(
+                "GET",
+                path,
+                null,
+                timeoutMs,
+                false,
+                answer -> then.accept(read(answer, body -> {
+                    List<Entry> entries = new ArrayList<>();
+                    body.path("items").forEach(item -> entries.add(entry(item)));
+                    return new Listing(
+                            entries,
+                            body.path("truncated").asBoolean(),
+                            body.path("ledgerNo").asLong());
+                })));
     }
 
     /** Every page of a prefix; its revision is that of the first page. */
@@ -152,8 +167,8 @@
         listAll(prefix, null, new ArrayList<>(), -1, then);
     }
 
-    private void listAll(String prefix, String after, List<Entry> sofar, long revision,
-            Consumer<Result<Listing>> then) {
+    private void listAll(
+            String prefix, String after, List<Entry> sofar, long revision, Consumer<Result<Listing>> then) {
         list(prefix, after, LIST_PAGE, result -> {
             if (!(result instanceof Ok<Listing> ok)) {
                 then.accept(result);
@@ -187,7 +202,12 @@
 
     public void grantLease(long lifeMs, Consumer<Result<Long>> then) {
         byte[] body = Json.bytes(Json.object().put("lifeMs", lifeMs));
-        send("POST", HOLDS, body, timeoutMs, true,
+        send(
+                "POST",
+                HOLDS,
+                body,
+                timeoutMs,
+                true,
                 answer -> then.accept(read(answer, node -> node.path("permit").asLong())));
     }
 
@@ -202,7 +222,12 @@
     }
 
     public void endLease(long lease, Consumer<Boolean> then) {
-        send("DELETE", HOLDS + "/" + lease, null, timeoutMs, true,
+        send(
+                "DELETE",
+                HOLDS + "/" + lease,
+                null,
+                timeoutMs,
+                true,
                 answer -> then.accept(answer.status() / 100 == 2 || answer.status() == 404));
     }
 
@@ -218,7 +243,9 @@
                 List<Change> log = new ArrayList<>();
                 for (JsonNode item : body.path("log")) {
                     boolean put = item.has("put");
-                    log.add(new Change(item.path(put ? "put" : "delete").asText(), put ? item.get("v") : null,
+                    log.add(new Change(
+                            item.path(put ? "put" : "delete").asText(),
+                            put ? item.get("v") : null,
                             item.path("entryNo").asLong()));
                 }
                 return new Changes(log, body.path("ledgerNo").asLong());
@@ -249,7 +276,10 @@
     }
 
     private static Entry entry(JsonNode node) {
-        return new Entry(node.path("k").asText(), node.path("v"), node.path("entryNo").asLong(),
+        return new Entry(
+                node.path("k").asText(),
+                node.path("v"),
+                node.path("entryNo").asLong(),
                 node.path("permit").asLong());
     }
 
@@ -279,7 +309,13 @@
         send(method, path, body, timeout, urgent, false, then);
     }
 
-    private void send(String method, String path, byte[] body, long timeout, boolean urgent, boolean hasty,
+    private void send(
+            String method,
+            String path,
+            byte[] body,
+            long timeout,
+            boolean urgent,
+            boolean hasty,
             Consumer<Answer> then) {
         if (!takes(urgent)) {
             then.accept(new Answer(429, new byte[0]));
--- a/src/main/java/notchpick/protocol/WorkerWire.java
+++ b/src/main/java/notchpick/protocol/WorkerWire.java
@@ -13,17 +13,37 @@
 
     private WorkerWire() {}
 
-    public enum Phase { FETCHING, RUNNING, SAVING, EXITED }
+    public enum Phase {
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED
+    }
 
-    public enum Exit { DONE, STOPPED, ERROR, FULL, IN_USE, UNKNOWN }
+    public enum Exit {
+        DONE,
+        STOPPED,
+        ERROR,
+        FULL,
+        IN_USE,
+        UNKNOWN
+    }
 
     /** One task as its worker sees it; exit is null until it has exited. */
     public record TaskReport(String name, String job, int task, long attempt, Phase phase, Exit exit) {}
 
     /** @param noticeS null, or seconds until the cloud takes the machine away */
     public record Report(
-            String machine, String address, String type, String zone, boolean spot,
-            long session, long sequence, long token, Double noticeS, List<TaskReport> tasks) {}
+            String machine,
+            String address,
+            String type,
+            String zone,
+            boolean spot,
+            long session,
+            long sequence,
+            long token,
+            Double noticeS,
+            List<TaskReport> tasks) {}
 
     /** Something the worker shall do. */
     public sealed interface Order {
@@ -93,8 +113,8 @@
                 default -> Exit.ERROR;
             };
         }
-        return new TaskReport(name,
-                name.substring(0, slash), index, Json.count(piece, "tryNo", 0, Long.MAX_VALUE), phase, exit);
+        return new TaskReport(
+                name, name.substring(0, slash), index, Json.count(piece, "tryNo", 0, Long.MAX_VALUE), phase, exit);
     }
 
     public static ObjectNode orders(long token, List<Order> orders) {
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -38,8 +38,8 @@
      * @param moving tasks that are being moved already, and need room first
      * @param most so many at the most
      */
-    public static <S extends Place> List<S> find(Collection<Candidate<S>> machines,
-            Collection<JobSpec> moving, int most) {
+    public static <S extends Place> List<S> find(
+            Collection<Candidate<S>> machines, Collection<JobSpec> moving, int most) {
         List<Candidate<S>> movable = new ArrayList<>();
         for (Candidate<S> machine : machines) {
             if (machine.tasks() != null && !machine.tasks().isEmpty()) {
@@ -48,7 +48,9 @@
         }
         // Ordinary machines cost most, so they go first.
         movable.sort(Comparator.<Candidate<S>>comparingInt(c -> c.site().spot() ? 1 : 0)
-                .thenComparingDouble(c -> c.tasks().stream().mapToDouble(task -> task.demand().cores()).sum()));
+                .thenComparingDouble(c -> c.tasks().stream()
+                        .mapToDouble(task -> task.demand().cores())
+                        .sum()));
         Targets<S> targets = new Targets<>(machines);
         List<S> leaving = new ArrayList<>();
         if (!targets.place(moving, null)) {
@@ -93,7 +95,9 @@
                 S place = null;
                 for (S site : open) {
                     Amounts free = left.getOrDefault(site, room.getOrDefault(site, site.room()));
-                    if (site != leaving && task.demand().fitsIn(free) && site.images().contains(task.image())
+                    if (site != leaving
+                            && task.demand().fitsIn(free)
+                            && site.images().contains(task.image())
                             && (leaving == null || site.spot() || !leaving.spot())
                             && task.allows(site.type(), site.zone(), site.spot())) {
                         place = site;
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -48,7 +48,10 @@
      */
     public Set<String> add(JobSpec spec, double stageS) {
         nodes.put(spec.id(), new Node(spec, stageS));
-        spec.needs().forEach(need -> dependents.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(spec.id()));
+        spec.needs()
+                .forEach(need -> dependents
+                        .computeIfAbsent(need, n -> new LinkedHashSet<>())
+                        .add(spec.id()));
         boolean claims = review(spec.id());
         Set<String> changed = propagate(spec.needs());
         if (claims) {
--- a/src/main/java/notchpick/scheduling/FleetPlan.java
+++ b/src/main/java/notchpick/scheduling/FleetPlan.java
@@ -56,12 +56,19 @@
      * @param refused pools that the cloud has lately refused
      * @param late pools whose machines come late at present
      */
-    public static Plan plan(List<Need> needs, List<Owned> owned, Map<String, MachineType> types,
-            double horizonS, Predicate<Pool> refused, Predicate<Pool> late) {
+    public static Plan plan(
+            List<Need> needs,
+            List<Owned> owned,
+            Map<String, MachineType> types,
+            double horizonS,
+            Predicate<Pool> refused,
+            Predicate<Pool> late) {
         List<Slot> slots = new ArrayList<>();
         for (Owned machine : owned) {
             MachineType type = types.get(machine.pool().type());
-            double price = type == null ? Double.MAX_VALUE : pricePerCore(type, machine.pool().spot());
+            double price = type == null
+                    ? Double.MAX_VALUE
+                    : pricePerCore(type, machine.pool().spot());
             slots.add(new Slot(machine, machine.pool(), price, machine.size()));
         }
         // Busy machines first, then cheap ones: what stays unused is what can go.
@@ -69,7 +76,10 @@
         Map<Pool, Integer> rent = new LinkedHashMap<>();
         Map<Pool, Integer> held = new HashMap<>();
         owned.forEach(machine -> held.merge(machine.pool(), 1, Integer::sum));
-        double least = needs.stream().mapToDouble(need -> need.spec().demand().cores()).min().orElse(0);
+        double least = needs.stream()
+                .mapToDouble(need -> need.spec().demand().cores())
+                .min()
+                .orElse(0);
         // Those that are full for every job are not looked at again, job after job.
         List<Slot> open = new ArrayList<>(slots);
         for (Need need : needs) {
@@ -135,8 +145,13 @@
      * The pool that gives the job its cores most cheaply, a machine's unused rest included; among equals
      * the one of which least is held, so that one wave of taken machines doesn't take all.
      */
-    private static Pool choosePool(Need need, int wanted, Map<String, MachineType> types, Map<Pool, Integer> held,
-            Predicate<Pool> refused, Predicate<Pool> late) {
+    private static Pool choosePool(
+            Need need,
+            int wanted,
+            Map<String, MachineType> types,
+            Map<Pool, Integer> held,
+            Predicate<Pool> refused,
+            Predicate<Pool> late) {
         Pool best = null;
         double bestPrice = 0;
         for (boolean spot : new boolean[] {true, false}) {
@@ -154,9 +169,9 @@
                     int tasks = Math.min(wanted, need.spec().demand().countIn(type.size()));
                     double used = Math.max(tasks * need.spec().demand().cores(), 1e-3);
                     double price = (spot ? type.spotPrice() : type.price()) / used * (late.test(pool) ? LATE_PRICE : 1);
-                    if (best == null || price < bestPrice
-                            || price == bestPrice
-                                    && held.getOrDefault(pool, 0) < held.getOrDefault(best, 0)) {
+                    if (best == null
+                            || price < bestPrice
+                            || price == bestPrice && held.getOrDefault(pool, 0) < held.getOrDefault(best, 0)) {
                         best = pool;
                         bestPrice = price;
                     }
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -44,14 +44,16 @@
      * @param objectives what the operators have promised
      * @param cores what there is to work on
      */
-    public static <J> List<Waiting<J>> sorted(Collection<Waiting<J>> jobs, long wallTime, Objectives objectives,
-            double cores) {
+    public static <J> List<Waiting<J>> sorted(
+            Collection<Waiting<J>> jobs, long wallTime, Objectives objectives, double cores) {
         List<Placed<J>> urgent = new ArrayList<>();
         List<Placed<J>> inTime = new ArrayList<>();
         List<Placed<J>> later = new ArrayList<>();
         for (Waiting<J> waiting : jobs) {
             JobSpec spec = waiting.spec();
-            Placed<J> placed = new Placed<>(waiting, spec.priority().ordinal(),
+            Placed<J> placed = new Placed<>(
+                    waiting,
+                    spec.priority().ordinal(),
                     objectives.slackS(spec, spec.ageS(wallTime), waiting.runS()),
                     waiting.remainingS() / Math.max(cores, 1));
             (spec.isUrgent() ? urgent : placed.late() ? later : inTime).add(placed);
@@ -60,8 +62,9 @@
                 .thenComparingLong(p -> p.waiting().spec().readyAt())
                 .thenComparing(p -> p.waiting().spec().id());
         // What can't be on time any more must not make others late too.
-        Comparator<Placed<J>> byPriority =
-                Comparator.<Placed<J>>comparingInt(Placed::priority).thenComparing(Placed::late).thenComparing(byDue);
+        Comparator<Placed<J>> byPriority = Comparator.<Placed<J>>comparingInt(Placed::priority)
+                .thenComparing(Placed::late)
+                .thenComparing(byDue);
         urgent.sort(byPriority);
         double aheadS = urgent.stream().mapToDouble(Placed::workS).sum();
         List<Placed<J>> kept = feasible(inTime, byDue, aheadS, later);
@@ -77,10 +80,11 @@
      * As many jobs as can be in time one after the other (Moore and Hodgson): whenever the next would be late,
      * the largest so far of the lowest priority is left out.
      */
-    private static <J> List<Placed<J>> feasible(List<Placed<J>> jobs, Comparator<Placed<J>> order, double aheadS,
-            List<Placed<J>> left) {
-        PriorityQueue<Placed<J>> kept = new PriorityQueue<>(
-                Comparator.<Placed<J>>comparingInt(Placed::priority).thenComparingDouble(Placed::workS).reversed());
+    private static <J> List<Placed<J>> feasible(
+            List<Placed<J>> jobs, Comparator<Placed<J>> order, double aheadS, List<Placed<J>> left) {
+        PriorityQueue<Placed<J>> kept = new PriorityQueue<>(Comparator.<Placed<J>>comparingInt(Placed::priority)
+                .thenComparingDouble(Placed::workS)
+                .reversed());
         double loadS = aheadS;
         jobs.sort(order);
         for (Placed<J> next : jobs) {
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -37,23 +37,100 @@
         long readyAt) {
 
     /** A job that needs no other. */
-    public JobSpec(String id, String jobClass, String team, Form form, Priority priority, int tasks, Amounts demand,
-            List<String> types, String zone, boolean oneZone, boolean spread, boolean spot, String image,
-            double imageGb, double estimateS, double checkpointS, double saveS, Double deadlineS, long submittedAt) {
-        this(id, jobClass, team, form, priority, tasks, demand, types, zone, oneZone, spread, spot, image, imageGb,
-                estimateS, checkpointS, saveS, deadlineS, submittedAt, List.of(), submittedAt);
+    public JobSpec(
+            String id,
+            String jobClass,
+            String team,
+            Form form,
+            Priority priority,
+            int tasks,
+            Amounts demand,
+            List<String> types,
+            String zone,
+            boolean oneZone,
+            boolean spread,
+            boolean spot,
+            String image,
+            double imageGb,
+            double estimateS,
+            double checkpointS,
+            double saveS,
+            Double deadlineS,
+            long submittedAt) {
+        this(
+                id,
+                jobClass,
+                team,
+                form,
+                priority,
+                tasks,
+                demand,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                image,
+                imageGb,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                submittedAt,
+                List.of(),
+                submittedAt);
     }
 
     /** The same job as it counts once it has taken priority and deadline over from others. */
     public JobSpec counting(Priority as, Double due) {
-        return new JobSpec(id, jobClass, team, form, as, tasks, demand, types, zone, oneZone, spread, spot, image,
-                imageGb, estimateS, checkpointS, saveS, due, submittedAt, needs, readyAt);
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                form,
+                as,
+                tasks,
+                demand,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                image,
+                imageGb,
+                estimateS,
+                checkpointS,
+                saveS,
+                due,
+                submittedAt,
+                needs,
+                readyAt);
     }
 
     /** The same job, held back by others until then. */
     public JobSpec readyAt(long when) {
-        return new JobSpec(id, jobClass, team, form, priority, tasks, demand, types, zone, oneZone, spread, spot, image,
-                imageGb, estimateS, checkpointS, saveS, deadlineS, submittedAt, needs, when);
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                form,
+                priority,
+                tasks,
+                demand,
+                types,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                image,
+                imageGb,
+                estimateS,
+                checkpointS,
+                saveS,
+                deadlineS,
+                submittedAt,
+                needs,
+                when);
     }
 
     /** How long it has waited for room, or run. */
@@ -67,10 +144,18 @@
     }
 
     /** How the tasks of a job relate. */
-    public enum Form { ARRAY, SERVICE }
+    public enum Form {
+        ARRAY,
+        SERVICE
+    }
 
     /** Highest first. */
-    public enum Priority { PRODUCTION, HIGH, NORMAL, LOW }
+    public enum Priority {
+        PRODUCTION,
+        HIGH,
+        NORMAL,
+        LOW
+    }
 
     /** The name under which workers know one task of a job. */
     public static String taskName(String job, int task) {
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -23,8 +23,8 @@
      * @param freeing cores that are being freed already
      * @param beyond by team, the cores that it holds beyond its guarantee
      */
-    public static <T> List<T> choose(List<Starved> starved, List<Victim<T>> victims, double freeing,
-            Function<String, Double> beyond) {
+    public static <T> List<T> choose(
+            List<Starved> starved, List<Victim<T>> victims, double freeing, Function<String, Double> beyond) {
         List<Victim<T>> order = new ArrayList<>(victims);
         order.sort(Comparator.comparingInt(victim -> -victim.spec().priority().ordinal()));
         Map<String, Double> left = new HashMap<>();
@@ -35,7 +35,7 @@
             double use = Math.min(freed, need);
             freed -= use;
             need -= use;
-            for (int i = 0; i < order.size() && need > Amounts.SLACK;) {
+            for (int i = 0; i < order.size() && need > Amounts.SLACK; ) {
                 Victim<T> victim = order.get(i);
                 double cores = victim.spec().demand().cores();
                 double spare = left.computeIfAbsent(victim.spec().team(), beyond);
@@ -58,7 +58,8 @@
         if (!spec.allows(victim.type(), victim.zone(), victim.spot())) {
             return false;
         }
-        boolean owed = job.guaranteed() && !spec.team().equals(victim.spec().team())
+        boolean owed = job.guaranteed()
+                && !spec.team().equals(victim.spec().team())
                 && beyond >= victim.spec().demand().cores() - Amounts.SLACK;
         boolean outranked = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
                 && victim.spec().priority().ordinal() > spec.priority().ordinal();
--- a/src/main/java/notchpick/scheduling/SiteIndex.java
+++ b/src/main/java/notchpick/scheduling/SiteIndex.java
@@ -94,7 +94,10 @@
 
     /** The sites in the order in which they were given. */
     public Collection<S> sites() {
-        return entries.values().stream().sorted(Comparator.comparingInt(Entry::number)).map(Entry::site).toList();
+        return entries.values().stream()
+                .sorted(Comparator.comparingInt(Entry::number))
+                .map(Entry::site)
+                .toList();
     }
 
     /** How many sites have been looked at in all. */
@@ -125,8 +128,8 @@
         return best != null ? best : choose(kind.all, spec, admits, false, delay);
     }
 
-    private S choose(TreeSet<Entry<S>> sites, JobSpec spec, Predicate<S> admits, boolean having,
-            ToLongFunction<S> delay) {
+    private S choose(
+            TreeSet<Entry<S>> sites, JobSpec spec, Predicate<S> admits, boolean having, ToLongFunction<S> delay) {
         Entry<S> least = new Entry<>(spec.demand().cores() - Amounts.SLACK, -1, null);
         S best = null;
         long bestDelay = Long.MAX_VALUE;
--- a/src/main/java/notchpick/transport/JettyServer.java
+++ b/src/main/java/notchpick/transport/JettyServer.java
@@ -32,8 +32,15 @@
      *     idle end sooner
      * @param crowdedIdleMs how soon
      */
-    public JettyServer(ThreadPool threads, Scheduler scheduler, ByteBufferPool buffers, Map<String, Handler> served,
-            String peerAddress, long idleTimeoutMs, int connections, long crowdedIdleMs) {
+    public JettyServer(
+            ThreadPool threads,
+            Scheduler scheduler,
+            ByteBufferPool buffers,
+            Map<String, Handler> served,
+            String peerAddress,
+            long idleTimeoutMs,
+            int connections,
+            long crowdedIdleMs) {
         server = new Server(threads, scheduler, buffers);
         HttpConfiguration config = new HttpConfiguration();
         config.setSendServerVersion(false);
@@ -91,7 +98,8 @@
             }
             try {
                 handler.handle(
-                        new Caller.Call(null, request.getMethod(), request.getHttpURI().getPathQuery(), body),
+                        new Caller.Call(
+                                null, request.getMethod(), request.getHttpURI().getPathQuery(), body),
                         answer -> send(answer, response, callback));
             } catch (RuntimeException e) {
                 send(new Caller.Answer(500, new byte[0]), response, callback);
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -29,13 +29,15 @@
             "coordination.membership", above("coordination"),
             "coordination.users", above("coordination", "coordination.membership"),
             "coordination.leading", above("coordination", "coordination.membership"));
+
     private static final Pattern IMPORT = Pattern.compile("import (?:static )?notchpick\\.([a-z.]+)\\.");
     private static final Pattern WIRE_WORD = Pattern.compile(
             "\"(ref|workclass|ownerDesk|jobForm|urgency|pieces?|boxKinds?|borrowed|bundle|mandate|tryNo|orderKind"
                     + "|hireSlip|waitsOn|entryNo|ledgerNo|permit|recallS|exitCause|foreman)\"");
 
     private static List<String> above(String... coordination) {
-        return Stream.concat(BELOW_COORDINATION.stream(), Stream.of(coordination)).toList();
+        return Stream.concat(BELOW_COORDINATION.stream(), Stream.of(coordination))
+                .toList();
     }
 
     private static List<Path> sources(String layer) throws IOException {
@@ -55,7 +57,9 @@
             List<String> unknown = folders.filter(Files::isDirectory)
                     .map(folder -> SOURCES.relativize(folder).toString())
                     .filter(name -> !name.isEmpty() && !name.equals("app"))
-                    .map(name -> name.replace('/', '.')).filter(name -> !MAY_KNOW.containsKey(name)).toList();
+                    .map(name -> name.replace('/', '.'))
+                    .filter(name -> !MAY_KNOW.containsKey(name))
+                    .toList();
             assertEquals(List.of(), unknown);
         }
     }
@@ -67,8 +71,8 @@
                 Matcher matcher = IMPORT.matcher(Files.readString(file));
                 while (matcher.find()) {
                     String known = layerOf(matcher.group(1));
-                    assertTrue(known.equals(layer.getKey()) || layer.getValue().contains(known),
-                            file + " knows " + known);
+                    assertTrue(
+                            known.equals(layer.getKey()) || layer.getValue().contains(known), file + " knows " + known);
                 }
             }
         }
@@ -103,8 +107,15 @@
 
     @Test
     void theUsersWordsStayInProtocol() throws IOException {
-        for (String layer : List.of("transport", "scheduling", "bookkeeping", "coordination", "coordination.users",
-                "coordination.leading", "coordination.membership", "app")) {
+        for (String layer : List.of(
+                "transport",
+                "scheduling",
+                "bookkeeping",
+                "coordination",
+                "coordination.users",
+                "coordination.leading",
+                "coordination.membership",
+                "app")) {
             for (Path file : sources(layer)) {
                 Matcher matcher = WIRE_WORD.matcher(Files.readString(file));
                 assertEquals(false, matcher.find(), () -> file + ": " + matcher.group());
--- a/src/test/java/notchpick/LinkWalkTest.java
+++ b/src/test/java/notchpick/LinkWalkTest.java
@@ -22,6 +22,7 @@
     private static final String WHOLE = "node-4";
     /** Workers try one controller after another, five seconds each: no more than three may be out of their reach. */
     private static final String HEARD = "node-2";
+
     private static final List<String> JOBS = List.of("run-000001", "run-000002", "run-000003");
 
     static IntStream seeds() {
@@ -29,9 +30,14 @@
     }
 
     private static World world() throws Exception {
-        World world = new World(CONTROLLERS, List.of(new Limit("a", Amounts.NONE, new Amounts(70, 0, 0))),
+        World world = new World(
+                CONTROLLERS,
+                List.of(new Limit("a", Amounts.NONE, new Amounts(70, 0, 0))),
                 List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 5, List.of("east", "west"))),
-                400, 100, null, false);
+                400,
+                100,
+                null,
+                false);
         world.capacity("m8", "east", true, 5);
         world.capacity("m8", "west", true, 5);
         world.simulation().runUntil(3000);
@@ -51,8 +57,11 @@
     private static void turn(World world, Random random, List<String> nodes, String spared) {
         String node = any(random, nodes);
         String peer = any(random, nodes);
-        String other = any(random, node.equals(spared) ? List.of("state", peer)
-                : List.of("state", "workers", "workers-east", "workers-west", peer));
+        String other = any(
+                random,
+                node.equals(spared)
+                        ? List.of("state", peer)
+                        : List.of("state", "workers", "workers-east", "workers-west", peer));
         switch (random.nextInt(8)) {
             case 0, 1 -> world.network().cut(node, other, Cut.HOLD);
             case 2 -> world.network().cut(node, other, Cut.RESET);
@@ -90,7 +99,8 @@
     void whereAPathIsLeftNoTaskDiesWithItsLease(int seed) throws Exception {
         Random random = new Random(seed);
         World world = world();
-        List<String> nodes = world.nodes().stream().filter(node -> !node.equals(WHOLE)).toList();
+        List<String> nodes =
+                world.nodes().stream().filter(node -> !node.equals(WHOLE)).toList();
         for (int i = 0; i < 25; i++) {
             turn(world, random, nodes, HEARD);
             world.simulation().runUntil(world.simulation().now() + 500 + random.nextInt(4500));
--- a/src/test/java/notchpick/MeetingWalkTest.java
+++ b/src/test/java/notchpick/MeetingWalkTest.java
@@ -30,16 +30,36 @@
 class MeetingWalkTest {
     /** Jobs with long to go, for users to cancel. */
     private static final int LONG_JOBS = 6;
-    private static final List<String> JOBS = Stream.concat(Stream.of("run-000001", "run-000002", "run-000003"),
-            IntStream.range(0, LONG_JOBS).mapToObj(i -> "run-00001" + i)).toList();
+
+    private static final List<String> JOBS = Stream.concat(
+                    Stream.of("run-000001", "run-000002", "run-000003"),
+                    IntStream.range(0, LONG_JOBS).mapToObj(i -> "run-00001" + i))
+            .toList();
     /** A moment that does not come within so long is not waited for. */
     private static final long PATIENCE_MS = 7000;
 
     /** What can go wrong by itself. */
     enum Trouble {
-        LEADER_CRASHES, ANOTHER_CRASHES, ALL_CRASH, LEADER_FREEZES, LEADER_REFUSED, OUTAGE, WRITES_LATE, WRITES_UNHEARD,
-        REPORTS_LATE, REPORTS_FOR_NEXT, MACHINES_DEAF, MACHINES_MUTE, MACHINES_HANG, LEADER_LOSES_STATE_AND_PEERS,
-        ZONE_CUT, LEADER_LOSES_WORKERS, ANSWERS_HELD, WATCHES_HANG, LISTS_SLOW, MACHINES_DIE
+        LEADER_CRASHES,
+        ANOTHER_CRASHES,
+        ALL_CRASH,
+        LEADER_FREEZES,
+        LEADER_REFUSED,
+        OUTAGE,
+        WRITES_LATE,
+        WRITES_UNHEARD,
+        REPORTS_LATE,
+        REPORTS_FOR_NEXT,
+        MACHINES_DEAF,
+        MACHINES_MUTE,
+        MACHINES_HANG,
+        LEADER_LOSES_STATE_AND_PEERS,
+        ZONE_CUT,
+        LEADER_LOSES_WORKERS,
+        ANSWERS_HELD,
+        WATCHES_HANG,
+        LISTS_SLOW,
+        MACHINES_DIE
     }
 
     private static final Trouble[] ALL = Trouble.values();
@@ -67,10 +87,17 @@
 
     private void begin(int seed) throws InvalidMessage {
         random = new Random(seed);
-        world = new World(5, List.of(new Limit("a", Amounts.NONE, new Amounts(40, 0, 0)),
-                new Limit("b", Amounts.NONE, Amounts.NONE)),
+        world = new World(
+                5,
+                List.of(
+                        new Limit("a", Amounts.NONE, new Amounts(40, 0, 0)),
+                        new Limit("b", Amounts.NONE, Amounts.NONE)),
                 List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 2, List.of("east", "west"))),
-                500, 150, null, false, new Timing(5, 22, 42));
+                500,
+                150,
+                null,
+                false,
+                new Timing(5, 22, 42));
         world.capacity("m8", "east", true, 7);
         world.capacity("m8", "west", true, 7);
         world.simulation().runUntil(3000);
@@ -152,8 +179,10 @@
             }
             case MACHINES_DEAF -> machines(forMs, WorkerStandIn::deaf);
             case MACHINES_MUTE -> machines(forMs, WorkerStandIn::mute);
-            case MACHINES_HANG -> world.workers().stream().limit(between(1, 6))
-                    .forEach(worker -> world.hang(worker, Math.min(forMs, 30_000)));
+            case MACHINES_HANG ->
+                world.workers().stream()
+                        .limit(between(1, 6))
+                        .forEach(worker -> world.hang(worker, Math.min(forMs, 30_000)));
             case LEADER_LOSES_STATE_AND_PEERS -> {
                 cut(leader, "state", forMs);
                 world.nodes().stream().filter(node -> !node.equals(leader)).forEach(node -> cut(leader, node, forMs));
@@ -162,7 +191,10 @@
             case LEADER_LOSES_WORKERS -> cut(leader, "workers", forMs);
             case ANSWERS_HELD -> {
                 world.network().cutOneWay(leader, "workers", Cut.HOLD);
-                later(Math.min(forMs, 6000), "answers pass", () -> world.network().heal(leader, "workers"));
+                later(
+                        Math.min(forMs, 6000),
+                        "answers pass",
+                        () -> world.network().heal(leader, "workers"));
             }
             case WATCHES_HANG -> {
                 world.state().watchesHang(true);
@@ -172,8 +204,8 @@
                 world.state().lists(between(500, 4000));
                 later(forMs, "lists are quick", () -> world.state().lists(0));
             }
-            case MACHINES_DIE -> List.copyOf(world.machines()).stream().limit(between(1, 8))
-                    .forEach(world.cloud()::take);
+            case MACHINES_DIE ->
+                List.copyOf(world.machines()).stream().limit(between(1, 8)).forEach(world.cloud()::take);
         }
     }
 
@@ -187,7 +219,8 @@
     }
 
     private void machines(long forMs, Fault fault) {
-        List<WorkerStandIn> some = world.workers().stream().limit(between(1, 20)).toList();
+        List<WorkerStandIn> some =
+                world.workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
         later(forMs, "machines are well", () -> some.forEach(worker -> fault.set(worker, false)));
     }
@@ -210,7 +243,7 @@
             case 2 -> await("an end", () -> world.met("ends"));
             case 3 -> await("a boot", () -> world.cloud().ups());
             case 4 -> world.simulation().runUntil(world.simulation().now() + between(0, 5000));
-            default -> { }
+            default -> {}
         }
     }
 
@@ -235,7 +268,7 @@
             case 0 -> troubles.add(ALL[random.nextInt(ALL.length)]);
             // Most rules broke where the state service went away at the end.
             case 1 -> troubles.add(Trouble.OUTAGE);
-            default -> { }
+            default -> {}
         }
         world.simulation().runUntil(world.simulation().now() + between(0, 8000));
         for (Trouble trouble : troubles) {
--- a/src/test/java/notchpick/ScenarioInputTest.java
+++ b/src/test/java/notchpick/ScenarioInputTest.java
@@ -10,21 +10,23 @@
 /** A scenario with a mistake in it says where and what, and never passes for one that shows something. */
 class ScenarioInputTest {
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "controlers 3 | unknown word controlers",
-        "controllers | a value is missing: controllers",
-        "controllers three | not a number in: controllers three",
-        "workers report 3 lease 20 | a value is missing: workers report 3 lease 20",
-        "at 3 | a value is missing: at 3",
-        "at noon crash leader | not a number in: at noon crash leader",
-        "at 3 crush leader | unknown word crush",
-        "at 3 submit run-000002 tusks 3 | unknown word tusks",
-        "at 3 submit run-000002 tasks | a value is missing: at 3 submit run-000002 tasks",
-        "at 3 expect run-000009 done | no line before submits run-000009",
-        "at 3 expect run-000001 finished | no job is ever told to be finished",
-        "at 3 expect met miracles at-least 1 | nothing is counted as miracles",
-        "at 3 expect met looks at-least | a value is missing: at 3 expect met looks at-least",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "controlers 3 | unknown word controlers",
+                "controllers | a value is missing: controllers",
+                "controllers three | not a number in: controllers three",
+                "workers report 3 lease 20 | a value is missing: workers report 3 lease 20",
+                "at 3 | a value is missing: at 3",
+                "at noon crash leader | not a number in: at noon crash leader",
+                "at 3 crush leader | unknown word crush",
+                "at 3 submit run-000002 tusks 3 | unknown word tusks",
+                "at 3 submit run-000002 tasks | a value is missing: at 3 submit run-000002 tasks",
+                "at 3 expect run-000009 done | no line before submits run-000009",
+                "at 3 expect run-000001 finished | no job is ever told to be finished",
+                "at 3 expect met miracles at-least 1 | nothing is counted as miracles",
+                "at 3 expect met looks at-least | a value is missing: at 3 expect met looks at-least",
+            })
     void saysWhereAndWhat(String line, String message) {
         List<String> lines = List.of("# a remark", "at 2 submit run-000001 tasks 1 run 1", line);
         Exception e = assertThrows(IllegalArgumentException.class, () -> ScenarioTest.play("bad.txt", lines));
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -37,20 +37,60 @@
 class ScenarioTest {
     private static final List<String> STATES = List.of("queued", "running", "done", "cancelled");
     /** What may be said of a job, each with a value. */
-    private static final Set<String> OPTIONS = Set.of("tasks", "run", "vary", "needs", "urgency", "team", "cores", "gpus",
-            "ram", "image", "image-length", "zone", "one-zone", "apart", "ordinary", "expected", "saves", "due", "types",
-            "class", "form", "fails", "per-second", "for", "cancel");
+    private static final Set<String> OPTIONS = Set.of(
+            "tasks",
+            "run",
+            "vary",
+            "needs",
+            "urgency",
+            "team",
+            "cores",
+            "gpus",
+            "ram",
+            "image",
+            "image-length",
+            "zone",
+            "one-zone",
+            "apart",
+            "ordinary",
+            "expected",
+            "saves",
+            "due",
+            "types",
+            "class",
+            "form",
+            "fails",
+            "per-second",
+            "for",
+            "cancel");
     /** What a submission must not lack. */
-    private static final List<String> REQUIRED = List.of("workclass", "ownerDesk", "jobForm", "urgency", "pieces",
-            "cores", "gpus", "ramGb", "bundle", "sizeGb", "oneZone", "apart", "borrowed", "expectedS", "bookmarkS",
+    private static final List<String> REQUIRED = List.of(
+            "workclass",
+            "ownerDesk",
+            "jobForm",
+            "urgency",
+            "pieces",
+            "cores",
+            "gpus",
+            "ramGb",
+            "bundle",
+            "sizeGb",
+            "oneZone",
+            "apart",
+            "borrowed",
+            "expectedS",
+            "bookmarkS",
             "bookmarkWriteS");
 
     static Stream<Path> scenarios() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
             // -Dscenario=WORD plays only those with this word in their names.
-            return files.filter(file -> file.toString().endsWith(".txt"))
+            return files
+                    .filter(file -> file.toString().endsWith(".txt"))
                     .filter(file -> file.getFileName().toString().contains(System.getProperty("scenario", "")))
-                    .sorted().toList().stream();
+                    .sorted()
+                    .toList()
+                    .stream();
         }
     }
 
@@ -119,23 +159,33 @@
 
         void read(String[] words, int line, List<Step> steps) {
             switch (words[0]) {
-                case "", "#" -> { }
+                case "", "#" -> {}
                 case "requests-per-second" -> requestsPerS = Double.parseDouble(words[1]);
                 case "writes-per-second" -> writesPerS = Double.parseDouble(words[1]);
                 case "next" -> {
-                    next = new Limits(Integer.parseInt(words[1]), Integer.parseInt(words[2]),
-                            Double.parseDouble(words[3]));
+                    next = new Limits(
+                            Integer.parseInt(words[1]), Integer.parseInt(words[2]), Double.parseDouble(words[3]));
                     nextIsNews = words.length > 4;
                 }
-                case "workers" -> timing = new Timing(Double.parseDouble(words[2]), Double.parseDouble(words[4]),
-                        Double.parseDouble(words[6]));
+                case "workers" ->
+                    timing = new Timing(
+                            Double.parseDouble(words[2]), Double.parseDouble(words[4]), Double.parseDouble(words[6]));
                 case "controllers" -> controllers = Integer.parseInt(words[1]);
-                case "team" -> teams.add(new Limit(words[1],
-                        new Amounts(Double.parseDouble(words[2]), 0, 0),
-                        new Amounts(Double.parseDouble(words[3]), 0, 0)));
-                case "type" -> types.add(new MachineType(words[1],
-                        new Amounts(Double.parseDouble(words[2]), Double.parseDouble(words[3]), 64), 100, 1, 1, 0.3,
-                        Double.parseDouble(words[4]), List.of("east", "west")));
+                case "team" ->
+                    teams.add(new Limit(
+                            words[1],
+                            new Amounts(Double.parseDouble(words[2]), 0, 0),
+                            new Amounts(Double.parseDouble(words[3]), 0, 0)));
+                case "type" ->
+                    types.add(new MachineType(
+                            words[1],
+                            new Amounts(Double.parseDouble(words[2]), Double.parseDouble(words[3]), 64),
+                            100,
+                            1,
+                            1,
+                            0.3,
+                            Double.parseDouble(words[4]),
+                            List.of("east", "west")));
                 case "pool" -> pools.add(words);
                 case "at" -> {
                     if (words.length < 3) {
@@ -152,7 +202,8 @@
             List<MachineType> allTypes = types.isEmpty()
                     ? List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east", "west")))
                     : types;
-            World world = new World(controllers, allTeams, allTypes, requestsPerS, writesPerS, next, nextIsNews, timing);
+            World world =
+                    new World(controllers, allTeams, allTypes, requestsPerS, writesPerS, next, nextIsNews, timing);
             if (pools.isEmpty()) {
                 world.capacity("m8", "east", true, 4);
                 world.capacity("m8", "west", true, 4);
@@ -170,7 +221,10 @@
 
     private static String machine(World world, String word) {
         if (word.equals("busy")) {
-            return world.machines().stream().filter(name -> world.worker(name).live() > 0).findFirst().orElseThrow();
+            return world.machines().stream()
+                    .filter(name -> world.worker(name).live() > 0)
+                    .findFirst()
+                    .orElseThrow();
         }
         return word;
     }
@@ -206,11 +260,12 @@
                 ends(world, first, words[4]).forEach(pair -> world.network().cut(pair[0], pair[1], how));
             }
             // Requests of the first to the second still pass, or answers do.
-            case "cut-answers" -> ends(world, first, words[4]).forEach(
-                    pair -> world.network().cutOneWay(pair[1], pair[0], Cut.HOLD));
-            case "cut-requests" -> ends(world, first, words[4]).forEach(
-                    pair -> world.network().cutOneWay(pair[0], pair[1], Cut.HOLD));
-            case "heal" -> ends(world, first, words[4]).forEach(pair -> world.network().heal(pair[0], pair[1]));
+            case "cut-answers" ->
+                ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[1], pair[0], Cut.HOLD));
+            case "cut-requests" ->
+                ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[0], pair[1], Cut.HOLD));
+            case "heal" ->
+                ends(world, first, words[4]).forEach(pair -> world.network().heal(pair[0], pair[1]));
             case "name" -> world.name(first, node(world, words[4]));
             case "watch-pauses" -> world.rules().watchPauses();
             case "outage" -> world.state().outage(first.equals("on"));
@@ -220,8 +275,8 @@
             case "lists-take" -> world.state().lists(millis(first));
             case "pages" -> world.state().pages(Integer.parseInt(first));
             case "limits-fall" -> world.limitsFall();
-            case "lose-commits" -> world.state().loseCommits(Integer.parseInt(first),
-                    (long) (Double.parseDouble(words[4]) * 1000));
+            case "lose-commits" ->
+                world.state().loseCommits(Integer.parseInt(first), (long) (Double.parseDouble(words[4]) * 1000));
             case "cloud" -> world.cloud().down(first.equals("down"));
             case "cloud-lists" -> world.cloud().listing(Listing.valueOf(first));
             case "late-release" -> world.cloud().nextReleaseLate((long) (Double.parseDouble(first) * 1000));
@@ -230,18 +285,21 @@
             case "die" -> world.cloud().take(machine(world, first));
             case "hang" -> world.worker(machine(world, first)).hang(true);
             case "hang-for" -> world.hang(world.worker(machine(world, first)), millis(words[4]));
-            case "hang-some" -> List.copyOf(world.workers()).stream().limit(Integer.parseInt(first))
-                    .forEach(worker -> world.hang(worker, millis(words[4])));
+            case "hang-some" ->
+                List.copyOf(world.workers()).stream()
+                        .limit(Integer.parseInt(first))
+                        .forEach(worker -> world.hang(worker, millis(words[4])));
             case "deaf" -> some(world, first).forEach(worker -> worker.deaf(true));
             case "mute" -> some(world, first).forEach(worker -> worker.mute(true));
-            case "all-hear" -> world.workers().forEach(worker -> {
-                worker.deaf(false);
-                worker.mute(false);
-            });
-            case "late-writes" -> world.state().lateWrites(Double.parseDouble(first),
-                    words.length > 4 && words[4].equals("at-once"));
-            case "late-reports" -> world.lateReports(Double.parseDouble(first),
-                    words.length > 4 && words[4].equals("for-next"));
+            case "all-hear" ->
+                world.workers().forEach(worker -> {
+                    worker.deaf(false);
+                    worker.mute(false);
+                });
+            case "late-writes" ->
+                world.state().lateWrites(Double.parseDouble(first), words.length > 4 && words[4].equals("at-once"));
+            case "late-reports" ->
+                world.lateReports(Double.parseDouble(first), words.length > 4 && words[4].equals("for-next"));
             case "cancel-now" -> {
                 List<String> jobs = world.cancelNow(Integer.parseInt(first));
                 if (words.length > 4) {
@@ -273,7 +331,9 @@
         if (Character.isDigit(which.charAt(0))) {
             return all.stream().limit(Integer.parseInt(which)).toList();
         }
-        return all.stream().filter(worker -> which.equals("all") || worker.zone().equals(which)).toList();
+        return all.stream()
+                .filter(worker -> which.equals("all") || worker.zone().equals(which))
+                .toList();
     }
 
     /** So many jobs a second for a while, a share of which their users call off a second or two later. */
@@ -308,16 +368,25 @@
             body.remove(field);
             world.sendUnfit(id, Json.bytes(body));
         }
-        for (Map<String, String> unfit : List.of(Map.of("cores", "1000"), Map.of("team", "nobody"),
-                Map.of("types", "m-none"), Map.of("zone", "nowhere"), Map.of("gpus", "1"), Map.of("tasks", "0"),
-                Map.of("tasks", "100001"), Map.of("cores", "-1"), Map.of("urgency", "soon"), Map.of("form", "gang"))) {
+        for (Map<String, String> unfit : List.of(
+                Map.of("cores", "1000"),
+                Map.of("team", "nobody"),
+                Map.of("types", "m-none"),
+                Map.of("zone", "nowhere"),
+                Map.of("gpus", "1"),
+                Map.of("tasks", "0"),
+                Map.of("tasks", "100001"),
+                Map.of("cores", "-1"),
+                Map.of("urgency", "soon"),
+                Map.of("form", "gang"))) {
             String id = String.format("run-99%04d", number++);
             world.sendUnfit(id, Json.bytes(submission(id, unfit)));
         }
     }
 
     private static void wave(World world, String zone) {
-        List.copyOf(world.machines()).stream().filter(name -> zone.equals("all") || world.zone(name).equals(zone))
+        List.copyOf(world.machines()).stream()
+                .filter(name -> zone.equals("all") || world.zone(name).equals(zone))
                 .forEach(world.cloud()::take);
     }
 
@@ -325,8 +394,10 @@
         String from = node(world, one);
         List<String[]> pairs = new ArrayList<>();
         switch (other) {
-            case "peers" -> world.nodes().stream().filter(node -> !node.equals(from))
-                    .forEach(node -> pairs.add(new String[] {from, node}));
+            case "peers" ->
+                world.nodes().stream()
+                        .filter(node -> !node.equals(from))
+                        .forEach(node -> pairs.add(new String[] {from, node}));
             default -> pairs.add(new String[] {from, node(world, other)});
         }
         return pairs;
@@ -354,9 +425,11 @@
                 .put("cores", Double.parseDouble(options.getOrDefault("cores", "1")))
                 .put("gpus", Double.parseDouble(options.getOrDefault("gpus", "0")))
                 .put("ramGb", Double.parseDouble(options.getOrDefault("ram", "1")))
-                .put("bundle", options.containsKey("image-length")
-                        ? "i".repeat(Integer.parseInt(options.get("image-length")))
-                        : options.getOrDefault("image", "img-1"))
+                .put(
+                        "bundle",
+                        options.containsKey("image-length")
+                                ? "i".repeat(Integer.parseInt(options.get("image-length")))
+                                : options.getOrDefault("image", "img-1"))
                 .put("sizeGb", 1.0)
                 .put("site", options.get("zone"))
                 .put("oneZone", options.containsKey("one-zone"))
@@ -379,7 +452,9 @@
     }
 
     private static void submit(World world, String job, Map<String, String> options) throws InvalidMessage {
-        world.submit(submission(job, options), Double.parseDouble(options.getOrDefault("run", "20")),
+        world.submit(
+                submission(job, options),
+                Double.parseDouble(options.getOrDefault("run", "20")),
                 Double.parseDouble(options.getOrDefault("vary", "0")),
                 options.containsKey("fails"));
     }
@@ -391,14 +466,16 @@
                 if (!World.MEETINGS.contains(words[4])) {
                     throw new IllegalArgumentException("nothing is counted as " + words[4]);
                 }
-                assertTrue(world.met(words[4]) >= Integer.parseInt(words[6]), () ->
-                        where + ": " + world.met(words[4]));
+                assertTrue(world.met(words[4]) >= Integer.parseInt(words[6]), () -> where + ": " + world.met(words[4]));
             }
-            case "starts-after-cancel" -> assertTrue(world.rules().startsAfterCancel() <= Integer.parseInt(words[5]),
-                    () -> where + ": " + world.rules().startsAfterCancel());
-            case "gone-after-cancel" -> assertTrue(
-                    world.rules().longestAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
-                    () -> where + ": " + world.rules().longestAfterCancelMs() / 1000.0);
+            case "starts-after-cancel" ->
+                assertTrue(
+                        world.rules().startsAfterCancel() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.rules().startsAfterCancel());
+            case "gone-after-cancel" ->
+                assertTrue(
+                        world.rules().longestAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + world.rules().longestAfterCancelMs() / 1000.0);
             case "served" -> assertEquals(List.of(), world.rules().underserved(), where);
             case "leader" -> {
                 if (words[4].equals("none")) {
@@ -409,33 +486,58 @@
                     assertTrue(world.leader() != null, where);
                 }
             }
-            case "killed-by-lease" -> assertTrue(world.rules().killedByLease() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.rules().killedByLease());
-            case "pause" -> assertTrue(world.rules().longestPauseMs() <= 1000 * Double.parseDouble(words[5]), () ->
-                    where + ": " + world.rules().longestPauseMs() / 1000.0);
-            case "running" -> assertTrue(world.workers().stream().mapToInt(WorkerStandIn::live).sum()
-                    >= Integer.parseInt(words[5]), () -> where + ": "
-                    + world.workers().stream().mapToInt(WorkerStandIn::live).sum());
-            case "machines" -> assertTrue(world.cloud().machines().size() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.cloud().machines().size());
-            case "starts" -> assertTrue(world.rules().starts() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.rules().starts());
-            case "rented" -> assertTrue(world.cloud().rented() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.cloud().rented());
-            case "storm-answers" -> assertTrue(world.stormAnswers(Integer.parseInt(words[4]))
-                    >= Integer.parseInt(words[6]), () ->
-                    where + ": " + world.stormAnswers(Integer.parseInt(words[4])));
-            case "over-requests" -> assertTrue(world.state().overRequests() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.state().overRequests());
-            case "writes" -> assertTrue(world.state().writes() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.state().writes());
-            case "turned-away" -> assertTrue(words[4].equals("at-least")
-                    ? world.turnedAway() >= Integer.parseInt(words[5])
-                    : world.turnedAway() <= Integer.parseInt(words[5]), () -> where + ": " + world.turnedAway());
+            case "killed-by-lease" ->
+                assertTrue(
+                        world.rules().killedByLease() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.rules().killedByLease());
+            case "pause" ->
+                assertTrue(
+                        world.rules().longestPauseMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + world.rules().longestPauseMs() / 1000.0);
+            case "running" ->
+                assertTrue(
+                        world.workers().stream().mapToInt(WorkerStandIn::live).sum() >= Integer.parseInt(words[5]),
+                        () -> where + ": "
+                                + world.workers().stream()
+                                        .mapToInt(WorkerStandIn::live)
+                                        .sum());
+            case "machines" ->
+                assertTrue(
+                        world.cloud().machines().size() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.cloud().machines().size());
+            case "starts" ->
+                assertTrue(
+                        world.rules().starts() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.rules().starts());
+            case "rented" ->
+                assertTrue(
+                        world.cloud().rented() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.cloud().rented());
+            case "storm-answers" ->
+                assertTrue(
+                        world.stormAnswers(Integer.parseInt(words[4])) >= Integer.parseInt(words[6]),
+                        () -> where + ": " + world.stormAnswers(Integer.parseInt(words[4])));
+            case "over-requests" ->
+                assertTrue(
+                        world.state().overRequests() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.state().overRequests());
+            case "writes" ->
+                assertTrue(
+                        world.state().writes() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.state().writes());
+            case "turned-away" ->
+                assertTrue(
+                        words[4].equals("at-least")
+                                ? world.turnedAway() >= Integer.parseInt(words[5])
+                                : world.turnedAway() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.turnedAway());
             case "untold" -> assertEquals(Integer.parseInt(words[4]), world.untold(), where);
-            case "malformed" -> assertEquals(Integer.parseInt(words[4]), world.state().malformed(), where);
-            case "over-rate" -> assertTrue(world.state().overRate() <= Integer.parseInt(words[5]), () ->
-                    where + ": " + world.state().overRate());
+            case "malformed" ->
+                assertEquals(Integer.parseInt(words[4]), world.state().malformed(), where);
+            case "over-rate" ->
+                assertTrue(
+                        world.state().overRate() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + world.state().overRate());
             case "term" -> assertEquals(Integer.parseInt(words[4]), world.term(), where);
             case "status" -> assertEquals(Integer.parseInt(words[5]), world.lastStatus(words[4]), where);
             default -> {
--- a/src/test/java/notchpick/app/LinkReportTest.java
+++ b/src/test/java/notchpick/app/LinkReportTest.java
@@ -19,30 +19,60 @@
 class LinkReportTest {
     @Test
     void tellsWhatEachControllerSees() throws Exception {
-        LinkTable table = new LinkTable("n-0", 7L, "n-1", "n-2", 40L, List.of(
-                new LinkRow(LinkKind.STATE, "", LinkCondition.SILENT, 12_300L, 6L, 0.0),
-                new LinkRow(LinkKind.PEER, "n-1", LinkCondition.TURNED_AWAY, 200L, -1L, 1.6),
-                new LinkRow(LinkKind.WORKERS, "east", LinkCondition.UNKNOWN, -1L, -1L, 0.0)));
-        Deployment deployment = new Deployment("n-0", "a:1", "a:2",
-                List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2"), new Peer("n-3", "d:2")), "c:1", "s:1",
-                List.of("east"), List.of(), Objectives.NONE, 3, 20, 40, 100, 100, 16 << 10, 12, 5, 3, 100);
+        LinkTable table = new LinkTable(
+                "n-0",
+                7L,
+                "n-1",
+                "n-2",
+                40L,
+                List.of(
+                        new LinkRow(LinkKind.STATE, "", LinkCondition.SILENT, 12_300L, 6L, 0.0),
+                        new LinkRow(LinkKind.PEER, "n-1", LinkCondition.TURNED_AWAY, 200L, -1L, 1.6),
+                        new LinkRow(LinkKind.WORKERS, "east", LinkCondition.UNKNOWN, -1L, -1L, 0.0)));
+        Deployment deployment = new Deployment(
+                "n-0",
+                "a:1",
+                "a:2",
+                List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2"), new Peer("n-3", "d:2")),
+                "c:1",
+                "s:1",
+                List.of("east"),
+                List.of(),
+                Objectives.NONE,
+                3,
+                20,
+                40,
+                100,
+                100,
+                16 << 10,
+                12,
+                5,
+                3,
+                100);
         List<String> text = new ArrayList<>();
-        for (LinkReport.Asked asked : LinkReport.ask(deployment, (call, timeoutMs, then) -> then.accept(
-                switch (call.target()) {
-                    case "a:2" -> new Answer(200, PeerWire.bytes(table));
-                    case "b:2" -> Answer.UNSENT;
-                    case "c:2" -> Answer.NONE;
-                    default -> new Answer(400, new byte[0]);
-                }))) {
-            text.addAll(LinkReport.text(asked).lines().map(line -> line.strip().replaceAll(" +", " ")).toList());
+        for (LinkReport.Asked asked : LinkReport.ask(
+                deployment,
+                (call, timeoutMs, then) -> then.accept(
+                        switch (call.target()) {
+                            case "a:2" -> new Answer(200, PeerWire.bytes(table));
+                            case "b:2" -> Answer.UNSENT;
+                            case "c:2" -> Answer.NONE;
+                            default -> new Answer(400, new byte[0]);
+                        }))) {
+            text.addAll(LinkReport.text(asked)
+                    .lines()
+                    .map(line -> line.strip().replaceAll(" +", " "))
+                    .toList());
         }
-        assertEquals(List.of(
-                "n-0: term 7, leader n-1, state service through n-2, timers 40 ms late",
-                "state silent 12.3 s ago 6 ms 0.0 a s",
-                "peer n-1 turned away 0.2 s ago - 1.6 a s",
-                "workers east unknown never - 0.0 a s",
-                "n-1: connection refused",
-                "n-2: no answer",
-                "n-3: runs a version that does not tell its links"), text);
+        assertEquals(
+                List.of(
+                        "n-0: term 7, leader n-1, state service through n-2, timers 40 ms late",
+                        "state silent 12.3 s ago 6 ms 0.0 a s",
+                        "peer n-1 turned away 0.2 s ago - 1.6 a s",
+                        "workers east unknown never - 0.0 a s",
+                        "n-1: connection refused",
+                        "n-2: no answer",
+                        "n-3: runs a version that does not tell its links"),
+                text);
     }
 }
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -40,15 +40,19 @@
     void readsWhatThePlatformSays() throws Exception {
         Deployment deployment = Settings.read(file("s.json", GOOD));
         assertEquals(2, deployment.controllers());
-        assertEquals(List.of(new Objective(Kind.FINISHED, 150), new Objective(Kind.STARTED, 90)),
+        assertEquals(
+                List.of(new Objective(Kind.FINISHED, 150), new Objective(Kind.STARTED, 90)),
                 deployment.objectives().byClass().get("c"));
         assertTrue(deployment.limit("a").allows(new notchpick.scheduling.Amounts(1000, 0, 0)));
     }
 
     @Test
     void theSmallerOfPresentAndComingLimitsCounts() throws Exception {
-        Deployment deployment = Settings.read(file("s.json", GOOD.replace("\"txn_ops\":12",
-                "\"txn_ops\":12,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":200,\"later\":1}")));
+        Deployment deployment = Settings.read(file(
+                "s.json",
+                GOOD.replace(
+                        "\"txn_ops\":12",
+                        "\"txn_ops\":12,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":200,\"later\":1}")));
         assertEquals(2048, deployment.valueBytes());
         assertEquals(4, deployment.txnOps());
         assertEquals(4, deployment.writesAtOnce());
@@ -66,12 +70,16 @@
 
     @ParameterizedTest
     @CsvSource({
-        "'\"node\":\"n-0\",', '', node", "10.0.0.1:8080, here, serve_on", "'\"rps\":250', '\"rps\":0', state.rps",
+        "'\"node\":\"n-0\",', '', node",
+        "10.0.0.1:8080, here, serve_on",
+        "'\"rps\":250', '\"rps\":0', state.rps",
         "'\"txn_ops\":12', '\"txn_ops\":12,\"next\":{\"rps\":\"x\"}', state.next.rps",
         "'\"txn_ops\":12', '\"txn_ops\":12,\"next\":{\"value_kb\":0}', state.next.value_kb",
         "'\"txn_ops\":12', '\"txn_ops\":12,\"next\":[]', state.next",
         "'\"txn_ops\":12', '\"txn_ops\":1', state.txn_ops",
-        "'\"lease_s\":22', '\"lease_s\":\"x\"', workers.lease_s", "'\"teams\":[', '\"team\":[', teams"})
+        "'\"lease_s\":22', '\"lease_s\":\"x\"', workers.lease_s",
+        "'\"teams\":[', '\"team\":[', teams"
+    })
     void namesTheFieldThatIsWrong(String what, String instead, String named) throws Exception {
         Path file = file("s.json", GOOD.replace(what, instead));
         Settings.Unusable fault = assertThrows(Settings.Unusable.class, () -> Settings.read(file));
@@ -82,7 +90,9 @@
     @Test
     void tuningHasDefaultsAndASchema() throws Exception {
         assertEquals(Tuning.DEFAULT, TuningFile.read(file("t.json", "{}")));
-        assertEquals(60, TuningFile.read(file("t.json", "{\"commitmentMemoryS\":60}")).tauS());
+        assertEquals(
+                60,
+                TuningFile.read(file("t.json", "{\"commitmentMemoryS\":60}")).tauS());
         for (String wrong : new String[] {"{\"commitmentMemoryS\":-1}", "{\"commitmentMemory\":60}"}) {
             Path file = file("t.json", wrong);
             Settings.Unusable fault = assertThrows(Settings.Unusable.class, () -> TuningFile.read(file));
@@ -95,7 +105,14 @@
         String good = file("s.json", GOOD).toString();
         assertEquals(0, new CommandLine(new Main()).execute("check", "--config", good));
         assertEquals(2, new CommandLine(new Main()).execute("check", "--config", good + "x"));
-        assertEquals(2, new CommandLine(new Main()).execute("check", "--config", good, "--tuning",
-                file("t.json", "[]").toString()));
+        assertEquals(
+                2,
+                new CommandLine(new Main())
+                        .execute(
+                                "check",
+                                "--config",
+                                good,
+                                "--tuning",
+                                file("t.json", "[]").toString()));
     }
 }
--- a/src/test/java/notchpick/bookkeeping/ProductionFormsTest.java
+++ b/src/test/java/notchpick/bookkeeping/ProductionFormsTest.java
@@ -58,9 +58,28 @@
     }
 
     private static JobSpec spec(int tasks) {
-        return new JobSpec("run-000010", "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, tasks,
-                new Amounts(1, 0, 1.8), List.of("m8"), "east", false, false, true, "i", 1, 10, 0, 0, 60.0, 5,
-                List.of("run-000001"), 5);
+        return new JobSpec(
+                "run-000010",
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                tasks,
+                new Amounts(1, 0, 1.8),
+                List.of("m8"),
+                "east",
+                false,
+                false,
+                true,
+                "i",
+                1,
+                10,
+                0,
+                0,
+                60.0,
+                5,
+                List.of("run-000001"),
+                5);
     }
 
     @Test
@@ -82,7 +101,10 @@
     void sharedValuesAreRead() throws IOException {
         assertEquals(8, Records.hints(stored().get("start/0")).size());
         assertEquals(4, Records.released(stored().get("released")).size());
-        assertEquals(0.0252, Records.commitments(stored().get("commitments")).get("b").cores(), 0.0001);
+        assertEquals(
+                0.0252,
+                Records.commitments(stored().get("commitments")).get("b").cores(),
+                0.0001);
         assertEquals(1, CloudApi.types(stored().get("types")).size());
         assertEquals(Records.FORMAT, stored().get("term").get("format").asInt());
         DoneRun run = Records.done(stored().get("done/1")).get(0);
@@ -116,13 +138,16 @@
         assertReadable("job/", Records.job(JobRecord.done(spec(4), 7)), old.get("job/run-000002"), ignored);
         JobRecord cancelled = JobRecord.open(spec(4)).cancelled(7);
         assertReadable("job/", Records.job(cancelled), old.get("job/run-000004"), ignored);
-        assertEquals("done", Records.job(JobRecord.done(spec(4), 7)).get("state").asText());
+        assertEquals(
+                "done", Records.job(JobRecord.done(spec(4), 7)).get("state").asText());
         assertEquals("cancelled", Records.job(cancelled).get("state").asText());
         Job job = new Job(spec(20), 1);
         job.finish(3);
         JsonNode marks = Records.done(List.of(new DoneMarks(job, 0, 20)));
         assertReadable("done/", marks, old.get("done/0"), List.of());
-        assertEquals(kinds(old.get("done/0").get("jobs").get(0)), kinds(marks.get("jobs").get(0)));
+        assertEquals(
+                kinds(old.get("done/0").get("jobs").get(0)),
+                kinds(marks.get("jobs").get(0)));
         Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Amounts(8, 0, 64), 0);
         JsonNode starts = Records.starts(List.of(new Binding(spec(4), 2, machine, 9, Binding.Phase.READY)));
         assertReadable("start/", starts, old.get("start/0"), List.of());
@@ -132,7 +157,8 @@
         assertEquals(List.of("STRING", "NUMBER", "NUMBER"), kinds(place.get(3)));
         assertReadable("released", Records.released(List.of(machine)), old.get("released"), List.of());
         JsonNode commitments = Records.commitments(Map.of("b", new Amounts(0.1, 0, 0)), 1000);
-        assertReadable("commitments", commitments.get("b"), old.get("commitments").get("b"), List.of());
+        assertReadable(
+                "commitments", commitments.get("b"), old.get("commitments").get("b"), List.of());
     }
 
     private static List<String> kinds(JsonNode list) {
@@ -145,14 +171,33 @@
     void onlyKeysAreWrittenThatItKnows() throws IOException {
         TreeSet<String> prefixes = new TreeSet<>();
         stored().fieldNames().forEachRemaining(key -> prefixes.add(key.replaceFirst("/.*", "/")));
-        assertEquals(prefixes, new TreeSet<>(List.of(Records.OPEN, Records.JOB, Records.STARTS, Records.DONE_TASKS,
-                Records.RELEASED, Records.COMMITMENTS, Records.LEADER, Records.TERM, Records.TYPES)));
+        assertEquals(
+                prefixes,
+                new TreeSet<>(List.of(
+                        Records.OPEN,
+                        Records.JOB,
+                        Records.STARTS,
+                        Records.DONE_TASKS,
+                        Records.RELEASED,
+                        Records.COMMITMENTS,
+                        Records.LEADER,
+                        Records.TERM,
+                        Records.TYPES)));
     }
 
     @Test
     void messagesBetweenControllersAreTheSame() throws IOException {
-        Map<String, Class<?>> kinds = Map.of("Grant", Grant.class, "Placements", Placements.class, "Pulse", Pulse.class,
-                "Relay", Relay.class, "Relayed", Relayed.class);
+        Map<String, Class<?>> kinds = Map.of(
+                "Grant",
+                Grant.class,
+                "Placements",
+                Placements.class,
+                "Pulse",
+                Pulse.class,
+                "Relay",
+                Relay.class,
+                "Relayed",
+                Relayed.class);
         Map<String, Object> read = new TreeMap<>();
         for (String line : Files.readAllLines(FOLDER.resolve("peer.txt"))) {
             String[] words = line.split(" ");
@@ -168,8 +213,12 @@
         Schema old = productionSchema();
         List<Schema> union = Envelope.getClassSchema().getField("body").schema().getTypes();
         List<Schema> oldUnion = old.getField("body").schema().getTypes();
-        Schema known = Schema.createRecord(old.getName(), null, old.getNamespace(), false, List.of(
-                new Schema.Field("body", Schema.createUnion(union.subList(0, oldUnion.size())))));
+        Schema known = Schema.createRecord(
+                old.getName(),
+                null,
+                old.getNamespace(),
+                false,
+                List.of(new Schema.Field("body", Schema.createUnion(union.subList(0, oldUnion.size())))));
         assertEquals(SchemaNormalization.toParsingForm(old), SchemaNormalization.toParsingForm(known));
     }
 
@@ -181,17 +230,24 @@
     @Test
     void laterMessagesAreRefusedByIt() throws IOException {
         ByteBuffer content = ByteBuffer.wrap(new byte[] {1, 2, 3});
-        List<Object> later = List.of(new ReportBatch(4000L, List.of(content)), new StateCall("GET", "/x", null, 1500L),
+        List<Object> later = List.of(
+                new ReportBatch(4000L, List.of(content)),
+                new StateCall("GET", "/x", null, 1500L),
                 new Outcome(200, content),
-                new Outcomes(List.of(new Outcome(200, content))), new LinkTable("n-0", 1L, null, null, 0L, List.of()));
+                new Outcomes(List.of(new Outcome(200, content))),
+                new LinkTable("n-0", 1L, null, null, 0L, List.of()));
         Schema old = productionSchema();
-        assertEquals(old.getField("body").schema().getTypes().size() + later.size(),
+        assertEquals(
+                old.getField("body").schema().getTypes().size() + later.size(),
                 Envelope.getClassSchema().getField("body").schema().getTypes().size());
         for (Object message : later) {
             byte[] bytes = PeerWire.bytes(message);
             assertEquals(message, PeerWire.body(bytes));
-            assertThrows(RuntimeException.class, () -> new GenericDatumReader<>(old)
-                    .read(null, DecoderFactory.get().binaryDecoder(bytes, null)), message.getClass().getName());
+            assertThrows(
+                    RuntimeException.class,
+                    () -> new GenericDatumReader<>(old)
+                            .read(null, DecoderFactory.get().binaryDecoder(bytes, null)),
+                    message.getClass().getName());
         }
     }
 }
--- a/src/test/java/notchpick/bookkeeping/SharedValuesTest.java
+++ b/src/test/java/notchpick/bookkeeping/SharedValuesTest.java
@@ -36,11 +36,16 @@
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
     private final StateStandIn state = new StateStandIn(simulation::now, simulation::after, MAX_WRITES, 300, 60);
     private final StateApi api = new StateApi(StateWay.direct(this::call), loop, "s:1", 1500, 250);
-    private final Ledger ledger = new Ledger(api, loop, loop::after, 0, MAX_WRITES, 42, () -> { });
+    private final Ledger ledger = new Ledger(api, loop, loop::after, 0, MAX_WRITES, 42, () -> {});
     private final Set<Binding> durable = new HashSet<>();
-    private final SharedValues<Binding> starts = new SharedValues<>(ledger, Records.STARTS,
-            new SharedValues.Form<>(Records::startBytes, Records::starts), SharedValues.Fill.EMPTIEST,
-            VALUE_BYTES, MAX_WRITES, durable::addAll);
+    private final SharedValues<Binding> starts = new SharedValues<>(
+            ledger,
+            Records.STARTS,
+            new SharedValues.Form<>(Records::startBytes, Records::starts),
+            SharedValues.Fill.EMPTIEST,
+            VALUE_BYTES,
+            MAX_WRITES,
+            durable::addAll);
 
     private void call(Call call, long timeoutMs, Consumer<Answer> then) {
         AtomicBoolean answered = new AtomicBoolean();
@@ -54,15 +59,33 @@
     }
 
     private static JobSpec spec(String id, int tasks) {
-        return new JobSpec(id, "c", "the-team", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, tasks,
-                new Amounts(1, 0, 1.8), null, null, false, false, true, "i", 1, 10, 0, 0, null, 0);
+        return new JobSpec(
+                id,
+                "c",
+                "the-team",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                tasks,
+                new Amounts(1, 0, 1.8),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                10,
+                0,
+                0,
+                null,
+                0);
     }
 
     private static Binding start(int number) {
-        Machine machine = new Machine("m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true),
-                new Amounts(8, 0, 16), 0);
-        return new Binding(spec("run-" + (100_000 + number % 300), 1800), number, machine, (7L << 24) + number,
-                Phase.PLANNED);
+        Machine machine = new Machine(
+                "m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true), new Amounts(8, 0, 16), 0);
+        return new Binding(
+                spec("run-" + (100_000 + number % 300), 1800), number, machine, (7L << 24) + number, Phase.PLANNED);
     }
 
     private Set<String> stored() {
@@ -164,9 +187,31 @@
     void startsTakeNoMoreBytesThanReckoned() {
         for (int number : new int[] {0, 9, 1799, 99_999}) {
             Binding binding = start(number);
-            Binding odd = new Binding(new JobSpec("run-1", "c", "d\u00e9sk \"1\"\n", JobSpec.Form.ARRAY,
-                    JobSpec.Priority.LOW, 1, new Amounts(0.1 + 0.2, 1e-7, 123456.789), null, null, false, false, true,
-                    "i", 1, 10, 0, 0, null, 0), number, binding.machine, Long.MAX_VALUE, Phase.SENT);
+            Binding odd = new Binding(
+                    new JobSpec(
+                            "run-1",
+                            "c",
+                            "d\u00e9sk \"1\"\n",
+                            JobSpec.Form.ARRAY,
+                            JobSpec.Priority.LOW,
+                            1,
+                            new Amounts(0.1 + 0.2, 1e-7, 123456.789),
+                            null,
+                            null,
+                            false,
+                            false,
+                            true,
+                            "i",
+                            1,
+                            10,
+                            0,
+                            0,
+                            null,
+                            0),
+                    number,
+                    binding.machine,
+                    Long.MAX_VALUE,
+                    Phase.SENT);
             for (Binding one : List.of(binding, odd)) {
                 int bytes = Json.bytes(Records.starts(List.of(one))).length;
                 assertTrue(bytes <= Records.startBytes(one) + 64, bytes + " bytes");
@@ -189,15 +234,21 @@
     private static final int SHORT_BYTES = 2048;
 
     private SharedValues<Binding> shortValues(Ledger ledger) {
-        return new SharedValues<>(ledger, Records.STARTS, new SharedValues.Form<>(Records::startBytes, Records::starts),
-                SharedValues.Fill.EMPTIEST, SHORT_BYTES, 4, durable::addAll);
+        return new SharedValues<>(
+                ledger,
+                Records.STARTS,
+                new SharedValues.Form<>(Records::startBytes, Records::starts),
+                SharedValues.Fill.EMPTIEST,
+                SHORT_BYTES,
+                4,
+                durable::addAll);
     }
 
     @Test
     void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
         List<Binding> left = leftLong(0, 200);
         state.limits(SHORT_BYTES, 4, 42);
-        Ledger small = new Ledger(api, loop, loop::after, 0, 4, 29, () -> { });
+        Ledger small = new Ledger(api, loop, loop::after, 0, 4, 29, () -> {});
         SharedValues<Binding> values = shortValues(small);
         values.loaded(Records.STARTS + 0, left);
         small.known(Records.STARTS + 0, 1);
@@ -228,9 +279,13 @@
             starts.save(start(i));
         }
         boolean[] other = {false};
-        ledger.write("other", () -> new Ledger.Prepared(
-                List.of(Ledger.Write.put("types", Json.object().put("a", 1)).unguarded()), () -> other[0] = true,
-                () -> { }));
+        ledger.write(
+                "other",
+                () -> new Ledger.Prepared(
+                        List.of(Ledger.Write.put("types", Json.object().put("a", 1))
+                                .unguarded()),
+                        () -> other[0] = true,
+                        () -> {}));
         simulation.runUntil(3000);
         assertTrue(other[0], "what is beside it goes on");
         simulation.runUntil(120_000);
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -12,8 +12,26 @@
 /** From a confirmation to the last task gone, term by term, as design.md argues it; in milliseconds and seconds. */
 class CancellationBoundTest {
     private static Deployment deployment(double reportS, double leaseS, double cancelS) {
-        return new Deployment("n", "", "", List.of(), "", "", List.of(), List.of(), new Objectives(Map.of()), reportS,
-                leaseS, cancelS, 100, 100, 1000, 12, 1, 1, 100);
+        return new Deployment(
+                "n",
+                "",
+                "",
+                List.of(),
+                "",
+                "",
+                List.of(),
+                List.of(),
+                new Objectives(Map.of()),
+                reportS,
+                leaseS,
+                cancelS,
+                100,
+                100,
+                1000,
+                12,
+                1,
+                1,
+                100);
     }
 
     private static double leaderLeaseS(double leaseS) {
