--- a/src/test/java/notchpick/coordination/leading/GrantingTest.java
+++ b/src/test/java/notchpick/coordination/leading/GrantingTest.java
@@ -6,7 +6,6 @@
 import java.util.AbstractList;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import notchpick.bookkeeping.Binding;
 import notchpick.bookkeeping.Job;
@@ -39,25 +38,48 @@
     private static final long TERM = 7;
     private final Simulation simulation = new Simulation();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
-    private final Roster roster = new Roster(over -> { });
+    private final Roster roster = new Roster(over -> {});
     private final List<Binding> bound = new ArrayList<>();
     private Grant granted;
 
-    private final Deployment deployment = new Deployment("n-0", "a:1", "a:2", List.of(new Peer("n-1", "b:2")), "c:1",
-            "s:1", List.of("east"), List.of(new Limit("a", Amounts.NONE, Amounts.NONE),
-            new Limit("b", Amounts.NONE, new Amounts(4, 0, 0))), Objectives.NONE, 3, 20, 40, 100, 100,
-            16 << 10, 12, 5, 3, 100);
-    private final Peers peers = new Peers(loop, deployment, (call, timeoutMs, then) -> {
-        if (PeerWire.body(call.body()) instanceof Grant grant) {
-            granted = grant;
-        } else {
-            then.accept(Answer.NONE);
-        }
-    }, () -> pulse("n-0"), pulse -> { }, new Links(loop, deployment), () -> null);
-    private final RoomLeases leases = new RoomLeases(loop, deployment, Tuning.DEFAULT, roster, peers, TERM,
-            bound::add, () -> { }, loop::after);
-    private final Granting granting = new Granting(loop, deployment, Tuning.DEFAULT, roster, new Estimates(), leases,
-            type -> 1);
+    private final Deployment deployment = new Deployment(
+            "n-0",
+            "a:1",
+            "a:2",
+            List.of(new Peer("n-1", "b:2")),
+            "c:1",
+            "s:1",
+            List.of("east"),
+            List.of(new Limit("a", Amounts.NONE, Amounts.NONE), new Limit("b", Amounts.NONE, new Amounts(4, 0, 0))),
+            Objectives.NONE,
+            3,
+            20,
+            40,
+            100,
+            100,
+            16 << 10,
+            12,
+            5,
+            3,
+            100);
+    private final Peers peers = new Peers(
+            loop,
+            deployment,
+            (call, timeoutMs, then) -> {
+                if (PeerWire.body(call.body()) instanceof Grant grant) {
+                    granted = grant;
+                } else {
+                    then.accept(Answer.NONE);
+                }
+            },
+            () -> pulse("n-0"),
+            pulse -> {},
+            new Links(loop, deployment),
+            () -> null);
+    private final RoomLeases leases =
+            new RoomLeases(loop, deployment, Tuning.DEFAULT, roster, peers, TERM, bound::add, () -> {}, loop::after);
+    private final Granting granting =
+            new Granting(loop, deployment, Tuning.DEFAULT, roster, new Estimates(), leases, type -> 1);
 
     private static Pulse pulse(String node) {
         return new Pulse(node, TERM, "n-0", true, 0, List.of());
@@ -70,8 +92,28 @@
         machine.life = Machine.Life.UP;
         machine.settled = true;
         roster.machines.put("m-1", machine);
-        Job job = new Job(new JobSpec("run-1", "c", "b", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, tasks,
-                new Amounts(1, 0, 1), null, null, false, false, true, "i", 1, 10, 0, 0, null, 0), 1);
+        Job job = new Job(
+                new JobSpec(
+                        "run-1",
+                        "c",
+                        "b",
+                        JobSpec.Form.ARRAY,
+                        JobSpec.Priority.NORMAL,
+                        tasks,
+                        new Amounts(1, 0, 1),
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "i",
+                        1,
+                        10,
+                        0,
+                        0,
+                        null,
+                        0),
+                1);
         roster.jobs.put("run-1", job);
         simulation.runUntil(10);
         granting.round();
@@ -101,7 +143,8 @@
         Job job = leaseToPeer(2);
         leases.returned(placements("n-2", granted.getLease(), 0));
         leases.returned(placements("n-1", granted.getLease() + 1, 0));
-        leases.returned(new Placements(TERM - 1, granted.getLease(), "n-1", placements("n-1", 0, 0).getPlaced()));
+        leases.returned(new Placements(
+                TERM - 1, granted.getLease(), "n-1", placements("n-1", 0, 0).getPlaced()));
         assertEquals(List.of(), bound);
         assertEquals(2, job.leased.cardinality());
     }
@@ -152,8 +195,30 @@
         int tasks = 0;
         for (int i = 0; i < 200; i++) {
             String id = "run-" + i;
-            roster.jobs.put(id, new Job(new JobSpec(id, "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, 10,
-                    new Amounts(1, 0, 1), anyType, null, false, false, true, "i" + i % 10, 1, 10, 0, 0, null, 0), 1));
+            roster.jobs.put(
+                    id,
+                    new Job(
+                            new JobSpec(
+                                    id,
+                                    "c",
+                                    "a",
+                                    JobSpec.Form.ARRAY,
+                                    JobSpec.Priority.NORMAL,
+                                    10,
+                                    new Amounts(1, 0, 1),
+                                    anyType,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    "i" + i % 10,
+                                    1,
+                                    10,
+                                    0,
+                                    0,
+                                    null,
+                                    0),
+                            1));
             tasks += 10;
         }
         granting.round();
--- a/src/test/java/notchpick/coordination/membership/ElectorTest.java
+++ b/src/test/java/notchpick/coordination/membership/ElectorTest.java
@@ -20,8 +20,12 @@
     private final Simulation simulation = new Simulation();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
     private final StateStandIn state = new StateStandIn(simulation::now, simulation::after, 12, 300, 100);
-    private final StateApi api = new StateApi((call, timeoutMs, hasty, then) -> simulation.after(5,
-            () -> state.handle(call, then)), loop, "s:1", 1500, 250);
+    private final StateApi api = new StateApi(
+            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> state.handle(call, then)),
+            loop,
+            "s:1",
+            1500,
+            250);
     private int elections;
     private final Elector elector = new Elector(loop, "n-0", api, new Random(1), 3000, () -> 0, new Elector.Listener() {
         @Override
@@ -30,14 +34,14 @@
         }
 
         @Override
-        public void claimRenewed(long claimUntil) { }
+        public void claimRenewed(long claimUntil) {}
 
         @Override
-        public void deposed() { }
+        public void deposed() {}
     });
 
     private void left(ObjectNode term) {
-        api.commit(new Transaction().put(Records.TERM, term), result -> { });
+        api.commit(new Transaction().put(Records.TERM, term), result -> {});
         elector.tell(new Elector.Begin());
         simulation.runUntil(10_000);
     }
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -59,8 +59,8 @@
     }
 
     public static void main(String[] args) throws Exception {
-        new FleetLoad(Integer.parseInt(args[0]), Double.parseDouble(args[2])).run(Integer.parseInt(args[1]),
-                new ArrayList<>(List.of(args).subList(3, args.length)));
+        new FleetLoad(Integer.parseInt(args[0]), Double.parseDouble(args[2]))
+                .run(Integer.parseInt(args[1]), new ArrayList<>(List.of(args).subList(3, args.length)));
     }
 
     private void run(int seconds, List<String> command) throws Exception {
@@ -78,28 +78,52 @@
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
         scheduler.start();
         JettyCaller sockets = new JettyCaller(threads, scheduler, Math.max(4, 2 * machines), 2000);
-        Caller caller = (call, timeoutMs, then) -> sockets.call(call, timeoutMs,
-                answer -> arrived.add(() -> then.accept(answer)));
+        Caller caller = (call, timeoutMs, then) ->
+                sockets.call(call, timeoutMs, answer -> arrived.add(() -> then.accept(answer)));
         Caller worker = (call, timeoutMs, then) -> {
             reports++;
             caller.call(call, timeoutMs, then);
         };
         Map<String, String> controllers = Map.of("r-0", ports.get(2));
-        CloudStandIn cloud = new CloudStandIn(simulation::now, simulation::after, types,
-                rented -> new WorkerStandIn(simulation, worker, rules, this, rented.name, rented.type, rented.zone,
-                        rented.spot, controllers, (long) (REPORT_S * 1000), 30_000, saved), name -> { });
+        CloudStandIn cloud = new CloudStandIn(
+                simulation::now,
+                simulation::after,
+                types,
+                rented -> new WorkerStandIn(
+                        simulation,
+                        worker,
+                        rules,
+                        this,
+                        rented.name,
+                        rented.type,
+                        rented.zone,
+                        rented.spot,
+                        controllers,
+                        (long) (REPORT_S * 1000),
+                        30_000,
+                        saved),
+                name -> {});
         cloud.capacity(new Pool("m8", "east", true), machines / 2);
         cloud.capacity(new Pool("m8", "west", true), machines - machines / 2);
         Handler stateInTurn = (call, reply) -> arrived.add(() -> state.handle(call, reply));
         Handler cloudInTurn = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
-        new JettyServer(threads, scheduler, new ArrayByteBufferPool(),
-                Map.of(ports.get(0), stateInTurn, ports.get(1), cloudInTurn), "", 60_000,
-                Math.max(100, 2 * machines), 10_000).start();
+        new JettyServer(
+                        threads,
+                        scheduler,
+                        new ArrayByteBufferPool(),
+                        Map.of(ports.get(0), stateInTurn, ports.get(1), cloudInTurn),
+                        "",
+                        60_000,
+                        Math.max(100, 2 * machines),
+                        10_000)
+                .start();
         Path settings = Files.createTempFile("fleet-load", ".json");
         Files.write(settings, Json.bytes(settings(ports)));
         command.add(settings.toString());
-        Process controller = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process controller = new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
         try {
             awaitReady(caller, ports.get(2), controller);
             if (machines == 0) {
@@ -114,12 +138,18 @@
             playUntil(45_000 + seconds * 1000L);
             double cpuS = (ticks(controller) - cpu) / (double) TICKS_PER_S;
             double span = seconds;
-            System.out.printf("machines %d: %.3f of a core, %.1f reports/s, %.1f starts/s, %.1f writes/s, "
-                    + "%.3f ms a report, all told%n", machines, cpuS / span, (reports - reportsBefore) / span,
-                    (rules.starts() - startsBefore) / span, (state.writes() - writesBefore) / span,
+            System.out.printf(
+                    "machines %d: %.3f of a core, %.1f reports/s, %.1f starts/s, %.1f writes/s, "
+                            + "%.3f ms a report, all told%n",
+                    machines,
+                    cpuS / span,
+                    (reports - reportsBefore) / span,
+                    (rules.starts() - startsBefore) / span,
+                    (state.writes() - writesBefore) / span,
                     1000 * cpuS / (reports - reportsBefore));
-            System.out.printf("high-water marks: %s of memory, %s threads%n", status(controller, "VmHWM"),
-                    status(controller, "Threads"));
+            System.out.printf(
+                    "high-water marks: %s of memory, %s threads%n",
+                    status(controller, "VmHWM"), status(controller, "Threads"));
         } finally {
             controller.destroy();
             controller.waitFor(30, TimeUnit.SECONDS);
@@ -151,7 +181,8 @@
         double nanos = 0;
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads.toList()) {
-                nanos += Double.parseDouble(Files.readString(thread.resolve("schedstat")).split(" ")[0]);
+                nanos += Double.parseDouble(
+                        Files.readString(thread.resolve("schedstat")).split(" ")[0]);
             }
         }
         return nanos / 1e6;
@@ -159,7 +190,7 @@
 
     /** Stand-ins run in this thread, by the real clock. */
     private void playUntil(long endMs) throws InterruptedException {
-        for (long now = 0; now < endMs;) {
+        for (long now = 0; now < endMs; ) {
             now = (System.nanoTime() - startedAt) / 1_000_000;
             simulation.runUntil(now);
             for (Runnable work = arrived.poll(); work != null; work = arrived.poll()) {
@@ -178,26 +209,50 @@
     /** Keeps twice as much waiting as runs. */
     private void submit(Caller caller, String address) {
         while (jobs * TASKS_A_JOB - rules.starts() < machines * TASKS_A_MACHINE * 2) {
-            ObjectNode body = Json.object().put("ref", String.format("run-%06d", ++jobs)).put("workclass", "c")
-                    .put("ownerDesk", "a").put("jobForm", "sweep").put("urgency", "normal").put("pieces", TASKS_A_JOB)
-                    .put("cores", demand.cores()).put("gpus", 0.0).put("ramGb", demand.ram())
-                    .put("bundle", "img-" + jobs % 8).put("sizeGb", 1.0).put("oneZone", false).put("apart", false)
-                    .put("borrowed", true).put("expectedS", runS).put("bookmarkS", 0.0).put("bookmarkWriteS", 0.0);
-            caller.call(new Call(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> { });
+            ObjectNode body = Json.object()
+                    .put("ref", String.format("run-%06d", ++jobs))
+                    .put("workclass", "c")
+                    .put("ownerDesk", "a")
+                    .put("jobForm", "sweep")
+                    .put("urgency", "normal")
+                    .put("pieces", TASKS_A_JOB)
+                    .put("cores", demand.cores())
+                    .put("gpus", 0.0)
+                    .put("ramGb", demand.ram())
+                    .put("bundle", "img-" + jobs % 8)
+                    .put("sizeGb", 1.0)
+                    .put("oneZone", false)
+                    .put("apart", false)
+                    .put("borrowed", true)
+                    .put("expectedS", runS)
+                    .put("bookmarkS", 0.0)
+                    .put("bookmarkWriteS", 0.0);
+            caller.call(new Call(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> {});
         }
         simulation.after(1000, () -> submit(caller, address));
     }
 
     private static ObjectNode settings(List<String> ports) {
-        ObjectNode root = Json.object().put("node", "r-0").put("location", "east")
-                .put("serve_on", ports.get(2)).put("peer_bind", ports.get(3));
+        ObjectNode root = Json.object()
+                .put("node", "r-0")
+                .put("location", "east")
+                .put("serve_on", ports.get(2))
+                .put("peer_bind", ports.get(3));
         root.putArray("known");
         root.putObject("outside").put("cloud", ports.get(1)).put("state", ports.get(0));
         ObjectNode deployment = root.putObject("deployment");
         deployment.putArray("zones").add("east").add("west");
         deployment.putArray("teams").addObject().put("name", "a");
-        deployment.putObject("workers").put("report_s", REPORT_S).put("lease_s", 30.0).put("cancel_s", 60.0);
-        deployment.putObject("state").put("rps", 1000.0).put("write_rps", 60.0).put("value_kb", 16.0)
+        deployment
+                .putObject("workers")
+                .put("report_s", REPORT_S)
+                .put("lease_s", 30.0)
+                .put("cancel_s", 60.0);
+        deployment
+                .putObject("state")
+                .put("rps", 1000.0)
+                .put("write_rps", 60.0)
+                .put("value_kb", 16.0)
                 .put("txn_ops", 12);
         deployment.putObject("cloud").put("rps", 10.0).put("list_lag_s", 3.0);
         deployment.putObject("machine_limits").put("fd_limit", 4000);
--- a/src/test/java/notchpick/protocol/UserWireTest.java
+++ b/src/test/java/notchpick/protocol/UserWireTest.java
@@ -56,11 +56,29 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "\"jobForm\":\"gang\"", "\"urgency\":\"asap\"", "\"pieces\":0", "\"pieces\":100001", "\"pieces\":1.5",
-        "\"pieces\":\"4\"", "\"cores\":-1", "\"cores\":null", "\"ref\":\"job-1\"", "\"ref\":7", "\"oneZone\":1",
-        "\"boxKinds\":[]", "\"waitsOn\":\"run-000001\"",
-        "\"waitsOn\":[1]", "\"waitsOn\":[\"job-1\"]", "\"waitsOn\":{}", "\"boxKinds\":[3]", "\"bundle\":\"\"", "\"dueS\":\"soon\"", "\"ownerDesk\":null"})
+    @ValueSource(
+            strings = {
+                "\"jobForm\":\"gang\"",
+                "\"urgency\":\"asap\"",
+                "\"pieces\":0",
+                "\"pieces\":100001",
+                "\"pieces\":1.5",
+                "\"pieces\":\"4\"",
+                "\"cores\":-1",
+                "\"cores\":null",
+                "\"ref\":\"job-1\"",
+                "\"ref\":7",
+                "\"oneZone\":1",
+                "\"boxKinds\":[]",
+                "\"waitsOn\":\"run-000001\"",
+                "\"waitsOn\":[1]",
+                "\"waitsOn\":[\"job-1\"]",
+                "\"waitsOn\":{}",
+                "\"boxKinds\":[3]",
+                "\"bundle\":\"\"",
+                "\"dueS\":\"soon\"",
+                "\"ownerDesk\":null"
+            })
     void refusesWhatIsMissingOrOutOfRange(String wrong) {
         ObjectNode body = json(GOOD);
         ObjectNode patch = json("{" + wrong + "}");
@@ -75,11 +93,14 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "{}", "{\"box\":\"m-1\"}",
-        "{\"box\":\"m\",\"boxKind\":\"t\",\"site\":\"a\",\"borrowed\":true,\"shift\":-1,\"tally\":1,\"mandate\":1}",
-        "{\"box\":\"m\",\"boxKind\":\"t\",\"site\":\"a\",\"borrowed\":true,\"shift\":1,\"tally\":1,\"mandate\":1,"
-                + "\"pieces\":[{\"piece\":\"x\",\"tryNo\":1,\"status\":\"running\"}]}"})
+    @ValueSource(
+            strings = {
+                "{}",
+                "{\"box\":\"m-1\"}",
+                "{\"box\":\"m\",\"boxKind\":\"t\",\"site\":\"a\",\"borrowed\":true,\"shift\":-1,\"tally\":1,\"mandate\":1}",
+                "{\"box\":\"m\",\"boxKind\":\"t\",\"site\":\"a\",\"borrowed\":true,\"shift\":1,\"tally\":1,\"mandate\":1,"
+                        + "\"pieces\":[{\"piece\":\"x\",\"tryNo\":1,\"status\":\"running\"}]}"
+            })
     void refusesMalformedReports(String text) {
         assertThrows(InvalidMessage.class, () -> WorkerWire.report(json(text)));
     }
--- a/src/test/java/notchpick/scheduling/ConsolidationTest.java
+++ b/src/test/java/notchpick/scheduling/ConsolidationTest.java
@@ -35,8 +35,26 @@
     }
 
     private static JobSpec task() {
-        return new JobSpec("run-1", "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.LOW, 1, new Amounts(4, 0, 4),
-                null, null, false, false, true, "i", 1, 10, 10, 1, null, 0);
+        return new JobSpec(
+                "run-1",
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.LOW,
+                1,
+                new Amounts(4, 0, 4),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                10,
+                10,
+                1,
+                null,
+                0);
     }
 
     /** Machines of eight cores with one task of four each. */
@@ -58,8 +76,12 @@
 
     @Test
     void leavesRoomToWhatIsOnTheMoveAlready() {
-        assertEquals(1, Consolidation.find(halfEmpty(4), List.of(task(), task()), 9).size());
-        assertEquals(0, Consolidation.find(halfEmpty(2), List.of(task(), task(), task()), 9).size());
+        assertEquals(
+                1, Consolidation.find(halfEmpty(4), List.of(task(), task()), 9).size());
+        assertEquals(
+                0,
+                Consolidation.find(halfEmpty(2), List.of(task(), task(), task()), 9)
+                        .size());
     }
 
     @Test
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -18,8 +18,28 @@
     private final Map<String, JobSpec> jobs = new HashMap<>();
 
     private Set<String> add(String id, Priority priority, Double dueS, double stageS, String... needs) {
-        JobSpec spec = new JobSpec(id, "c", "a", JobSpec.Form.ARRAY, priority, 1, new Amounts(1, 0, 1), null, null,
-                false, false, true, "i", 1, 20, 0, 0, dueS, 1000, List.of(needs), 1000);
+        JobSpec spec = new JobSpec(
+                id,
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                priority,
+                1,
+                new Amounts(1, 0, 1),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                20,
+                0,
+                0,
+                dueS,
+                1000,
+                List.of(needs),
+                1000);
         jobs.put(id, spec);
         return path.add(spec, stageS);
     }
@@ -86,9 +106,28 @@
                         needs.add(other.id());
                     }
                 }
-                JobSpec spec = new JobSpec("j" + i, "c", "a", JobSpec.Form.ARRAY,
-                        Priority.values()[random.nextInt(4)], 1, new Amounts(1, 0, 1), null, null, false, false, true,
-                        "i", 1, 20, 0, 0, random.nextBoolean() ? 100.0 + random.nextInt(500) : null, 0, needs, 0);
+                JobSpec spec = new JobSpec(
+                        "j" + i,
+                        "c",
+                        "a",
+                        JobSpec.Form.ARRAY,
+                        Priority.values()[random.nextInt(4)],
+                        1,
+                        new Amounts(1, 0, 1),
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "i",
+                        1,
+                        20,
+                        0,
+                        0,
+                        random.nextBoolean() ? 100.0 + random.nextInt(500) : null,
+                        0,
+                        needs,
+                        0);
                 open.add(spec);
                 steps.add(spec, 10);
             }
--- a/src/test/java/notchpick/scheduling/FleetPlanTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlanTest.java
@@ -18,50 +18,110 @@
     private static final Map<String, MachineType> TYPES = Map.of("small", SMALL, "large", LARGE);
 
     private static JobSpec job(int tasks, boolean spot, boolean service) {
-        return new JobSpec("run-1", "c", "a", service ? JobSpec.Form.SERVICE : JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL, tasks, new Amounts(2, 0, 2), null, null, false, false, spot, "i", 1, 20, 0, 0,
-                null, 0);
+        return new JobSpec(
+                "run-1",
+                "c",
+                "a",
+                service ? JobSpec.Form.SERVICE : JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                tasks,
+                new Amounts(2, 0, 2),
+                null,
+                null,
+                false,
+                false,
+                spot,
+                "i",
+                1,
+                20,
+                0,
+                0,
+                null,
+                0);
     }
 
     @Test
     void rentsCheapMachinesInBothZones() {
-        FleetPlan.Plan plan = FleetPlan.plan(List.of(new Need(job(8, true, false), 8, 60, false, false)), List.of(),
-                TYPES, 60, pool -> false, pool -> false);
+        FleetPlan.Plan plan = FleetPlan.plan(
+                List.of(new Need(job(8, true, false), 8, 60, false, false)),
+                List.of(),
+                TYPES,
+                60,
+                pool -> false,
+                pool -> false);
         assertEquals(Map.of(new Pool("small", "east", true), 2, new Pool("small", "west", true), 2), plan.rent());
     }
 
     @Test
     void shortTasksTakeTurnsWithinTheHorizon() {
-        FleetPlan.Plan plan = FleetPlan.plan(List.of(new Need(job(8, true, false), 8, 20, false, false)), List.of(),
-                TYPES, 60, pool -> pool.zone().equals("west"), pool -> false);
+        FleetPlan.Plan plan = FleetPlan.plan(
+                List.of(new Need(job(8, true, false), 8, 20, false, false)),
+                List.of(),
+                TYPES,
+                60,
+                pool -> pool.zone().equals("west"),
+                pool -> false);
         assertEquals(Map.of(new Pool("small", "east", true), 2), plan.rent());
     }
 
     @Test
     void replicasRunSideBySide() {
-        FleetPlan.Plan plan = FleetPlan.plan(List.of(new Need(job(4, true, true), 4, 20, false, false)), List.of(),
-                TYPES, 60, pool -> pool.zone().equals("west"), pool -> false);
+        FleetPlan.Plan plan = FleetPlan.plan(
+                List.of(new Need(job(4, true, true), 4, 20, false, false)),
+                List.of(),
+                TYPES,
+                60,
+                pool -> pool.zone().equals("west"),
+                pool -> false);
         assertEquals(Map.of(new Pool("small", "east", true), 2), plan.rent());
     }
 
     @Test
     void ordinaryMachinesOnlyForThosePressedOrWhoAskForThem() {
         java.util.function.Predicate<Pool> noSpot = Pool::spot;
-        assertEquals(Map.of(), FleetPlan.plan(List.of(new Need(job(2, true, false), 2, 60, false, false)), List.of(),
-                TYPES, 60, noSpot, pool -> false).rent());
-        assertEquals(1, FleetPlan.plan(List.of(new Need(job(2, true, false), 2, 60, true, false)), List.of(),
-                TYPES, 60, noSpot, pool -> false).rent().size());
-        assertEquals(1, FleetPlan.plan(List.of(new Need(job(2, false, false), 2, 60, false, false)), List.of(),
-                TYPES, 60, pool -> false, pool -> false).rent().size());
+        assertEquals(
+                Map.of(),
+                FleetPlan.plan(
+                                List.of(new Need(job(2, true, false), 2, 60, false, false)),
+                                List.of(),
+                                TYPES,
+                                60,
+                                noSpot,
+                                pool -> false)
+                        .rent());
+        assertEquals(
+                1,
+                FleetPlan.plan(
+                                List.of(new Need(job(2, true, false), 2, 60, true, false)),
+                                List.of(),
+                                TYPES,
+                                60,
+                                noSpot,
+                                pool -> false)
+                        .rent()
+                        .size());
+        assertEquals(
+                1,
+                FleetPlan.plan(
+                                List.of(new Need(job(2, false, false), 2, 60, false, false)),
+                                List.of(),
+                                TYPES,
+                                60,
+                                pool -> false,
+                                pool -> false)
+                        .rent()
+                        .size());
     }
 
     @Test
     void idleMachinesWithoutUseAreNotNeeded() {
         Pool pool = new Pool("small", "east", true);
-        List<Owned> owned = List.of(new Owned("m-1", pool, SMALL.size(), false),
-                new Owned("m-2", pool, SMALL.size(), true), new Owned("m-3", pool, SMALL.size(), true));
-        FleetPlan.Plan plan = FleetPlan.plan(List.of(new Need(job(4, true, false), 4, 60, false, false)), owned,
-                TYPES, 60, p -> false, p -> false);
+        List<Owned> owned = List.of(
+                new Owned("m-1", pool, SMALL.size(), false),
+                new Owned("m-2", pool, SMALL.size(), true),
+                new Owned("m-3", pool, SMALL.size(), true));
+        FleetPlan.Plan plan = FleetPlan.plan(
+                List.of(new Need(job(4, true, false), 4, 60, false, false)), owned, TYPES, 60, p -> false, p -> false);
         assertEquals(Set.of("m-3"), plan.unneeded());
         assertEquals(Map.of(), plan.rent());
     }
--- a/src/test/java/notchpick/scheduling/ObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ObjectivesTest.java
@@ -17,8 +17,26 @@
             "credit", List.of(new Objective(Kind.DEADLINE, 1), new Objective(Kind.DEADLINE, 1.5))));
 
     private static JobSpec job(String jobClass, Double deadlineS) {
-        return new JobSpec("run-1", jobClass, "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, 4,
-                new Amounts(1, 0, 1), null, null, false, false, true, "i", 1, 40, 0, 0, deadlineS, 0);
+        return new JobSpec(
+                "run-1",
+                jobClass,
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                4,
+                new Amounts(1, 0, 1),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                40,
+                0,
+                0,
+                deadlineS,
+                0);
     }
 
     @Test
--- a/src/test/java/notchpick/scheduling/SdrfTest.java
+++ b/src/test/java/notchpick/scheduling/SdrfTest.java
@@ -29,8 +29,13 @@
     void commitmentFollowsOveruseWithItsMemory() {
         Amounts over = new Amounts(0.5, 0, 0);
         double tau = 120;
-        assertEquals(0.5 * (1 - Math.exp(-1)), Sdrf.commitment(Amounts.NONE, over, tau, tau).cores(), TINY);
-        assertEquals(0.4 * Math.exp(-0.5), Sdrf.commitment(new Amounts(0.4, 0, 0), Amounts.NONE, 60, tau).cores(),
+        assertEquals(
+                0.5 * (1 - Math.exp(-1)),
+                Sdrf.commitment(Amounts.NONE, over, tau, tau).cores(),
+                TINY);
+        assertEquals(
+                0.4 * Math.exp(-0.5),
+                Sdrf.commitment(new Amounts(0.4, 0, 0), Amounts.NONE, 60, tau).cores(),
                 TINY);
         // No time, no change; and time that seems to run backwards changes nothing either.
         assertEquals(0.4, Sdrf.commitment(new Amounts(0.4, 0, 0), over, 0, tau).cores(), TINY);
--- a/src/test/java/notchpick/scheduling/SiteIndexTest.java
+++ b/src/test/java/notchpick/scheduling/SiteIndexTest.java
@@ -59,8 +59,10 @@
         double bestScore = Double.POSITIVE_INFINITY;
         for (Site site : sites) {
             double score = site.room.cores() + (site.images.contains(spec.image()) ? 0 : 1e6) + (site.spot ? 0 : 2e6);
-            if (score < bestScore && spec.demand().fitsIn(site.room)
-                    && spec.allows(site.type, site.zone, site.spot) && admits.test(site)) {
+            if (score < bestScore
+                    && spec.demand().fitsIn(site.room)
+                    && spec.allows(site.type, site.zone, site.spot)
+                    && admits.test(site)) {
                 best = site;
                 bestScore = score;
             }
@@ -69,10 +71,26 @@
     }
 
     private static JobSpec spec(Random random) {
-        return new JobSpec("run-1", "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, 1,
+        return new JobSpec(
+                "run-1",
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                1,
                 new Amounts(0.5 * (1 + random.nextInt(8)), 0, 1 + random.nextInt(6)),
-                random.nextInt(3) == 0 ? List.of("small") : null, random.nextInt(3) == 0 ? "east" : null, false, false,
-                random.nextInt(4) > 0, "i" + random.nextInt(4), 1, 10, 0, 0, null, 0);
+                random.nextInt(3) == 0 ? List.of("small") : null,
+                random.nextInt(3) == 0 ? "east" : null,
+                false,
+                false,
+                random.nextInt(4) > 0,
+                "i" + random.nextInt(4),
+                1,
+                10,
+                0,
+                0,
+                null,
+                0);
     }
 
     @Test
@@ -81,8 +99,11 @@
             Random random = new Random(seed);
             List<Site> sites = new ArrayList<>();
             for (int i = 0; i < 5 + random.nextInt(60); i++) {
-                Site site = new Site(random.nextBoolean() ? "small" : "large", random.nextBoolean() ? "east" : "west",
-                        random.nextInt(3) > 0, new Amounts(0.5 * random.nextInt(17), 0, random.nextInt(17)));
+                Site site = new Site(
+                        random.nextBoolean() ? "small" : "large",
+                        random.nextBoolean() ? "east" : "west",
+                        random.nextInt(3) > 0,
+                        new Amounts(0.5 * random.nextInt(17), 0, random.nextInt(17)));
                 for (int image = 0; image < 4; image++) {
                     if (random.nextInt(3) == 0) {
                         site.images.add("i" + image);
@@ -119,8 +140,26 @@
         Site full = new Site("small", "east", true, new Amounts(2, 0, 64));
         Site empty = new Site("small", "east", true, new Amounts(8, 0, 64));
         SiteIndex<Site> index = new SiteIndex<>(List.of(full, empty));
-        JobSpec spec = new JobSpec("run-1", "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.HIGH, 1,
-                new Amounts(1, 0, 1), null, null, false, false, true, "i", 1, 10, 0, 0, null, 0);
+        JobSpec spec = new JobSpec(
+                "run-1",
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.HIGH,
+                1,
+                new Amounts(1, 0, 1),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                10,
+                0,
+                0,
+                null,
+                0);
         assertSame(full, index.choose(spec, any -> true));
         assertSame(empty, index.chooseSoonest(spec, any -> true, site -> site == full ? 900 : 100));
         full.images.add("i");
@@ -147,8 +186,26 @@
             sites.add(new Site("small", "east", true, new Amounts(8, 0, 64)));
         }
         SiteIndex<Site> index = new SiteIndex<>(sites);
-        JobSpec spec = new JobSpec("run-1", "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, 1,
-                new Amounts(1, 0, 1), null, null, false, false, true, "i", 1, 10, 0, 0, null, 0);
+        JobSpec spec = new JobSpec(
+                "run-1",
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                1,
+                new Amounts(1, 0, 1),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                10,
+                0,
+                0,
+                null,
+                0);
         int tasks = 4000;
         for (int i = 0; i < tasks; i++) {
             Site chosen = index.choose(spec, site -> true);
--- a/src/test/java/notchpick/standin/CloudStandIn.java
+++ b/src/test/java/notchpick/standin/CloudStandIn.java
@@ -55,8 +55,12 @@
     private Listing listing = Listing.RIGHT;
 
     /** @param up hears of machines whose worker begins; gone, of names that are gone */
-    public CloudStandIn(LongSupplier clock, StateStandIn.Timer timer, Map<String, MachineType> types,
-            Consumer<Rented> up, Consumer<String> gone) {
+    public CloudStandIn(
+            LongSupplier clock,
+            StateStandIn.Timer timer,
+            Map<String, MachineType> types,
+            Consumer<Rented> up,
+            Consumer<String> gone) {
         this.clock = clock;
         this.timer = timer;
         this.types = types;
@@ -83,7 +87,11 @@
     }
 
     /** Wrong lists: of nothing at all, or of every machine as failed. */
-    public enum Listing { RIGHT, NOTHING, ALL_FAILED }
+    public enum Listing {
+        RIGHT,
+        NOTHING,
+        ALL_FAILED
+    }
 
     public void listing(Listing how) {
         listing = how;
@@ -154,9 +162,11 @@
             return new Answer(200, answers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
-        Pool pool = new Pool(type.name(), body.path("site").asText(), body.path("borrowed").asBoolean());
-        long held = machines.values().stream().filter(m -> m.type == type && m.zone.equals(pool.zone())
-                && m.spot == pool.spot()).count();
+        Pool pool = new Pool(
+                type.name(), body.path("site").asText(), body.path("borrowed").asBoolean());
+        long held = machines.values().stream()
+                .filter(m -> m.type == type && m.zone.equals(pool.zone()) && m.spot == pool.spot())
+                .count();
         int number = (int) Math.min(body.path("number").asInt(), capacity.getOrDefault(pool, 0) - held);
         if (number <= 0) {
             return new Answer(503, Json.bytes(Json.object().put("error", "no capacity")));
@@ -164,8 +174,8 @@
         ObjectNode answer = Json.object();
         ArrayNode names = answer.putArray("boxes");
         for (int i = 0; i < number; i++) {
-            Rented rented = new Rented(String.format("m-%06d", count++), type, pool.zone(), pool.spot(),
-                    clock.getAsLong());
+            Rented rented =
+                    new Rented(String.format("m-%06d", count++), type, pool.zone(), pool.spot(), clock.getAsLong());
             machines.put(rented.name, rented);
             names.add(rented.name);
             if (stuck > 0) {
@@ -188,8 +198,12 @@
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("boxes");
         for (Rented rented : listing == Listing.NOTHING ? List.<Rented>of() : machines.values()) {
-            list.addObject().put("ref", rented.name).put("address", "10.1.0.1:9000").put("boxKind", rented.type.name())
-                    .put("site", rented.zone).put("borrowed", rented.spot)
+            list.addObject()
+                    .put("ref", rented.name)
+                    .put("address", "10.1.0.1:9000")
+                    .put("boxKind", rented.type.name())
+                    .put("site", rented.zone)
+                    .put("borrowed", rented.spot)
                     .put("status", listing == Listing.ALL_FAILED ? "failed" : rented.up ? "running" : "starting")
                     .put("ageS", (clock.getAsLong() - rented.since) / 1000.0);
         }
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/standin/Network.java
@@ -19,7 +19,11 @@
     private static final long LATENCY_MS = 2;
 
     /** How a cut treats packets: hold them and deliver them late, reset the connection, or refuse new ones. */
-    public enum Cut { HOLD, RESET, REFUSE }
+    public enum Cut {
+        HOLD,
+        RESET,
+        REFUSE
+    }
 
     /** Packets from one host or group to another are cut. */
     private record Route(String from, String to) {}
@@ -132,16 +136,21 @@
                 simulation.after(LATENCY_MS, () -> once.accept(Answer.UNSENT));
                 return;
             }
-            carry(host, to, () -> {
-                Handler handler = hosts.get(call.target());
-                if (handler == null) {
-                    carry(to, host, () -> once.accept(Answer.UNSENT), reset);
-                    return;
-                }
-                // The state service refuses by who calls, so the caller's name goes along.
-                handler.handle(new Call(host, call.method(), call.path(), call.body()),
-                        answer -> carry(to, host, () -> once.accept(answer), reset));
-            }, reset);
+            carry(
+                    host,
+                    to,
+                    () -> {
+                        Handler handler = hosts.get(call.target());
+                        if (handler == null) {
+                            carry(to, host, () -> once.accept(Answer.UNSENT), reset);
+                            return;
+                        }
+                        // The state service refuses by who calls, so the caller's name goes along.
+                        handler.handle(
+                                new Call(host, call.method(), call.path(), call.body()),
+                                answer -> carry(to, host, () -> once.accept(answer), reset));
+                    },
+                    reset);
         };
     }
 }
--- a/src/test/java/notchpick/standin/RuleBook.java
+++ b/src/test/java/notchpick/standin/RuleBook.java
@@ -47,6 +47,7 @@
     private final Map<String, Long> waitingSince = new HashMap<>();
     /** Submissions that must not be accepted. */
     private final Set<String> unfit = new HashSet<>();
+
     private final Set<String> cancelAsked = new HashSet<>();
     private final List<String> breaches = new ArrayList<>();
     private int starts;
@@ -140,8 +141,10 @@
     public void ordered(String machine, String task, long lateMs) {
         Long at = toldCancelled.get(jobOf(task));
         if (at != null && clock.getAsLong() - at > lateMs) {
-            breach("started_cancelled", task + " was ordered on " + machine + " "
-                    + (clock.getAsLong() - at) / 1000.0 + " s after its job was called cancelled");
+            breach(
+                    "started_cancelled",
+                    task + " was ordered on " + machine + " " + (clock.getAsLong() - at) / 1000.0
+                            + " s after its job was called cancelled");
         }
     }
 
@@ -163,25 +166,33 @@
         for (String id : submittedAt.keySet()) {
             JobSpec job = jobs.get(id);
             if (!cancelAsked.contains(id) && !unfit.contains(id)) {
-                groups.computeIfAbsent("team " + job.team(), g -> new ArrayList<>()).add(job);
-                groups.computeIfAbsent("class " + job.jobClass(), g -> new ArrayList<>()).add(job);
+                groups.computeIfAbsent("team " + job.team(), g -> new ArrayList<>())
+                        .add(job);
+                groups.computeIfAbsent("class " + job.jobClass(), g -> new ArrayList<>())
+                        .add(job);
                 classes.computeIfAbsent(job.jobClass(), g -> new ArrayList<>()).add(job);
             }
         }
         List<String> poor = new ArrayList<>();
         classes.forEach((name, members) -> {
             List<JobSpec> largest = members.stream()
-                    .sorted(Comparator.comparingDouble((JobSpec job) -> -job.tasks() * job.demand().cores()))
-                    .limit((members.size() + LARGEST_PART - 1) / LARGEST_PART).toList();
+                    .sorted(Comparator.comparingDouble(
+                            (JobSpec job) -> -job.tasks() * job.demand().cores()))
+                    .limit((members.size() + LARGEST_PART - 1) / LARGEST_PART)
+                    .toList();
             groups.put("largest of " + name, largest);
-            long late = largest.stream().filter(job -> begunAt.getOrDefault(job.id(), Long.MAX_VALUE)
-                    - submittedAt.get(job.id()) > LARGEST_BEGIN_MS).count();
+            long late = largest.stream()
+                    .filter(job -> begunAt.getOrDefault(job.id(), Long.MAX_VALUE) - submittedAt.get(job.id())
+                            > LARGEST_BEGIN_MS)
+                    .count();
             if (late * 2 > largest.size()) {
                 poor.add("largest of " + name + " begin late");
             }
         });
         groups.forEach((name, members) -> {
-            long served = members.stream().filter(job -> "done".equals(lastTold(job.id()))).count();
+            long served = members.stream()
+                    .filter(job -> "done".equals(lastTold(job.id())))
+                    .count();
             if (served * 2 < members.size()) {
                 poor.add(name + ": " + served + " of " + members.size() + " served");
             }
@@ -223,7 +234,8 @@
             return;
         }
         for (String need : job.needs()) {
-            if (toldCancelled.containsKey(need) || completed(jobs.get(need)) < jobs.get(need).tasks()) {
+            if (toldCancelled.containsKey(need)
+                    || completed(jobs.get(need)) < jobs.get(need).tasks()) {
                 breach("too_early", task + " before " + need + " is done");
             }
         }
@@ -243,7 +255,9 @@
         double cores = 0;
         for (String running : this.running.keySet()) {
             JobSpec holder = jobs.get(jobOf(running));
-            cores += holder != null && holder.team().equals(job.team()) ? holder.demand().cores() : 0;
+            cores += holder != null && holder.team().equals(job.team())
+                    ? holder.demand().cores()
+                    : 0;
         }
         if (limit != null && cores > limit + 1e-6) {
             breach("quota", job.team() + " holds " + cores);
--- a/src/test/java/notchpick/standin/RuleBookTest.java
+++ b/src/test/java/notchpick/standin/RuleBookTest.java
@@ -15,18 +15,57 @@
     private final RuleBook rules = new RuleBook(() -> now, 40_000, Map.of("a", 8.0));
 
     private void submit(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
-        rules.submitted(new JobSpec(id, "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, tasks,
-                new Amounts(4, 0, 1), List.of("m8"), null, oneZone, spread, spot, "i", 1, 1, 0, 0, null, 0));
+        rules.submitted(new JobSpec(
+                id,
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                tasks,
+                new Amounts(4, 0, 1),
+                List.of("m8"),
+                null,
+                oneZone,
+                spread,
+                spot,
+                "i",
+                1,
+                1,
+                0,
+                0,
+                null,
+                0));
     }
 
     private void submitAfter(String id, String need) {
-        rules.submitted(new JobSpec(id, "c", "a", JobSpec.Form.ARRAY, JobSpec.Priority.NORMAL, 1, new Amounts(4, 0, 1),
-                List.of("m8"), null, false, false, true, "i", 1, 1, 0, 0, null, 0, List.of(need), 0));
+        rules.submitted(new JobSpec(
+                id,
+                "c",
+                "a",
+                JobSpec.Form.ARRAY,
+                JobSpec.Priority.NORMAL,
+                1,
+                new Amounts(4, 0, 1),
+                List.of("m8"),
+                null,
+                false,
+                false,
+                true,
+                "i",
+                1,
+                1,
+                0,
+                0,
+                null,
+                0,
+                List.of(need),
+                0));
     }
 
     private void broken(String rule) {
         assertEquals(1, rules.breaches().size(), () -> rules.breaches().toString());
-        assertTrue(rules.breaches().get(0).startsWith(rule), () -> rules.breaches().toString());
+        assertTrue(
+                rules.breaches().get(0).startsWith(rule), () -> rules.breaches().toString());
     }
 
     @Test
--- a/src/test/java/notchpick/standin/StateStandIn.java
+++ b/src/test/java/notchpick/standin/StateStandIn.java
@@ -300,7 +300,9 @@
         leaseEnds.remove(lease);
         leaseLives.remove(lease);
         List<String> keys = items.entrySet().stream()
-                .filter(entry -> entry.getValue().lease() == lease).map(Map.Entry::getKey).toList();
+                .filter(entry -> entry.getValue().lease() == lease)
+                .map(Map.Entry::getKey)
+                .toList();
         if (!keys.isEmpty()) {
             revision++;
             keys.forEach(this::delete);
@@ -366,7 +368,8 @@
             return new Answer(429, new byte[0]);
         }
         for (JsonNode write : writes) {
-            if (write.has("permit") && !leaseEnds.containsKey(write.path("permit").asLong())) {
+            if (write.has("permit")
+                    && !leaseEnds.containsKey(write.path("permit").asLong())) {
                 return new Answer(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
@@ -378,7 +381,9 @@
         for (JsonNode write : writes) {
             if (write.has("put")) {
                 String key = write.path("put").asText();
-                items.put(key, new Item(write.get("v"), revision, write.path("permit").asLong()));
+                items.put(
+                        key,
+                        new Item(write.get("v"), revision, write.path("permit").asLong()));
                 log.add(new Logged(key, write.get("v"), revision));
             } else {
                 delete(write.path("delete").asText());
@@ -400,8 +405,13 @@
     private void changes(Call call, Consumer<Answer> reply) {
         Map<String, String> query = query(call);
         long until = clock.getAsLong() + Long.parseLong(query.getOrDefault("holdMs", "0"));
-        Watch watch = new Watch(call.target(), query.getOrDefault("prefix", ""), Long.parseLong(query.get("since")),
-                clock.getAsLong(), until, reply);
+        Watch watch = new Watch(
+                call.target(),
+                query.getOrDefault("prefix", ""),
+                Long.parseLong(query.get("since")),
+                clock.getAsLong(),
+                until,
+                reply);
         watches.add(watch);
         timer.after(until - clock.getAsLong() + 1, this::wake);
         wake();
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/standin/WorkerStandIn.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -69,6 +68,7 @@
     private final Map<String, Piece> pieces = new LinkedHashMap<>();
     /** Work saved outside the machines, by task. */
     private final Map<String, Long> saved;
+
     private long session = 1;
     private long sequence;
     private long token;
@@ -82,14 +82,25 @@
     private boolean deaf;
     /** Its reports are lost. */
     private boolean mute;
+
     private boolean sick;
     private Double noticeS;
     private long leaseFrom;
     private long lastReport;
     private long due;
 
-    public WorkerStandIn(Simulation simulation, Caller caller, RuleBook rules, Jobs jobs, String name,
-            MachineType type, String zone, boolean spot, Map<String, String> controllers, long reportMs, long leaseMs,
+    public WorkerStandIn(
+            Simulation simulation,
+            Caller caller,
+            RuleBook rules,
+            Jobs jobs,
+            String name,
+            MachineType type,
+            String zone,
+            boolean spot,
+            Map<String, String> controllers,
+            long reportMs,
+            long leaseMs,
             Map<String, Long> saved) {
         this.simulation = simulation;
         this.caller = caller;
@@ -161,7 +172,10 @@
 
     /** Tasks that are fetching, running or saving. */
     public List<String> tasks() {
-        return pieces.values().stream().filter(Piece::live).map(piece -> piece.task).toList();
+        return pieces.values().stream()
+                .filter(Piece::live)
+                .map(piece -> piece.task)
+                .toList();
     }
 
     public void sick() {
@@ -227,12 +241,22 @@
         lastReport = simulation.now();
         long sentAt = simulation.now();
         long sentSession = session;
-        ObjectNode body = Json.object().put("box", name).put("address", "10.1.0.1:9000").put("boxKind", type.name())
-                .put("site", zone).put("borrowed", spot).put("shift", session).put("tally", ++sequence)
-                .put("mandate", token).put("recallS", noticeS);
+        ObjectNode body = Json.object()
+                .put("box", name)
+                .put("address", "10.1.0.1:9000")
+                .put("boxKind", type.name())
+                .put("site", zone)
+                .put("borrowed", spot)
+                .put("shift", session)
+                .put("tally", ++sequence)
+                .put("mandate", token)
+                .put("recallS", noticeS);
         ArrayNode list = body.putArray("pieces");
         for (Piece piece : pieces.values()) {
-            list.addObject().put("piece", piece.task).put("tryNo", piece.attempt).put("status", piece.state)
+            list.addObject()
+                    .put("piece", piece.task)
+                    .put("tryNo", piece.attempt)
+                    .put("status", piece.state)
                     .put("exitCause", piece.exit);
         }
         byte[] before = Json.bytes(list);
@@ -241,14 +265,16 @@
             simulation.after(4000, () -> answered(Answer.NONE, sentAt, sentSession, before));
             return;
         }
-        caller.call(new Call(controllers.get(nodes.get(node)), "POST", "/hello", Json.bytes(body)), 4000,
+        caller.call(
+                new Call(controllers.get(nodes.get(node)), "POST", "/hello", Json.bytes(body)),
+                4000,
                 answer -> heard(answer, sentAt, sentSession, before));
     }
 
     private void heard(Answer answer, long sentAt, long sentSession, byte[] before) {
         if (deaf) {
-            simulation.after(sentAt + 4000 - simulation.now(),
-                    () -> answered(Answer.NONE, sentAt, sentSession, before));
+            simulation.after(
+                    sentAt + 4000 - simulation.now(), () -> answered(Answer.NONE, sentAt, sentSession, before));
         } else {
             answered(answer, sentAt, sentSession, before);
         }
@@ -276,7 +302,10 @@
             ObjectNode now = Json.object();
             ArrayNode list = now.putArray("pieces");
             for (Piece piece : pieces.values()) {
-                list.addObject().put("piece", piece.task).put("tryNo", piece.attempt).put("status", piece.state)
+                list.addObject()
+                        .put("piece", piece.task)
+                        .put("tryNo", piece.attempt)
+                        .put("status", piece.state)
                         .put("exitCause", piece.exit);
             }
             boolean changed = news || !java.util.Arrays.equals(before, Json.bytes(list)) || sentSession != session;
--- a/src/test/java/notchpick/standin/World.java
+++ b/src/test/java/notchpick/standin/World.java
@@ -37,14 +37,27 @@
     }
 
     /** What is counted of what a scenario may be made for; see {@link #met}. */
-    public static final Set<String> MEETINGS = Set.of("looks", "hangs", "cancelled-at-end", "ends", "copies",
-            "copies-for-next", "copies-in-later-term", "cancellations", "cancelled-while-nobody-led",
-            "cancelled-while-the-leader-was-refused", "refused-submissions", "untold-submissions", "unanswered-writes");
+    public static final Set<String> MEETINGS = Set.of(
+            "looks",
+            "hangs",
+            "cancelled-at-end",
+            "ends",
+            "copies",
+            "copies-for-next",
+            "copies-in-later-term",
+            "cancellations",
+            "cancelled-while-nobody-led",
+            "cancelled-while-the-leader-was-refused",
+            "refused-submissions",
+            "untold-submissions",
+            "unanswered-writes");
     /** How long a copy of a report may be under way, as a part of the workers' lease. */
     private static final double COPY_LEASES = 1.4;
+
     private static final long LOOK_MS = 2;
     /** Copies that were kept for the next leader arrive within so long. */
     private static final long COPIES_MS = 2000;
+
     private static final List<String> ZONES = List.of("east", "west");
     private static final String STATE = "10.2.0.1:2379";
     private static final String CLOUD = "10.2.0.2:8443";
@@ -70,6 +83,7 @@
     private final Map<Integer, Integer> stormAnswers = new HashMap<>();
     /** How often what a scenario was made for has come about. */
     private final Map<String, Integer> met = new LinkedHashMap<>();
+
     private final Random chance = new Random(11);
     private final Timing timing;
     private final List<byte[]> keptForNext = new ArrayList<>();
@@ -81,6 +95,7 @@
     private boolean awaitsNextTerm;
     /** The last term whose leader crashed. */
     private int endedTerm;
+
     private final List<Limit> teams;
     private final double requestsPerS;
     private final Limits limits;
@@ -99,13 +114,26 @@
      * @param next limits that will hold from some moment on
      * @param nextIsNews whether a controller keeps to those only from its second life on, as in a roll
      */
-    public World(int count, List<Limit> teams, List<MachineType> machineTypes, double requestsPerS, double writesPerS,
-            Limits next, boolean nextIsNews) {
+    public World(
+            int count,
+            List<Limit> teams,
+            List<MachineType> machineTypes,
+            double requestsPerS,
+            double writesPerS,
+            Limits next,
+            boolean nextIsNews) {
         this(count, teams, machineTypes, requestsPerS, writesPerS, next, nextIsNews, Timing.DEFAULT);
     }
 
-    public World(int count, List<Limit> teams, List<MachineType> machineTypes, double requestsPerS, double writesPerS,
-            Limits next, boolean nextIsNews, Timing timing) {
+    public World(
+            int count,
+            List<Limit> teams,
+            List<MachineType> machineTypes,
+            double requestsPerS,
+            double writesPerS,
+            Limits next,
+            boolean nextIsNews,
+            Timing timing) {
         this.timing = timing;
         this.teams = teams;
         this.requestsPerS = requestsPerS;
@@ -113,7 +141,9 @@
         this.next = next == null ? limits : next;
         this.nextIsNews = nextIsNews;
         Map<String, Double> limits = new HashMap<>();
-        teams.stream().filter(t -> t.most().cores() > 0).forEach(t -> limits.put(t.team(), t.most().cores()));
+        teams.stream()
+                .filter(t -> t.most().cores() > 0)
+                .forEach(t -> limits.put(t.team(), t.most().cores()));
         rules = new RuleBook(simulation::now, (long) (timing.cancelS() * 1000), limits);
         state = new StateStandIn(simulation::now, simulation::after, 12, requestsPerS, writesPerS);
         Map<String, MachineType> types = new LinkedHashMap<>();
@@ -231,16 +261,36 @@
                 peers.add(new Peer(other, peerAddress(nodes.indexOf(other))));
             }
         }
-        Deployment deployment = new Deployment(node, addresses.get(node), peerAddress(index), peers, CLOUD, STATE,
-                ZONES, teams, new Objectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
-                timing.reportS(), timing.leaseS(), timing.cancelS(), requestsPerS, known.writesPerS(),
-                known.valueBytes(), known.txnOps(), 10, 3, 1000);
+        Deployment deployment = new Deployment(
+                node,
+                addresses.get(node),
+                peerAddress(index),
+                peers,
+                CLOUD,
+                STATE,
+                ZONES,
+                teams,
+                new Objectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
+                timing.reportS(),
+                timing.leaseS(),
+                timing.cancelS(),
+                requestsPerS,
+                known.writesPerS(),
+                known.valueBytes(),
+                known.txnOps(),
+                10,
+                3,
+                1000);
         // Clocks at the edges of their bounds.
         double fast = index == 0 ? 0.05 : index == 1 ? -0.05 : 0;
-        var loop = simulation.loop(fast, index * 100L - 100, () -> lives.get(node) == life,
-                () -> frozenUntil.getOrDefault(node, 0L));
-        Controller controller = new Controller(loop, deployment, Tuning.DEFAULT,
-                network.from(node, () -> lives.get(node) == life), new Random(7L * index + life));
+        var loop = simulation.loop(
+                fast, index * 100L - 100, () -> lives.get(node) == life, () -> frozenUntil.getOrDefault(node, 0L));
+        Controller controller = new Controller(
+                loop,
+                deployment,
+                Tuning.DEFAULT,
+                network.from(node, () -> lives.get(node) == life),
+                new Random(7L * index + life));
         controllers.put(node, controller);
         network.serve(addresses.get(node), node, controller::serve);
         network.serve(peerAddress(index), node, controller::servePeer);
@@ -279,9 +329,21 @@
         network.join(rented.name, "workers");
         network.join(rented.name, "workers-" + rented.zone);
         place(rented.name, rented.zone);
-        workers.put(rented.name, new WorkerStandIn(simulation, network.from(rented.name, () -> true), rules, this,
-                rented.name, rented.type, rented.zone, rented.spot, addresses, (long) (timing.reportS() * 1000),
-                (long) (timing.leaseS() * 1000), saved));
+        workers.put(
+                rented.name,
+                new WorkerStandIn(
+                        simulation,
+                        network.from(rented.name, () -> true),
+                        rules,
+                        this,
+                        rented.name,
+                        rented.type,
+                        rented.zone,
+                        rented.spot,
+                        addresses,
+                        (long) (timing.reportS() * 1000),
+                        (long) (timing.leaseS() * 1000),
+                        saved));
     }
 
     private void gone(String name) {
@@ -398,18 +460,24 @@
     /** Users call off so many of the jobs that run, those with most left first, within a fifth of a second. */
     public List<String> cancelNow(int count) {
         Map<String, Integer> running = new LinkedHashMap<>();
-        workers.values().forEach(worker -> worker.tasks().forEach(
-                task -> running.merge(RuleBook.jobOf(task), 1, Integer::sum)));
-        List<String> chosen = running.keySet().stream().filter(job -> !rules.isCancelAsked(job))
-                .sorted(Comparator.comparingLong((String job) -> -truths.get(job).runMs())).limit(count).toList();
+        workers.values()
+                .forEach(
+                        worker -> worker.tasks().forEach(task -> running.merge(RuleBook.jobOf(task), 1, Integer::sum)));
+        List<String> chosen = running.keySet().stream()
+                .filter(job -> !rules.isCancelAsked(job))
+                .sorted(Comparator.comparingLong(
+                        (String job) -> -truths.get(job).runMs()))
+                .limit(count)
+                .toList();
         chosen.forEach(job -> simulation.after(chance.nextInt(200), () -> cancel(job)));
         return chosen;
     }
 
     /** Up to eight machines on which tasks of these jobs are stand still for a while. */
     public void hangMachinesOf(List<String> jobs, long forMs) {
-        workers.values().stream().filter(worker -> worker.tasks().stream()
-                .anyMatch(task -> jobs.contains(RuleBook.jobOf(task)))).limit(8)
+        workers.values().stream()
+                .filter(worker -> worker.tasks().stream().anyMatch(task -> jobs.contains(RuleBook.jobOf(task))))
+                .limit(8)
                 .forEach(worker -> hang(worker, forMs));
     }
 
@@ -429,7 +497,8 @@
         String job = RuleBook.jobOf(task);
         Truth truth = truths.get(job);
         meet("ends");
-        if (cancelAtEndShare > 0 && rules.completed(truth.spec()) == truth.spec().tasks()
+        if (cancelAtEndShare > 0
+                && rules.completed(truth.spec()) == truth.spec().tasks()
                 && chance.nextDouble() < cancelAtEndShare) {
             meet("cancelled-at-end");
             cancel(job);
@@ -461,10 +530,12 @@
                 for (int i = 0; i < copies.size(); i++) {
                     byte[] copy = copies.get(i);
                     // In their order, while the new leader reads what was left and just after.
-                    simulation.after(COPIES_MS * i / copies.size(), () -> nodes.forEach(node -> {
-                        meet("copies-for-next");
-                        call(node, "POST", "/hello", copy, answer -> { });
-                    }));
+                    simulation.after(
+                            COPIES_MS * i / copies.size(),
+                            () -> nodes.forEach(node -> {
+                                meet("copies-for-next");
+                                call(node, "POST", "/hello", copy, answer -> {});
+                            }));
                 }
             }
             awaitsNextTerm = copyForNext;
@@ -486,7 +557,7 @@
             long lateMs = 2000 + chance.nextInt((int) (COPY_LEASES * 1000 * timing.leaseS()));
             simulation.after(lateMs, () -> {
                 meet(term() > sentInTerm ? "copies-in-later-term" : "copies");
-                nodes.forEach(node -> call(node, "POST", "/hello", report, answer -> { }));
+                nodes.forEach(node -> call(node, "POST", "/hello", report, answer -> {}));
             });
         }
     }
@@ -522,7 +593,8 @@
     }
 
     private void watchWaiting() {
-        truths.values().stream().filter(truth -> status.containsKey(truth.spec().id()))
+        truths.values().stream()
+                .filter(truth -> status.containsKey(truth.spec().id()))
                 .forEach(truth -> rules.waits(truth.spec().id(), couldStart(truth)));
         simulation.after(1000, this::watchWaiting);
     }
@@ -541,15 +613,18 @@
             }
         }
         int placed = fellows.values().stream().mapToInt(Integer::intValue).sum();
-        boolean waits = !truth.fails() && !rules.isCancelAsked(spec.id())
+        boolean waits = !truth.fails()
+                && !rules.isCancelAsked(spec.id())
                 && rules.completed(spec) + placed < spec.tasks()
                 && spec.needs().stream().allMatch(need -> "done".equals(told(need)));
         Amounts wanted = use.plus(spec.demand());
-        return waits && teams.stream().anyMatch(team -> team.team().equals(spec.team()) && team.allows(wanted))
-                && workers.values().stream().anyMatch(worker -> worker.takesPart()
-                        && spec.allows(worker.type().name(), worker.zone(), worker.spot())
-                        && spec.allowsAmongFellows(worker.zone(), fellows)
-                        && spec.demand().fitsIn(room(worker)));
+        return waits
+                && teams.stream().anyMatch(team -> team.team().equals(spec.team()) && team.allows(wanted))
+                && workers.values().stream()
+                        .anyMatch(worker -> worker.takesPart()
+                                && spec.allows(worker.type().name(), worker.zone(), worker.spot())
+                                && spec.allowsAmongFellows(worker.zone(), fellows)
+                                && spec.demand().fitsIn(room(worker)));
     }
 
     private Amounts room(WorkerStandIn worker) {
--- a/src/test/java/notchpick/transport/SocketTest.java
+++ b/src/test/java/notchpick/transport/SocketTest.java
@@ -51,12 +51,13 @@
             if (call.path().equals("/broken")) {
                 throw new IllegalStateException("broken");
             }
-            byte[] body = call.body().length > 0 ? call.body()
+            byte[] body = call.body().length > 0
+                    ? call.body()
                     : (call.method() + " " + call.path()).getBytes(StandardCharsets.UTF_8);
             reply.accept(new Answer(201, body));
         };
-        server = new JettyServer(threads, scheduler, new ArrayByteBufferPool(), Map.of(address, echo), "", 30_000, MOST,
-                500);
+        server = new JettyServer(
+                threads, scheduler, new ArrayByteBufferPool(), Map.of(address, echo), "", 30_000, MOST, 500);
         server.start();
         caller = new JettyCaller(threads, scheduler, 4, 1000);
     }
@@ -71,14 +72,21 @@
             idle.add(new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
         }
         // All are taken, and would be for half a minute if nothing were done.
-        List<CompletableFuture<Integer>> ends = idle.stream().map(socket -> CompletableFuture.supplyAsync(() -> {
-            try {
-                return socket.getInputStream().read();
-            } catch (IOException e) {
-                return -1;
-            }
-        }, reading)).toList();
-        assertEquals(-1, CompletableFuture.anyOf(ends.toArray(new CompletableFuture<?>[0])).get(20, TimeUnit.SECONDS));
+        List<CompletableFuture<Integer>> ends = idle.stream()
+                .map(socket -> CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return socket.getInputStream().read();
+                            } catch (IOException e) {
+                                return -1;
+                            }
+                        },
+                        reading))
+                .toList();
+        assertEquals(
+                -1,
+                CompletableFuture.anyOf(ends.toArray(new CompletableFuture<?>[0]))
+                        .get(20, TimeUnit.SECONDS));
         assertEquals(201, call("POST", "/x", new byte[10], 20_000).status());
         for (Socket socket : idle) {
             socket.close();
