--- a/src/main/java/notchpick/transport/JettyServer.java
+++ b/src/main/java/notchpick/transport/JettyServer.java
@@ -84,6 +84,8 @@
         server.stop();
     }
 
+    // Jetty 12.0 has no successor yet that gives the body as an array.
+    @SuppressWarnings("removal")
     private static void serve(Handler handler, int limit, Request request, Response response, Callback callback) {
         if (request.getLength() > limit) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
