--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -39,6 +39,7 @@
     }
 
     @SafeVarargs
+    @SuppressWarnings("varargs")
     private static List<String> sorted(Waiting<String>... jobs) {
         return JobOrder.sorted(List.of(jobs), 0, OBJECTIVES, 10).stream()
                 .map(Waiting::job)
