--- a/src/main/java/notchpick/bookkeeping/Machine.java
+++ b/src/main/java/notchpick/bookkeeping/Machine.java
@@ -22,6 +22,8 @@
         RELEASED
     }
 
+    private static final int MOST_DOUBLINGS = 3;
+
     public final String name;
     public final Pool pool;
     public final Amounts size;
@@ -45,6 +47,10 @@
     public Double noticeS;
     public long idleSince;
     public long quarantinedUntil;
+    /** How many answers with orders it has missed since one was last seen to arrive. */
+    private int missedAnswers;
+    /** It missed an answer, and is given nothing to start before then. */
+    private long deafUntil;
     /** Jobs whose tasks failed here since one last succeeded, and when. */
     public final Map<String, Long> failedJobs = new HashMap<>();
     /** Since when it has seemed to fail whatever it starts; 0: it does not. */
@@ -123,12 +129,28 @@
         room = size.minus(leased).minus(held);
     }
 
+    /**
+     * An answer that told it to start tasks was lost, as its next report shows. The pause doubles with each one missed:
+     * what is started on a machine that hears nothing takes room and time, and comes to nothing.
+     */
+    public void missedAnswer(long now, long reportMs) {
+        missedAnswers = Math.min(missedAnswers + 1, MOST_DOUBLINGS);
+        deafUntil = now + (reportMs << missedAnswers);
+    }
+
+    /** An answer to it surely arrived. */
+    public void heardAnswer() {
+        missedAnswers = 0;
+        deafUntil = 0;
+    }
+
     /** Whether tasks may be started on it. */
     public boolean isUsable(long now, double reportMs) {
         return life == Life.UP
                 && settled
                 && noticeS == null
                 && quarantinedUntil <= now
+                && deafUntil <= now
                 // A machine that has missed reports may be gone; what is started there would only wait.
                 && now - reportedAt < 2 * reportMs;
     }
--- a/src/main/java/notchpick/coordination/leading/Leader.java
+++ b/src/main/java/notchpick/coordination/leading/Leader.java
@@ -242,6 +242,7 @@
         if (machine != null) {
             if (!passed && machine.reportsHere && report.sequence() == machine.sequence + 1) {
                 passedSince = 0;
+                machine.heardAnswer();
                 links.workerHeard(report.zone());
             }
             machine.reportsHere = !passed;
--- a/src/main/java/notchpick/coordination/leading/Reports.java
+++ b/src/main/java/notchpick/coordination/leading/Reports.java
@@ -235,6 +235,9 @@
             }
         }
         if (there.size() < machine.bindings.size()) {
+            if (hasMissedOrder(machine, there)) {
+                machine.missedAnswer(now, (long) reportMs());
+            }
             changed |= dropAbsent(machine, there);
         }
         if (!machine.settled) {
@@ -247,6 +250,15 @@
         return changed;
     }
 
+    /**
+     * Whether an order to start a task was lost. A worker that carries one out names the task from then on, even if it
+     * refuses it, until it is told to forget it.
+     */
+    private static boolean hasMissedOrder(Machine machine, Set<Binding> there) {
+        return machine.bindings.values().stream()
+                .anyMatch(binding -> binding.phase == Phase.SENT && !there.contains(binding));
+    }
+
     /** What the report does not name is gone, as far as this can be sure. */
     private boolean dropAbsent(Machine machine, Set<Binding> there) {
         boolean dropped = false;
@@ -255,8 +267,7 @@
                     && switch (binding.phase) {
                         case PLANNED, READY -> false;
                         // Its order was executed before this report was made, or never will be; so with a former
-                        // leader's,
-                        // as the worker has seen this term and drops what may still come of it.
+                        // leader's, as the worker has seen this term and drops what may still come of it.
                         case SENT, SEEN, HINTED -> true;
                     };
             if (left) {
@@ -276,6 +287,9 @@
             if (binding.phase == Phase.PLANNED || binding.phase == Phase.READY) {
                 return null;
             }
+            if (binding.phase == Phase.SENT) {
+                machine.heardAnswer();
+            }
             binding.attempt = task.attempt();
             binding.phase = Phase.SEEN;
             return binding;
