--- a/src/test/java/notchpick/LinkWalkTest.java
+++ b/src/test/java/notchpick/LinkWalkTest.java
@@ -12,10 +12,13 @@
 import notchpick.scheduling.MachineType;
 import notchpick.standin.Network.Cut;
 import notchpick.standin.World;
+import org.junit.jupiter.api.parallel.Execution;
+import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Seeded random walks over failures of links, checked against the rules. A seed that fails repeats. */
+@Execution(ExecutionMode.CONCURRENT)
 class LinkWalkTest {
     private static final int CONTROLLERS = 5;
     /** All its links are left alone where a path must be left. */
--- a/src/test/java/notchpick/MeetingWalkTest.java
+++ b/src/test/java/notchpick/MeetingWalkTest.java
@@ -19,6 +19,8 @@
 import notchpick.standin.WorkerStandIn;
 import notchpick.standin.World;
 import notchpick.standin.World.Timing;
+import org.junit.jupiter.api.parallel.Execution;
+import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -27,6 +29,7 @@
  * cancellation, a task's end or a machine's boot, while users cancel and look at all controllers. Seeds go through all
  * pairs in turn; {@code -Dmeetings=FIRST-LAST} plays others. A seed that fails tells what happened in order.
  */
+@Execution(ExecutionMode.CONCURRENT)
 class MeetingWalkTest {
     /** Jobs with long to go, for users to cancel. */
     private static final int LONG_JOBS = 6;
@@ -59,7 +62,15 @@
         ANSWERS_HELD,
         WATCHES_HANG,
         LISTS_SLOW,
-        MACHINES_DIE
+        MACHINES_DIE,
+        LINKS_SLOW,
+        LEADER_SLOW,
+        ANSWERS_HELD_BY_PEERS,
+        BOOTS_AT_ONCE,
+        ODD_REQUESTS,
+        WORK_CHANGES_HANDS,
+        CANCELLED_AT_ONCE,
+        OLD_LEADER_WAKES
     }
 
     private static final Trouble[] ALL = Trouble.values();
@@ -84,6 +95,7 @@
     private final List<String> happened = new ArrayList<>();
     private World world;
     private Random random;
+    private int wideJobs;
 
     private void begin(int seed) throws InvalidMessage {
         random = new Random(seed);
@@ -204,6 +216,39 @@
                 world.state().lists(between(500, 4000));
                 later(forMs, "lists are quick", () -> world.state().lists(0));
             }
+            case LINKS_SLOW -> {
+                List<String> ends = new ArrayList<>(List.of("controllers", "workers-east", "workers-west", "state"));
+                Collections.shuffle(ends, random);
+                slow(ends.get(0), ends.get(1), forMs);
+                slow(ends.get(1), ends.get(0), forMs);
+            }
+            case LEADER_SLOW -> {
+                slow(leader, random.nextBoolean() ? "state" : "controllers", forMs);
+                slow(random.nextBoolean() ? "state" : "workers", leader, forMs);
+            }
+            case ANSWERS_HELD_BY_PEERS -> {
+                cut(leader, "workers", forMs);
+                slow(leader, "controllers", forMs);
+                slow("controllers", "workers", forMs);
+            }
+            case BOOTS_AT_ONCE -> {
+                world.cloud().boots(0.1);
+                world.machines().stream().limit(between(1, 6)).toList().forEach(world.cloud()::take);
+                later(forMs, "boots take their time", () -> world.cloud().boots(1));
+            }
+            case ODD_REQUESTS -> ScenarioTest.oddRequests(world, JOBS.get(0));
+            case WORK_CHANGES_HANDS -> {
+                // Teams are parted among the controllers that show signs of life: some fall silent and come back.
+                List<String> others = new ArrayList<>(world.nodes());
+                others.remove(leader);
+                Collections.shuffle(others, random);
+                others.stream().limit(between(1, 3)).forEach(node -> world.silence(node, Math.min(forMs, 20_000)));
+            }
+            case CANCELLED_AT_ONCE -> note("users cancel " + world.cancelNow((int) between(3, 6)));
+            case OLD_LEADER_WAKES -> {
+                slow(leader, "workers", 9000);
+                world.freeze(leader, between(2000, 9000));
+            }
             case MACHINES_DIE ->
                 List.copyOf(world.machines()).stream().limit(between(1, 8)).forEach(world.cloud()::take);
         }
@@ -214,6 +259,11 @@
         world.simulation().after(forMs, () -> world.network().heal(one, other));
     }
 
+    private void slow(String from, String to, long forMs) {
+        world.network().delayOneWay(from, to, between(200, 3800));
+        later(forMs, from + " to " + to + " is quick", () -> world.network().delayOneWay(from, to, 0));
+    }
+
     private interface Fault {
         void set(WorkerStandIn worker, boolean on);
     }
@@ -247,7 +297,21 @@
         }
     }
 
+    /** A job is submitted, and called off while its tasks are being started. */
+    private void cancelWhileStarting() {
+        String job = String.format("run-02%04d", wideJobs++);
+        try {
+            submit(job, Map.of("tasks", "24", "team", "b", "urgency", "high", "due", "60"), 60);
+        } catch (InvalidMessage e) {
+            throw new IllegalArgumentException(job, e);
+        }
+        later(between(20, 6000), "users cancel " + job, () -> world.cancel(job));
+    }
+
     private void cancelSome() {
+        if (random.nextBoolean()) {
+            cancelWhileStarting();
+        }
         int count = (int) between(0, 2);
         List<String> jobs = world.cancelNow(count);
         note("users cancel " + jobs);
@@ -290,7 +354,15 @@
         world.troublesOver();
         world.simulation().runUntil(world.simulation().now() + 300_000);
         String story = "seed " + seed + ": " + String.join("\n", happened) + "\n";
+        System.out.printf(
+                "seed %d: gone %d ms and ordered %d ms after a cancellation at the latest, %d orders, %d starts%n",
+                seed,
+                world.rules().longestAfterCancelMs(),
+                world.rules().longestOrderAfterCancelMs(),
+                world.rules().ordersAfterCancel(),
+                world.rules().startsAfterCancel());
         assertEquals(List.of(), world.rules().breaches(), story);
+        assertEquals(0, world.network().callsTo("10.1."), "direct commands");
         for (String job : JOBS) {
             assertTrue(List.of("done", "cancelled").contains(world.told(job)), story + job + " is " + world.told(job));
         }
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -27,6 +27,8 @@
 import notchpick.standin.World;
 import notchpick.standin.World.Limits;
 import notchpick.standin.World.Timing;
+import org.junit.jupiter.api.parallel.Execution;
+import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -34,6 +36,7 @@
  * Plays every scenario under src/test/resources/scenarios. A line is {@code at SECONDS VERB WORDS...};
  * first come lines without a time that describe the deployment. See the README.
  */
+@Execution(ExecutionMode.CONCURRENT)
 class ScenarioTest {
     private static final List<String> STATES = List.of("queued", "running", "done", "cancelled");
     /** What may be said of a job, each with a value. */
@@ -82,6 +85,9 @@
             "bookmarkS",
             "bookmarkWriteS");
 
+    /** Where workers could be sent direct commands. */
+    private static final String WORKERS = "10.1.";
+
     static Stream<Path> scenarios() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
             // -Dscenario=WORD plays only those with this word in their names.
@@ -131,6 +137,15 @@
         }
         assertEquals(List.of(), world.rules().breaches());
         assertTrue(world.rules().starts() > 0, "nothing_ran");
+        // All orders ride in answers to reports: none can be held up for longer than a report's sender waits.
+        assertEquals(0, world.network().callsTo(WORKERS), "direct commands");
+        System.out.printf(
+                "%s: gone %.1f s and ordered %.1f s after a cancellation at the latest, %d orders and %d starts after one%n",
+                name,
+                world.rules().longestAfterCancelMs() / 1000.0,
+                world.rules().longestOrderAfterCancelMs() / 1000.0,
+                world.rules().ordersAfterCancel(),
+                world.rules().startsAfterCancel());
     }
 
     /** The deployment that the lines without a time describe; the others are put into order. */
@@ -264,12 +279,17 @@
                 ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[1], pair[0], Cut.HOLD));
             case "cut-requests" ->
                 ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[0], pair[1], Cut.HOLD));
+            // Packets one way take so long; 0: no longer.
+            case "slow" ->
+                ends(world, first, words[4])
+                        .forEach(pair -> world.network().delayOneWay(pair[0], pair[1], millis(words[5])));
             case "heal" ->
                 ends(world, first, words[4]).forEach(pair -> world.network().heal(pair[0], pair[1]));
             case "name" -> world.name(first, node(world, words[4]));
             case "watch-pauses" -> world.rules().watchPauses();
-            case "outage" -> world.state().outage(first.equals("on"));
-            case "refuse" -> world.state().refuse(node(world, first), words[4].equals("on"));
+            case "outage" -> world.outage(first.equals("on"));
+            case "looks-at-elections" -> world.looksAtElections(first.equals("on"));
+            case "refuse" -> world.refuse(node(world, first), words[4].equals("on"));
             case "refuse-none" -> world.nodes().forEach(node -> world.state().refuse(node, false));
             case "watches-hang" -> world.state().watchesHang(first.equals("on"));
             case "lists-take" -> world.state().lists(millis(first));
@@ -359,7 +379,7 @@
     }
 
     /** Users submit a job again, and send everything that can't run or lacks a field, at all controllers. */
-    private static void oddRequests(World world, String job) {
+    static void oddRequests(World world, String job) {
         world.resubmit(job);
         int number = 0;
         for (String field : REQUIRED) {
@@ -476,6 +496,12 @@
                 assertTrue(
                         world.rules().longestAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
                         () -> where + ": " + world.rules().longestAfterCancelMs() / 1000.0);
+            case "lost-starts" ->
+                assertTrue(world.lostStarts() <= Integer.parseInt(words[5]), () -> where + ": " + world.lostStarts());
+            case "order-after-cancel" ->
+                assertTrue(
+                        world.rules().longestOrderAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + world.rules().longestOrderAfterCancelMs() / 1000.0);
             case "served" -> assertEquals(List.of(), world.rules().underserved(), where);
             case "leader" -> {
                 if (words[4].equals("none")) {
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/standin/Network.java
@@ -32,6 +32,12 @@
     private final Map<String, Handler> hosts = new HashMap<>();
     private final Map<String, String> hostOf = new HashMap<>();
     private final Map<Route, Cut> cuts = new LinkedHashMap<>();
+    /** Slow ways: what passes takes so much longer. */
+    private final Map<Route, Long> delays = new LinkedHashMap<>();
+    /** How many calls went to each address. */
+    private final Map<String, Integer> calls = new HashMap<>();
+
+    private int delayed;
     private final Map<Route, List<Runnable>> heldBack = new HashMap<>();
     /** Names that stand for many hosts, by host. */
     private final Map<String, Set<String>> groups = new HashMap<>();
@@ -80,6 +86,28 @@
         cuts.put(new Route(from, to), how);
     }
 
+    /** Packets one way take longer by this from now on; 0 ends that. */
+    public void delayOneWay(String from, String to, long byMs) {
+        if (byMs > 0) {
+            delays.put(new Route(from, to), byMs);
+        } else {
+            delays.remove(new Route(from, to));
+        }
+    }
+
+    /** How many packets have been slowed down. */
+    public int delayed() {
+        return delayed;
+    }
+
+    /** How many calls were made to addresses that begin like this. */
+    public int callsTo(String prefix) {
+        return calls.entrySet().stream()
+                .filter(entry -> entry.getKey().startsWith(prefix))
+                .mapToInt(Map.Entry::getValue)
+                .sum();
+    }
+
     public void heal(String one, String other) {
         for (Route route : List.of(new Route(one, other), new Route(other, one))) {
             cuts.remove(route);
@@ -104,13 +132,25 @@
         return null;
     }
 
+    private long delayOn(String from, String to) {
+        long longest = 0;
+        for (Map.Entry<Route, Long> delay : delays.entrySet()) {
+            if (is(from, delay.getKey().from()) && is(to, delay.getKey().to())) {
+                longest = Math.max(longest, delay.getValue());
+            }
+        }
+        return longest;
+    }
+
     private void carry(String from, String to, Runnable packet, Runnable reset) {
         if (dark.contains(to)) {
             return;
         }
         Route cut = cutOn(from, to);
         if (cut == null) {
-            simulation.after(Math.max(LATENCY_MS, frozen.getOrDefault(to, 0L) - simulation.now()), packet);
+            long delayMs = delayOn(from, to);
+            delayed += delayMs > 0 ? 1 : 0;
+            simulation.after(Math.max(LATENCY_MS + delayMs, frozen.getOrDefault(to, 0L) - simulation.now()), packet);
         } else if (cuts.get(cut) == Cut.HOLD) {
             heldBack.computeIfAbsent(cut, c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
         } else {
@@ -121,6 +161,7 @@
     /** Calls made by one host, as long as it lives. */
     public Caller from(String host, BooleanSupplier alive) {
         return (call, timeoutMs, then) -> {
+            calls.merge(call.target(), 1, Integer::sum);
             boolean[] over = {false};
             Consumer<Answer> once = answer -> {
                 if (!over[0] && alive.getAsBoolean()) {
--- a/src/test/java/notchpick/standin/RuleBook.java
+++ b/src/test/java/notchpick/standin/RuleBook.java
@@ -55,7 +55,9 @@
     private long lastStartAt;
     private long longestPauseMs;
     private long startsAfterCancel;
+    private long ordersAfterCancel;
     private long longestAfterCancelMs;
+    private long longestOrderAfterCancelMs;
     private long troublesOverAt = Long.MAX_VALUE / 2;
 
     /** @param coreLimits by team; absent: none */
@@ -128,6 +130,16 @@
         return startsAfterCancel;
     }
 
+    /** Orders to start that a worker was given after the job's cancellation had been confirmed. */
+    public long ordersAfterCancel() {
+        return ordersAfterCancel;
+    }
+
+    /** The longest time from a confirmation until a worker was ordered to start a task of the job; 0: none was. */
+    public long longestOrderAfterCancelMs() {
+        return longestOrderAfterCancelMs;
+    }
+
     /** The longest time from a confirmation until a task of the job was gone. */
     public long longestAfterCancelMs() {
         return longestAfterCancelMs;
@@ -140,6 +152,10 @@
      */
     public void ordered(String machine, String task, long lateMs) {
         Long at = toldCancelled.get(jobOf(task));
+        if (at != null) {
+            ordersAfterCancel++;
+            longestOrderAfterCancelMs = Math.max(longestOrderAfterCancelMs, clock.getAsLong() - at);
+        }
         if (at != null && clock.getAsLong() - at > lateMs) {
             breach(
                     "started_cancelled",
--- a/src/test/java/notchpick/standin/StateStandIn.java
+++ b/src/test/java/notchpick/standin/StateStandIn.java
@@ -61,6 +61,10 @@
     private final List<Logged> log = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private final Set<String> refused = new HashSet<>();
+    /** When keys were deleted last. */
+    private final Map<String, Long> deletedAt = new HashMap<>();
+
+    private final Map<String, Runnable> listeners = new HashMap<>();
     private long revision;
     private long lastLease;
     private boolean outage;
@@ -313,9 +317,20 @@
     private void delete(String key) {
         if (items.remove(key) != null) {
             log.add(new Logged(key, null, revision));
+            deletedAt.put(key, clock.getAsLong());
         }
     }
 
+    /** The listener hears each time the key is written. */
+    public void whenPut(String key, Runnable listener) {
+        listeners.put(key, listener);
+    }
+
+    /** When the key was deleted last; negative: never. */
+    public long deletedAt(String key) {
+        return deletedAt.getOrDefault(key, -1L);
+    }
+
     private static ObjectNode json(String key, Item item) {
         ObjectNode node = Json.object().put("k", key).put("entryNo", item.version());
         if (item.lease() != 0) {
@@ -385,6 +400,7 @@
                         key,
                         new Item(write.get("v"), revision, write.path("permit").asLong()));
                 log.add(new Logged(key, write.get("v"), revision));
+                listeners.getOrDefault(key, () -> {}).run();
             } else {
                 delete(write.path("delete").asText());
             }
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/standin/WorkerStandIn.java
@@ -34,8 +34,22 @@
 
         /** A task has completed, just now. */
         default void completed(String task) {}
+
+        /** A worker carries out orders to start tasks that were given under this token. */
+        default void startedUnder(long token) {}
+
+        /** An order to start a task was lost on its way to a deaf machine. */
+        default void lostStart() {}
+
+        /** A worker drops an answer since it has seen a higher token. */
+        default void droppedOld() {}
     }
 
+    /** A worker gives a report up after so long, and drops an answer that comes later. */
+    private static final long PATIENCE_MS = 4000;
+
+    private static final Answer MALFORMED = new Answer(400, new byte[0]);
+
     private static final class Piece {
         private final String task;
         private final long attempt;
@@ -262,7 +276,7 @@
         byte[] before = Json.bytes(list);
         jobs.reported(Json.bytes(body));
         if (mute) {
-            simulation.after(4000, () -> answered(Answer.NONE, sentAt, sentSession, before));
+            simulation.after(PATIENCE_MS, () -> answered(Answer.NONE, sentAt, sentSession, before));
             return;
         }
         caller.call(
@@ -273,14 +287,27 @@
 
     private void heard(Answer answer, long sentAt, long sentSession, byte[] before) {
         if (deaf) {
+            if (answer.status() == 200) {
+                Json.object(answer.body()).path("orders").forEach(order -> {
+                    if (order.path("orderKind").asText().equals("run")) {
+                        jobs.lostStart();
+                    }
+                });
+            }
             simulation.after(
-                    sentAt + 4000 - simulation.now(), () -> answered(Answer.NONE, sentAt, sentSession, before));
+                    sentAt + PATIENCE_MS - simulation.now(), () -> answered(Answer.NONE, sentAt, sentSession, before));
         } else {
             answered(answer, sentAt, sentSession, before);
         }
     }
 
     private void answered(Answer answer, long sentAt, long sentSession, byte[] before) {
+        if (hanging && !dead) {
+            // What came meanwhile is read when the machine goes on, unless the report was given up by then.
+            onWake.add(() -> answered(
+                    simulation.now() - sentAt < PATIENCE_MS ? answer : Answer.NONE, sentAt, sentSession, before));
+            return;
+        }
         inFlight = false;
         if (dead) {
             return;
@@ -291,13 +318,11 @@
             boolean news = given > token;
             if (given >= token && sentSession == session) {
                 token = given;
-                if (!hanging) {
-                    leaseFrom = Math.max(leaseFrom, sentAt);
-                    watchLease();
-                    for (JsonNode order : body.path("orders")) {
-                        execute(order);
-                    }
-                }
+                leaseFrom = Math.max(leaseFrom, sentAt);
+                watchLease();
+                executeAll(body.path("orders"));
+            } else if (given < token) {
+                jobs.droppedOld();
             }
             ObjectNode now = Json.object();
             ArrayNode list = now.putArray("pieces");
@@ -328,6 +353,33 @@
         reportAt(simulation.now() + 1000);
     }
 
+    private void executeAll(JsonNode orders) {
+        for (JsonNode order : orders) {
+            if (order.path("orderKind").asText().equals("run")) {
+                jobs.startedUnder(token);
+            }
+            execute(order);
+        }
+    }
+
+    /** Serves a direct command: carried out only under the newest token, for the present session. */
+    public Answer command(ObjectNode body) {
+        if (!body.has("mandate") || !body.has("shift")) {
+            return MALFORMED;
+        }
+        if (dead || hanging || deaf) {
+            return Answer.NONE;
+        }
+        long given = body.path("mandate").asLong();
+        if (given < token || body.path("shift").asLong() != session) {
+            return new Answer(409, new byte[0]);
+        }
+        token = given;
+        executeAll(body.path("orders"));
+        change();
+        return new Answer(200, new byte[0]);
+    }
+
     private void execute(JsonNode order) {
         String task = order.path("piece").asText();
         long attempt = order.path("tryNo").asLong();
@@ -336,7 +388,7 @@
         switch (order.path("orderKind").asText()) {
             case "run" -> {
                 if (piece == null) {
-                    rules.ordered(name, task, reportMs + 4000);
+                    rules.ordered(name, task, reportMs + PATIENCE_MS);
                     start(key, new Piece(task, attempt));
                 }
             }
--- a/src/test/java/notchpick/standin/World.java
+++ b/src/test/java/notchpick/standin/World.java
@@ -50,7 +50,20 @@
             "cancelled-while-the-leader-was-refused",
             "refused-submissions",
             "untold-submissions",
-            "unanswered-writes");
+            "unanswered-writes",
+            "slow-packets",
+            "looks-at-an-election",
+            "looks-at-an-outage-end",
+            "orders-of-the-deposed",
+            "old-answers-dropped",
+            "cancelled-just-before-the-refusal",
+            "cancelled-just-after-the-refusal",
+            "cancelled-with-every-team-at-its-limit");
+    /** A cancellation and a refusal so close together count as of one moment. */
+    private static final long SAME_MOMENT_MS = 20;
+    /** A team whose room under its limit is less than this is at its limit. */
+    private static final Amounts LEAST_ROOM = new Amounts(1, 0, 0);
+
     /** How long a copy of a report may be under way, as a part of the workers' lease. */
     private static final double COPY_LEASES = 1.4;
 
@@ -106,6 +119,9 @@
     private final CloudStandIn cloud;
     private final List<String> nodes = new ArrayList<>();
     private final Map<String, String> names = new HashMap<>();
+    private boolean looksAtElections;
+    private int lostStarts;
+    private long refusedAt = Long.MIN_VALUE / 2;
     private int turn;
     private int turnedAway;
     private int untold;
@@ -154,6 +170,11 @@
         }
         cloud = new CloudStandIn(simulation::now, simulation::after, types, this::up, this::gone);
         network.serve(STATE, "state", state);
+        state.whenPut(Records.LEADER, () -> {
+            if (looksAtElections) {
+                lookAtLatest("looks-at-an-election");
+            }
+        });
         network.serve(CLOUD, "cloud", cloud);
         for (String zone : ZONES) {
             List.of("state", "cloud", "user").forEach(host -> network.join(host, "outside-" + zone));
@@ -432,9 +453,41 @@
         });
     }
 
-    /** Asks about the job at all controllers at once, a few times within milliseconds, and submits it once more. */
+    /** Sends the submission once more, to every controller. */
+    private void resubmitEverywhere(String job) {
+        long askedAt = simulation.now();
+        byte[] body = Json.bytes(truths.get(job).body());
+        for (String node : nodes) {
+            call(node, "POST", "/submissions", body, answer -> note(job, answer, askedAt));
+        }
+    }
+
+    /** From now on users look, at the moment of each election, at the last jobs that they were told of. */
+    public void looksAtElections(boolean on) {
+        looksAtElections = on;
+    }
+
+    /** The outage of the state service begins, or ends: then users look too, if they look at elections. */
+    public void outage(boolean on) {
+        state.outage(on);
+        if (!on && looksAtElections) {
+            lookAtLatest("looks-at-an-outage-end");
+        }
+    }
+
+    /** Looks at the jobs last told to be open, done and cancelled. */
+    private void lookAtLatest(String meeting) {
+        Map<String, String> latest = new HashMap<>();
+        status.forEach((job, told) -> latest.put(RuleBook.isFinal(told) ? told : "open", job));
+        latest.values().stream().filter(truths::containsKey).forEach(job -> {
+            look(job);
+            meet(meeting);
+        });
+    }
+
+    /** Asks about the job at all controllers at once, a few times within milliseconds, and submits it once more at each. */
     public void look(String job) {
-        resubmit(job);
+        resubmitEverywhere(job);
         for (int i = 0; i < 3; i++) {
             simulation.after(LOOK_MS * i, () -> {
                 long askedAt = simulation.now();
@@ -573,12 +626,76 @@
 
     /** How often something has come about that a scenario was made for. */
     public int met(String what) {
-        return what.equals("unanswered-writes") ? state.appliedUnanswered() : met.getOrDefault(what, 0);
+        return switch (what) {
+            case "unanswered-writes" -> state.appliedUnanswered();
+            case "slow-packets" -> network.delayed();
+            default -> met.getOrDefault(what, 0);
+        };
+    }
+
+    /** The state service answers 503 to this controller alone from now on, or no longer. */
+    public void refuse(String node, boolean on) {
+        state.refuse(node, on);
+        if (on && node.equals(leader())) {
+            refusedAt = simulation.now();
+            // What was cancelled a moment before has been seen by now.
+            truths.keySet().stream()
+                    .filter(job -> refusedAt - state.deletedAt(Records.OPEN + job) <= SAME_MOMENT_MS)
+                    .filter(job -> state.deletedAt(Records.OPEN + job) >= 0 && rules.isCancelAsked(job))
+                    .forEach(job -> meet("cancelled-just-before-the-refusal"));
+        }
+    }
+
+    @Override
+    public void startedUnder(long token) {
+        if (token < term()) {
+            meet("orders-of-the-deposed");
+        }
+    }
+
+    @Override
+    public void lostStart() {
+        lostStarts++;
+    }
+
+    /** Orders to start a task that were lost on their way to deaf machines. */
+    public int lostStarts() {
+        return lostStarts;
+    }
+
+    @Override
+    public void droppedOld() {
+        meet("old-answers-dropped");
+    }
+
+    private boolean isEveryTeamAtItsLimit() {
+        return teams.stream()
+                .filter(team -> team.most().cores() > 0)
+                .allMatch(team -> !team.allows(use(team.team()).plus(LEAST_ROOM)));
+    }
+
+    /** What the team's tasks hold that are on machines. */
+    private Amounts use(String team) {
+        Amounts use = Amounts.NONE;
+        for (WorkerStandIn worker : workers.values()) {
+            for (String task : worker.tasks()) {
+                JobSpec spec = truths.get(RuleBook.jobOf(task)).spec();
+                use = spec.team().equals(team) ? use.plus(spec.demand()) : use;
+            }
+        }
+        return use;
     }
 
     /** Under what circumstances a cancellation was confirmed. */
-    private void noteCancellation() {
+    private void noteCancellation(String job) {
         meet("cancellations");
+        long afterRefusalMs = state.deletedAt(Records.OPEN + job) - refusedAt;
+        if (afterRefusalMs >= 0 && afterRefusalMs <= SAME_MOMENT_MS) {
+            meet("cancelled-just-after-the-refusal");
+        }
+        if (teams.stream().anyMatch(team -> team.most().cores() > 0) && isEveryTeamAtItsLimit()) {
+            meet("cancelled-with-every-team-at-its-limit");
+        }
         if (leader() == null || term() == endedTerm) {
             meet("cancelled-while-nobody-led");
         } else if (state.refuses(leader())) {
@@ -602,11 +719,9 @@
     private boolean couldStart(Truth truth) {
         JobSpec spec = truth.spec();
         Map<String, Integer> fellows = new HashMap<>();
-        Amounts use = Amounts.NONE;
         for (WorkerStandIn worker : workers.values()) {
             for (String task : worker.tasks()) {
                 JobSpec other = truths.get(RuleBook.jobOf(task)).spec();
-                use = other.team().equals(spec.team()) ? use.plus(other.demand()) : use;
                 if (other == spec) {
                     fellows.merge(worker.zone(), 1, Integer::sum);
                 }
@@ -617,7 +732,7 @@
                 && !rules.isCancelAsked(spec.id())
                 && rules.completed(spec) + placed < spec.tasks()
                 && spec.needs().stream().allMatch(need -> "done".equals(told(need)));
-        Amounts wanted = use.plus(spec.demand());
+        Amounts wanted = use(spec.team()).plus(spec.demand());
         return waits
                 && teams.stream().anyMatch(team -> team.team().equals(spec.team()) && team.allows(wanted))
                 && workers.values().stream()
@@ -658,7 +773,7 @@
                 return;
             }
             if (told(job).equals("cancelled") && !before.equals("cancelled")) {
-                noteCancellation();
+                noteCancellation(job);
             }
             lookClosely(job);
         });
