--- a/src/main/java/notchpick/bookkeeping/Ledger.java
+++ b/src/main/java/notchpick/bookkeeping/Ledger.java
@@ -35,6 +35,8 @@
     private static final long REFUSED_MS = 10_000;
 
     private static final int MALFORMED = 400;
+    /** The state service takes so many times as many conditions as changes in a transaction. */
+    private static final int CONDITIONS_PER_WRITE = 4;
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
     private static final int MAX_BYTES = 58 << 10;
 
@@ -54,15 +56,30 @@
     private double budget;
     private long budgetAt;
 
+    /**
+     * Keys that a change does not write, and the versions that they must have for it to be made.
+     *
+     * @param outdated hears which of them have another version by now, before the change is tried again
+     */
+    public record Conditions(Map<String, Long> versions, Consumer<List<String>> outdated) {
+        /** A change that depends on nothing but what it writes. */
+        public static final Conditions NONE = new Conditions(Map.of(), keys -> {});
+
+        private List<String> among(List<String> stale) {
+            return stale.stream().filter(versions::containsKey).toList();
+        }
+    }
+
     /**
      * What a change comes to when its turn has come.
      *
      * @param overtaken hears that a key which must have a certain version has another
      * @param refused hears that the state service will never take this, before it is tried again
      */
-    public record Prepared(List<Write> writes, Runnable durable, Runnable overtaken, Runnable refused) {
+    public record Prepared(
+            List<Write> writes, Conditions conditions, Runnable durable, Runnable overtaken, Runnable refused) {
         public Prepared(List<Write> writes, Runnable durable, Runnable overtaken) {
-            this(writes, durable, overtaken, () -> {});
+            this(writes, Conditions.NONE, durable, overtaken, () -> {});
         }
     }
 
@@ -191,10 +208,19 @@
             busy = false;
             return;
         }
+        addConditions(transaction, batch, CONDITIONS_PER_WRITE * maxWrites - 1 - writes);
         budget -= writes;
         state.commit(transaction, inTurn(result -> committed(batch, result)));
     }
 
+    /** As many as a transaction may have. */
+    private static void addConditions(Transaction transaction, List<Sent> batch, int most) {
+        batch.stream()
+                .flatMap(sent -> sent.prepared().conditions().versions().entrySet().stream())
+                .limit(most)
+                .forEach(condition -> transaction.guard(condition.getKey(), condition.getValue()));
+    }
+
     private <T> Consumer<T> inTurn(Consumer<T> then) {
         return value -> timer.accept(0L, () -> then.accept(value));
     }
@@ -232,6 +258,10 @@
         }
         List<String> reread = new ArrayList<>();
         for (Sent sent : batch) {
+            List<String> outdated = sent.prepared().conditions().among(stale);
+            if (!outdated.isEmpty()) {
+                sent.prepared().conditions().outdated().accept(outdated);
+            }
             boolean overtaken = false;
             for (Write write : sent.prepared().writes()) {
                 if (stale.contains(write.key())) {
--- a/src/main/java/notchpick/bookkeeping/SharedValues.java
+++ b/src/main/java/notchpick/bookkeeping/SharedValues.java
@@ -14,6 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
+import notchpick.bookkeeping.Ledger.Conditions;
 import notchpick.bookkeeping.Ledger.Prepared;
 import notchpick.bookkeeping.Ledger.Write;
 
@@ -53,6 +54,7 @@
     private final int limit;
     private final int maxWrites;
     private final Consumer<List<U>> durable;
+    private Function<List<U>, Conditions> conditions = units -> Conditions.NONE;
     private final Map<Integer, Slot<U>> slots = new TreeMap<>();
     private final Map<U, Slot<U>> slotOf = new HashMap<>();
     /** Values in which a unit stands too that has moved, and is not durable where it is now. */
@@ -119,6 +121,11 @@
         this.durable = durable;
     }
 
+    /** From now on units are written only where the conditions hold that they need at that moment. */
+    public void writtenOnlyIf(Function<List<U>, Conditions> needed) {
+        conditions = needed;
+    }
+
     /** Notes a value that has been read, with those of its units that still matter. */
     public void loaded(String key, Collection<U> units) {
         Slot<U> slot =
@@ -245,6 +252,7 @@
         alone = Math.max(0, alone - 1);
         return new Prepared(
                 writes,
+                conditions.apply(units),
                 () -> {
                     written.forEach((slot, changes) -> slot.saved = changes);
                     units.forEach(this::awaitNoMore);
--- a/src/main/java/notchpick/coordination/leading/Leader.java
+++ b/src/main/java/notchpick/coordination/leading/Leader.java
@@ -144,7 +144,7 @@
                 this::after,
                 this::roundSoon,
                 this::answerHeld);
-        this.starts = new Starts(loop, deployment, roster, ledger, fleet, this::answer);
+        this.starts = new Starts(loop, deployment, roster, ledger, fleet, this::answer, jobs::over);
         this.reports = new Reports(
                 loop,
                 deployment,
--- a/src/main/java/notchpick/coordination/leading/OpenJobs.java
+++ b/src/main/java/notchpick/coordination/leading/OpenJobs.java
@@ -212,6 +212,13 @@
         pipelines.closed(id);
     }
 
+    /** The state service has told that these jobs are over, before the watch has; how they ended is read. */
+    void over(List<String> ids) {
+        ids.forEach(this::closed);
+        pipelines.settle();
+        changed.run();
+    }
+
     /** For what they need has been: they never ran, so nothing else becomes of them. */
     private void cancelled(Collection<String> ids) {
         for (String id : ids) {
--- a/src/main/java/notchpick/coordination/leading/Starts.java
+++ b/src/main/java/notchpick/coordination/leading/Starts.java
@@ -1,14 +1,17 @@
 package notchpick.coordination.leading;
 
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.bookkeeping.Binding;
 import notchpick.bookkeeping.Binding.Phase;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Ledger;
+import notchpick.bookkeeping.Ledger.Conditions;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
 import notchpick.bookkeeping.Records;
@@ -29,8 +32,18 @@
     private final Consumer<Machine> ready;
     private final SharedValues<Binding> values;
 
-    /** @param ready hears of machines that have starts which may now be ordered */
-    Starts(EventLoop loop, Deployment deployment, Roster roster, Ledger ledger, Fleet fleet, Consumer<Machine> ready) {
+    /**
+     * @param ready hears of machines that have starts which may now be ordered
+     * @param over hears of jobs that turned out to be over when tasks of them were to be started
+     */
+    Starts(
+            EventLoop loop,
+            Deployment deployment,
+            Roster roster,
+            Ledger ledger,
+            Fleet fleet,
+            Consumer<Machine> ready,
+            Consumer<List<String>> over) {
         this.loop = loop;
         this.roster = roster;
         this.ledger = ledger;
@@ -44,6 +57,27 @@
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
                 this::durable);
+        values.writtenOnlyIf(bindings -> new Conditions(
+                openJobs(bindings),
+                keys -> over.accept(keys.stream()
+                        .map(key -> key.substring(Records.OPEN.length()))
+                        .toList())));
+    }
+
+    /**
+     * The descriptions of the jobs of which tasks are to be started, which a cancellation deletes. A start can so become
+     * durable, and its order go out, only if that was committed before the job's cancellation was: however late the
+     * leader hears of it.
+     */
+    private Map<String, Long> openJobs(List<Binding> bindings) {
+        Map<String, Long> versions = new HashMap<>();
+        for (Binding binding : bindings) {
+            Job job = roster.jobs.get(binding.spec.id());
+            if (binding.phase == Phase.PLANNED && job != null) {
+                versions.put(Records.OPEN + binding.spec.id(), job.version);
+            }
+        }
+        return versions;
     }
 
     /** What a former leader may have sent: it blocks those tasks, and counts, until workers tell. */
