--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -10,13 +10,13 @@
 import notchpick.coordination.Tuning;
 import notchpick.coordination.leading.Leader;
 import notchpick.coordination.leading.Placer;
-import notchpick.coordination.membership.Candidacy;
+import notchpick.coordination.membership.ElectionPriority;
 import notchpick.coordination.membership.Elector;
+import notchpick.coordination.membership.FailoverStateTransport;
 import notchpick.coordination.membership.Links;
 import notchpick.coordination.membership.Peers;
 import notchpick.coordination.membership.ReportRoutes;
-import notchpick.coordination.membership.StateRoutes;
-import notchpick.coordination.users.FrontDoor;
+import notchpick.coordination.users.UserRequestHandler;
 import notchpick.protocol.CloudApi;
 import notchpick.protocol.InvalidMessage;
 import notchpick.protocol.Json;
@@ -42,7 +42,7 @@
 import notchpick.transport.Caller.Answer;
 import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
-import notchpick.transport.Gathered;
+import notchpick.transport.ResultCollector;
 
 /** Wires the actors of one controller together and passes requests on to them. */
 public final class Controller extends Actor<Controller.Message> implements Elector.Listener {
@@ -66,11 +66,11 @@
     private final StateApi state;
     private final CloudApi cloud;
     private final Links links;
-    private final StateRoutes routes;
+    private final FailoverStateTransport routes;
     private final Elector elector;
     private final ReportRoutes reportRoutes;
     private final Peers peers;
-    private final FrontDoor frontDoor;
+    private final UserRequestHandler userRequests;
     private final long leaderLeaseMs;
     private Leader leader;
     private List<MachineType> types;
@@ -83,7 +83,7 @@
         this.leaderLeaseMs = (long) (deployment.workerLeaseS() * 1000 * tuning.leaderLeaseRatio());
         this.links = new Links(loop, deployment);
         this.peers = new Peers(loop, deployment, inTurn, this::pulse, this::heard, links, this::linkTable);
-        this.routes = new StateRoutes(loop, inTurn, links, peers, leaderLeaseMs);
+        this.routes = new FailoverStateTransport(loop, inTurn, links, peers, leaderLeaseMs);
         this.state = new StateApi(routes, loop, deployment.stateAddress(), STATE_TIMEOUT_MS, deployment.requestsPerS());
         this.cloud = new CloudApi(inTurn, deployment.cloudAddress(), CLOUD_TIMEOUT_MS);
         this.elector = new Elector(
@@ -92,10 +92,10 @@
                 state,
                 random,
                 leaderLeaseMs,
-                new Candidacy(links, peers, routes, (long) (deployment.reportS() * 1000), leaderLeaseMs),
+                new ElectionPriority(links, peers, routes, (long) (deployment.reportS() * 1000), leaderLeaseMs),
                 this);
         this.reportRoutes = new ReportRoutes(loop, deployment, elector, peers, links);
-        this.frontDoor = new FrontDoor(loop, deployment, state, this::progress);
+        this.userRequests = new UserRequestHandler(loop, deployment, state, this::progress);
     }
 
     /** Serves users, workers and health checks. */
@@ -158,13 +158,13 @@
                                     ? answer
                                     : new Answer(503, Json.bytes(UserWire.error("no state service")), 1)));
         } else {
-            frontDoor.tell(new FrontDoor.Request(call, reply));
+            userRequests.tell(new UserRequestHandler.Request(call, reply));
         }
     }
 
     /** In an outage that all share, leaving the balancer's list would help nobody. */
     private boolean isReady() {
-        return frontDoor.ready() && !elector.isForeign() && (state.reachable() || peers.withState() == null);
+        return userRequests.ready() && !elector.isForeign() && (state.reachable() || peers.withState() == null);
     }
 
     private void report(Call call, Consumer<Answer> toWorker, long at) {
@@ -188,7 +188,7 @@
     /** Reports that another controller passes on. They go no further from here. */
     private void passedReports(ReportBatch batch, Consumer<Answer> reply, long at) {
         long restMs = batch.getPatienceMs() - (loop.now() - at);
-        Gathered<Outcome> outcomes = new Gathered<>(
+        ResultCollector<Outcome> outcomes = new ResultCollector<>(
                 batch.getReports().size(),
                 outcome(new Answer(503, new byte[0])),
                 all -> reply.accept(new Answer(200, PeerWire.bytes(new Outcomes(all)))));
@@ -238,7 +238,7 @@
         } else if (body instanceof Relay relay) {
             byte[] content = relay.getContent().getBytes(java.nio.charset.StandardCharsets.UTF_8);
             Call relayed = new Call(null, relay.getMethod(), relay.getPath(), content);
-            frontDoor.tell(new FrontDoor.Request(
+            userRequests.tell(new UserRequestHandler.Request(
                     relayed,
                     here(answer -> reply.accept(new Answer(
                             200,
@@ -318,7 +318,7 @@
             return;
         }
         types = known;
-        frontDoor.tell(new FrontDoor.TypesKnown(known));
+        userRequests.tell(new UserRequestHandler.TypesKnown(known));
         if (leader != null) {
             leader.tell(new Leader.TypesKnown(known));
         }
--- a/src/main/java/notchpick/bookkeeping/Roster.java
+++ b/src/main/java/notchpick/bookkeeping/ClusterState.java
@@ -12,21 +12,21 @@
 import notchpick.scheduling.JobSpec;
 
 /** The open jobs, the machines, and what is bound where. */
-public final class Roster {
+public final class ClusterState {
     public final Map<String, Job> jobs = new LinkedHashMap<>();
     public final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Amounts> use = new HashMap<>();
-    private final Map<String, Set<Binding>> byJob = new HashMap<>();
-    private final Consumer<Binding> released;
+    private final Map<String, Set<TaskAssignment>> byJob = new HashMap<>();
+    private final Consumer<TaskAssignment> released;
 
     /** @param released hears of every binding that is over */
-    public Roster(Consumer<Binding> released) {
+    public ClusterState(Consumer<TaskAssignment> released) {
         this.released = released;
     }
 
-    public Binding bind(JobSpec spec, int task, Machine machine, long attempt, Binding.Phase phase) {
-        Binding binding = new Binding(spec, task, machine, attempt, phase);
-        Binding former = machine.bindings.get(binding.taskName());
+    public TaskAssignment bind(JobSpec spec, int task, Machine machine, long attempt, TaskAssignment.Phase phase) {
+        TaskAssignment binding = new TaskAssignment(spec, task, machine, attempt, phase);
+        TaskAssignment former = machine.bindings.get(binding.taskName());
         if (former != null) {
             unbind(former);
         }
@@ -50,7 +50,7 @@
     }
 
     /** The task surely is not on the machine any more. */
-    public void unbind(Binding binding) {
+    public void unbind(TaskAssignment binding) {
         if (!binding.machine.bindings.remove(binding.taskName(), binding)) {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /** A job's tasks that are, or may be, on machines; its own copy. */
-    public Collection<Binding> bindingsOf(String job) {
+    public Collection<TaskAssignment> bindingsOf(String job) {
         return List.copyOf(byJob.getOrDefault(job, Set.of()));
     }
 
@@ -104,7 +104,7 @@
     /** How many of a job's tasks are, or may be, in each zone. */
     public Map<String, Integer> zonesOf(String job) {
         Map<String, Integer> zones = new HashMap<>();
-        for (Binding binding : byJob.getOrDefault(job, Set.of())) {
+        for (TaskAssignment binding : byJob.getOrDefault(job, Set.of())) {
             zones.merge(binding.machine.zone(), 1, Integer::sum);
         }
         return zones;
--- a/src/main/java/notchpick/bookkeeping/Ledger.java
+++ b/src/main/java/notchpick/bookkeeping/FencedWriter.java
@@ -28,8 +28,8 @@
  * the version last known, so that a transaction that got no answer can't undo a later one when it is
  * applied after all. One transaction is on its way at a time; changes gather meanwhile.
  */
-public final class Ledger {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class FencedWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(FencedWriter.class);
     private static final long RETRY_MS = 200;
     /** What was refused for good alone is tried again only now and then. */
     private static final long REFUSED_MS = 10_000;
@@ -120,7 +120,7 @@
     }
 
     /** @param timer runs something in the owner's turn after some milliseconds */
-    public Ledger(
+    public FencedWriter(
             StateApi state,
             EventLoop loop,
             BiConsumer<Long, Runnable> timer,
--- a/src/main/java/notchpick/bookkeeping/Machine.java
+++ b/src/main/java/notchpick/bookkeeping/Machine.java
@@ -27,7 +27,7 @@
     public final String name;
     public final Pool pool;
     public final Amounts size;
-    public final Map<String, Binding> bindings = new LinkedHashMap<>();
+    public final Map<String, TaskAssignment> bindings = new LinkedHashMap<>();
     public final Set<String> images = new HashSet<>();
     public Life life = Life.BOOTING;
     public long knownSince;
@@ -118,12 +118,12 @@
         room = size.minus(leased).minus(held);
     }
 
-    void hold(Binding binding) {
+    void hold(TaskAssignment binding) {
         held = held.plus(binding.spec.demand());
         room = room.minus(binding.spec.demand());
     }
 
-    void free(Binding binding) {
+    void free(TaskAssignment binding) {
         // Sums of decimals drift; with nothing left they start afresh.
         held = bindings.isEmpty() ? Amounts.NONE : held.minus(binding.spec.demand());
         room = size.minus(leased).minus(held);
--- a/src/main/java/notchpick/bookkeeping/SharedValues.java
+++ b/src/main/java/notchpick/bookkeeping/PackedRecords.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
-import notchpick.bookkeeping.Ledger.Conditions;
-import notchpick.bookkeeping.Ledger.Prepared;
-import notchpick.bookkeeping.Ledger.Write;
+import notchpick.bookkeeping.FencedWriter.Conditions;
+import notchpick.bookkeeping.FencedWriter.Prepared;
+import notchpick.bookkeeping.FencedWriter.Write;
 
 /**
  * Many small units that share a few values of the state service, so that one write takes many of them
@@ -26,7 +26,7 @@
  * than there is, never less. The same holds where a value is longer than it may be now, since another version
  * wrote it, or the limit has fallen: it stays as it is until enough of it is over, or stands elsewhere durably.
  */
-public final class SharedValues<U> {
+public final class PackedRecords<U> {
     /**
      * How units are put into a value.
      *
@@ -47,7 +47,7 @@
     /** A transaction may hold this much in all; guards and keys need some of it. */
     private static final int TRANSACTION_BYTES = 48 << 10;
 
-    private final Ledger ledger;
+    private final FencedWriter writer;
     private final String prefix;
     private final Form<U> form;
     private final Fill fill;
@@ -103,15 +103,15 @@
      * @param maxWrites the most that one transaction may write
      * @param durable hears which units the state service now has, as they were when that write was prepared
      */
-    public SharedValues(
-            Ledger ledger,
+    public PackedRecords(
+            FencedWriter writer,
             String prefix,
             Form<U> form,
             Fill fill,
             int valueBytes,
             int maxWrites,
             Consumer<List<U>> durable) {
-        this.ledger = ledger;
+        this.writer = writer;
         this.prefix = prefix;
         this.form = form;
         this.fill = fill;
@@ -158,7 +158,7 @@
             slotOf.put(unit, slot);
         }
         slot.changes++;
-        ledger.write(prefix, this::prepare);
+        writer.write(prefix, this::prepare);
     }
 
     private void awaitElsewhere(U unit, Slot<U> slot) {
@@ -194,7 +194,7 @@
         }
         if (stalest != null) {
             stalest.changes++;
-            ledger.write(prefix, this::prepare);
+            writer.write(prefix, this::prepare);
         }
     }
 
@@ -258,7 +258,7 @@
                     units.forEach(this::awaitNoMore);
                     durable.accept(units);
                     if (slots.values().stream().anyMatch(Slot::isDue)) {
-                        ledger.write(prefix, this::prepare);
+                        writer.write(prefix, this::prepare);
                     }
                 },
                 () -> {},
@@ -271,7 +271,7 @@
             halve(written.iterator().next());
         } else {
             alone = written.size();
-            ledger.write(prefix, this::prepare);
+            writer.write(prefix, this::prepare);
         }
     }
 
--- a/src/main/java/notchpick/bookkeeping/Records.java
+++ b/src/main/java/notchpick/bookkeeping/Records.java
@@ -177,12 +177,12 @@
      * Tasks that may be on machines. Of each task's job it holds what counts against a team's limit,
      * since the job may be over, and its description gone, when a new leader reads it.
      */
-    public static ObjectNode starts(Collection<Binding> bindings) {
+    public static ObjectNode starts(Collection<TaskAssignment> bindings) {
         ObjectNode node = Json.object();
         ObjectNode jobs = node.putObject("jobs");
         ObjectNode machines = node.putObject("machines");
         Map<Machine, ArrayNode> tasks = new HashMap<>();
-        for (Binding binding : bindings) {
+        for (TaskAssignment binding : bindings) {
             String job = binding.spec.id();
             if (!jobs.has(job)) {
                 Amounts demand = binding.spec.demand();
@@ -207,7 +207,7 @@
     }
 
     /** As many bytes as a task takes among {@link #starts} at the most. */
-    public static int startBytes(Binding binding) {
+    public static int startBytes(TaskAssignment binding) {
         JobSpec spec = binding.spec;
         Amounts demand = spec.demand();
         int job = Json.textBytes(spec.id()) * 2
--- a/src/main/java/notchpick/bookkeeping/Binding.java
+++ b/src/main/java/notchpick/bookkeeping/TaskAssignment.java
@@ -3,7 +3,7 @@
 import notchpick.scheduling.JobSpec;
 
 /** A task that is, or may be, on a machine. It holds its resources there until it surely is not. */
-public final class Binding {
+public final class TaskAssignment {
     /** How sure it is that the task is there. */
     public enum Phase {
         /** A former leader may have sent it there. */
@@ -21,7 +21,7 @@
     /** Users count a start only if the task is then left alone for half a minute. */
     private static final long LEFT_ALONE_MS = 35_000;
 
-    /** As its job's; see {@link Roster#respec}. */
+    /** As its job's; see {@link ClusterState#respec}. */
     public JobSpec spec;
 
     public final int task;
@@ -37,7 +37,7 @@
     /** If its job is over: that was not called off before. */
     public long overSince;
 
-    public Binding(JobSpec spec, int task, Machine machine, long attempt, Phase phase) {
+    public TaskAssignment(JobSpec spec, int task, Machine machine, long attempt, Phase phase) {
         this.spec = spec;
         this.task = task;
         this.machine = machine;
--- a/src/main/java/notchpick/coordination/Fates.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -17,7 +17,7 @@
  * How jobs ended that are not open any more: read from the state service, those of neighbouring ids by one request,
  * and kept, since ends are for good.
  */
-public final class Fates {
+public final class JobOutcomes {
     private static final int PAGE = 100;
     private static final int KEPT = 20_000;
 
@@ -31,7 +31,7 @@
         }
     };
 
-    public Fates(StateApi state) {
+    public JobOutcomes(StateApi state) {
         this.state = state;
     }
 
--- a/src/main/java/notchpick/coordination/leading/Demand.java
+++ b/src/main/java/notchpick/coordination/leading/Demand.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
-import notchpick.bookkeeping.Roster;
 import notchpick.coordination.Deployment;
 import notchpick.scheduling.Amounts;
 import notchpick.scheduling.Estimates;
@@ -24,7 +24,7 @@
 final class Demand {
     private final EventLoop loop;
     private final Deployment deployment;
-    private final Roster roster;
+    private final ClusterState cluster;
     private final Estimates estimates;
     private final Map<String, MachineType> types;
     private final Predicate<Pool> refused;
@@ -36,13 +36,13 @@
     Demand(
             EventLoop loop,
             Deployment deployment,
-            Roster roster,
+            ClusterState cluster,
             Estimates estimates,
             Map<String, MachineType> types,
             Predicate<Pool> refused) {
         this.loop = loop;
         this.deployment = deployment;
-        this.roster = roster;
+        this.cluster = cluster;
         this.estimates = estimates;
         this.types = types;
         this.refused = refused;
@@ -51,7 +51,7 @@
     /** In the order in which jobs are served. */
     List<Need> needs() {
         List<Waiting<Job>> order = new ArrayList<>();
-        for (Job job : roster.jobs.values()) {
+        for (Job job : cluster.jobs.values()) {
             if (job.held) {
                 continue;
             }
@@ -61,7 +61,7 @@
         }
         Map<String, Amounts> byTeam = new HashMap<>();
         double cores = 0;
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             cores += machine.life == Life.BOOTING || machine.life == Life.UP ? machine.size.cores() : 0;
         }
         double aheadS = 0;
@@ -105,7 +105,7 @@
 
     /** Whether no machine it may use is rented cheaply, nor can be: it would wait for ever. */
     private boolean isStranded(JobSpec spec) {
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.spot()
                     && machine.life != Life.RELEASED
                     && spec.demand().fitsIn(machine.size)
--- a/src/main/java/notchpick/coordination/leading/Fleet.java
+++ b/src/main/java/notchpick/coordination/leading/Fleet.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Ledger;
-import notchpick.bookkeeping.Ledger.Prepared;
-import notchpick.bookkeeping.Ledger.Write;
+import notchpick.bookkeeping.ClusterState;
+import notchpick.bookkeeping.FencedWriter;
+import notchpick.bookkeeping.FencedWriter.Prepared;
+import notchpick.bookkeeping.FencedWriter.Write;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
 import notchpick.bookkeeping.Records;
-import notchpick.bookkeeping.Roster;
 import notchpick.coordination.Deployment;
 import notchpick.protocol.CloudApi;
 import notchpick.protocol.CloudApi.Listed;
@@ -40,15 +40,15 @@
 
     private final EventLoop loop;
     private final Deployment deployment;
-    private final Roster roster;
+    private final ClusterState cluster;
     private final CloudApi cloud;
-    private final Ledger ledger;
+    private final FencedWriter writer;
     private final String requestPrefix;
     private final Consumer<Machine> gone;
     private final Runnable refused;
     private final BiConsumer<Long, Runnable> timer;
 
-    private final Boots boots;
+    private final ProvisioningMonitor boots;
     private final Demand demand;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<Pool, Long> refusedUntil = new HashMap<>();
@@ -67,26 +67,26 @@
     Fleet(
             EventLoop loop,
             Deployment deployment,
-            Roster roster,
+            ClusterState cluster,
             Estimates estimates,
             CloudApi cloud,
-            Ledger ledger,
+            FencedWriter writer,
             long term,
             Consumer<Machine> gone,
             Runnable refused,
             BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
-        this.roster = roster;
+        this.cluster = cluster;
         this.cloud = cloud;
-        this.ledger = ledger;
+        this.writer = writer;
         // The term belongs to one controller and one of its lives, so the names are never used again.
         this.requestPrefix = deployment.node() + "-" + term + "-";
         this.gone = gone;
         this.refused = refused;
         this.timer = timer;
-        this.boots = new Boots(roster, this::bootMs, deployment.reportS() * 1000);
-        this.demand = new Demand(loop, deployment, roster, estimates, types, this::wasRefused);
+        this.boots = new ProvisioningMonitor(cluster, this::bootMs, deployment.reportS() * 1000);
+        this.demand = new Demand(loop, deployment, cluster, estimates, types, this::wasRefused);
     }
 
     void typesKnown(List<MachineType> known) {
@@ -134,7 +134,7 @@
     /** What a former leader may have asked the cloud to take back: not to be used again. */
     void load(List<String> names) {
         for (String name : names) {
-            Machine machine = roster.machines.computeIfAbsent(
+            Machine machine = cluster.machines.computeIfAbsent(
                     name, n -> new Machine(n, new Pool("", "", false), Amounts.NONE, loop.now()));
             machine.life = Life.RELEASED;
             machine.releaseDurable = true;
@@ -158,7 +158,7 @@
         }
         List<Need> needs = demand.needs();
         List<Owned> owned = new ArrayList<>();
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             boolean isHere = machine.life == Life.UP
                     && machine.noticeS == null
                     // What is silent takes nothing new; what runs there is not rented for twice.
@@ -175,9 +175,10 @@
                 rent(pool, count);
             }
         });
-        Silence silence = new Silence(roster.machines.values(), now, awakeSince, silentForLongMs());
+        ZoneOutageDetector silence =
+                new ZoneOutageDetector(cluster.machines.values(), now, awakeSince, silentForLongMs());
         boolean leaving = false;
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             retire(
                     machine,
                     plan.unneeded().contains(machine.name),
@@ -187,7 +188,7 @@
             leaving |= machine.life == Life.RELEASED && !machine.releaseDurable;
         }
         if (leaving) {
-            ledger.write(Records.RELEASED, this::saveReleased);
+            writer.write(Records.RELEASED, this::saveReleased);
         }
         release();
     }
@@ -232,7 +233,7 @@
                             pool.zone(),
                             pool.spot() ? " (spot)" : "");
                     for (String name : result.machines()) {
-                        roster.machines.computeIfAbsent(name, n -> new Machine(n, pool, size(pool.type()), now));
+                        cluster.machines.computeIfAbsent(name, n -> new Machine(n, pool, size(pool.type()), now));
                     }
                     if (result.refused() || result.machines().size() < number) {
                         refusedUntil.put(pool, now + (long) (bootMs(pool.type()) * 0.7));
@@ -294,7 +295,7 @@
         int bytes = 0;
         boolean more = false;
         for (boolean durable : new boolean[] {true, false}) {
-            for (Machine machine : roster.machines.values()) {
+            for (Machine machine : cluster.machines.values()) {
                 if (machine.life == Life.RELEASED && machine.releaseDurable == durable) {
                     int size = Records.releasedBytes(machine);
                     if (durable || bytes + size <= deployment.valueBytes() - RELEASED_FRAME_BYTES) {
@@ -324,7 +325,7 @@
             return;
         }
         List<String> names = new ArrayList<>();
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.releaseDurable && names.size() < CloudApi.MAX_RELEASE) {
                 names.add(machine.name);
             }
@@ -342,10 +343,10 @@
                     }
                     LOG.info("released {}", names);
                     for (String name : names) {
-                        Machine machine = roster.machines.get(name);
+                        Machine machine = cluster.machines.get(name);
                         released.add(name);
                         gone.accept(machine);
-                        roster.machines.remove(name);
+                        cluster.machines.remove(name);
                     }
                     release();
                 }));
@@ -377,7 +378,7 @@
             return;
         }
         long now = loop.now();
-        Machine machine = roster.machines.computeIfAbsent(listed.machine(), name -> {
+        Machine machine = cluster.machines.computeIfAbsent(listed.machine(), name -> {
             Pool pool = new Pool(listed.type(), listed.zone(), listed.spot());
             Machine found = new Machine(name, pool, size(listed.type()), now);
             found.knownSince = now - (long) (listed.ageS() * 1000);
--- a/src/main/java/notchpick/coordination/leading/Leader.java
+++ b/src/main/java/notchpick/coordination/leading/Leader.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import notchpick.bookkeeping.Binding;
+import notchpick.bookkeeping.ClusterState;
+import notchpick.bookkeeping.FencedWriter;
+import notchpick.bookkeeping.FencedWriter.Prepared;
+import notchpick.bookkeeping.FencedWriter.Write;
 import notchpick.bookkeeping.Job;
-import notchpick.bookkeeping.Ledger;
-import notchpick.bookkeeping.Ledger.Prepared;
-import notchpick.bookkeeping.Ledger.Write;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
 import notchpick.bookkeeping.Records;
-import notchpick.bookkeeping.Roster;
+import notchpick.bookkeeping.TaskAssignment;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
-import notchpick.coordination.membership.Candidacy;
+import notchpick.coordination.membership.ElectionPriority;
 import notchpick.coordination.membership.Links;
 import notchpick.coordination.membership.Peers;
 import notchpick.protocol.CloudApi;
@@ -64,17 +64,17 @@
     private final Consumer<String> giveWay;
     private final long term;
     private final long graceMs;
-    private final Entitlement entitlement;
-    private final Roster roster = new Roster(this::released);
+    private final LeaderAuthority authority;
+    private final ClusterState cluster = new ClusterState(this::released);
     private final Estimates estimates = new Estimates();
-    private final Ledger ledger;
-    private final RoomLeases leases;
-    private final Granting granting;
+    private final FencedWriter writer;
+    private final ResourceLeases leases;
+    private final ResourceAllocator allocator;
     private final Fleet fleet;
     private final OpenJobs jobs;
-    private final Starts starts;
+    private final TaskLaunchLog starts;
     private final Reports reports;
-    private final TakeOver takeOver;
+    private final LeaderRecovery recovery;
     private long tickedAt;
     /** When this controller last stood still, the end of that. */
     private long awakeSince;
@@ -114,12 +114,12 @@
         this.detourMs = detourMs;
         this.giveWay = giveWay;
         this.term = term;
-        this.entitlement = new Entitlement(loop::now, deployment, leaderLeaseMs / 1000.0, claimUntil);
+        this.authority = new LeaderAuthority(loop::now, deployment, leaderLeaseMs / 1000.0, claimUntil);
         this.lastReportAt = loop.now();
         this.bypassedSince = loop.now();
         this.awakeSince = loop.now();
         this.graceMs = deployment.graceMs(leaderLeaseMs / 1000.0);
-        this.ledger = new Ledger(
+        this.writer = new FencedWriter(
                 state,
                 loop,
                 this::after,
@@ -128,40 +128,42 @@
                 0.7 * deployment.stateWriteRps(),
                 () -> giveWay.accept("its key is not there any more"));
         this.fleet = new Fleet(
-                loop, deployment, roster, estimates, cloud, ledger, term, this::gone, this::reviewFleet, this::after);
-        this.leases = new RoomLeases(
-                loop, deployment, tuning, roster, peers, term, this::placed, this::roundSoon, this::after);
-        this.granting = new Granting(loop, deployment, tuning, roster, estimates, leases, fleet::fetchGbPerS);
+                loop, deployment, cluster, estimates, cloud, writer, term, this::gone, this::reviewFleet, this::after);
+        this.leases = new ResourceLeases(
+                loop, deployment, tuning, cluster, peers, term, this::placed, this::roundSoon, this::after);
+        this.allocator =
+                new ResourceAllocator(loop, deployment, tuning, cluster, estimates, leases, fleet::fetchGbPerS);
         this.jobs = new OpenJobs(
                 loop,
                 deployment,
                 state,
-                roster,
-                ledger,
-                entitlement,
+                cluster,
+                writer,
+                authority,
                 leaderLeaseMs / WATCHES_PER_LEASE,
                 this::stageS,
                 this::after,
                 this::roundSoon,
                 this::answerHeld);
-        this.starts = new Starts(loop, deployment, roster, ledger, fleet, this::answer, jobs::over);
+        this.starts = new TaskLaunchLog(loop, deployment, cluster, writer, fleet, this::answer, jobs::over);
         this.reports = new Reports(
                 loop,
                 deployment,
-                roster,
+                cluster,
                 estimates,
                 fleet,
                 jobs,
                 starts,
                 term,
-                entitlement,
+                authority,
                 () -> rounds,
                 this::roundSoon,
                 this::after);
-        this.takeOver = new TakeOver(loop, state, ledger, this::after, jobs, starts, fleet, granting, this::begin);
+        this.recovery =
+                new LeaderRecovery(loop, state, writer, this::after, jobs, starts, fleet, allocator, this::begin);
         every(unreadMs(), () -> {
             // In an outage nobody else could read it either.
-            if (!entitlement.isLoaded() && entitlement.heldMs() > deployment.reportS() * 1000) {
+            if (!authority.isLoaded() && authority.heldMs() > deployment.reportS() * 1000) {
                 giveWay.accept("what a former leader left can't be read");
             }
         });
@@ -177,7 +179,7 @@
         return estimates.runS(spec) + deployment.reportS() / 2 + fleet.fetchS(spec.imageGb());
     }
 
-    private void released(Binding binding) {
+    private void released(TaskAssignment binding) {
         starts.over(binding);
     }
 
@@ -192,12 +194,12 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof ClaimRenewed renewed) {
-            entitlement.claimRenewed(renewed.until());
+            authority.claimRenewed(renewed.until());
         } else if (message instanceof TypesKnown known) {
             fleet.typesKnown(known.types());
             if (!begun) {
                 begun = true;
-                takeOver.begin();
+                recovery.begin();
             }
         } else if (message instanceof Reported reported) {
             noteWay(reported.report(), reported.passed());
@@ -210,8 +212,8 @@
     }
 
     private void begin(long revision) {
-        entitlement.loaded();
-        log.info("term {}: took over {} jobs and {} machines", term, roster.jobs.size(), roster.machines.size());
+        authority.loaded();
+        log.info("term {}: took over {} jobs and {} machines", term, cluster.jobs.size(), cluster.machines.size());
         jobs.watch(revision);
         long period = (long) (deployment.reportS() * 1000);
         fleet.list();
@@ -223,19 +225,19 @@
     }
 
     private void saveCommitments() {
-        ledger.write(
+        writer.write(
                 Records.COMMITMENTS,
                 () -> new Prepared(
                         List.of(Write.put(
                                 Records.COMMITMENTS,
-                                Records.commitments(granting.commitments(), deployment.valueBytes()))),
+                                Records.commitments(allocator.commitments(), deployment.valueBytes()))),
                         () -> {},
                         () -> {}));
     }
 
     /** Who reports here twice running got the first answer; others may report here in vain. */
     private void noteWay(Report report, boolean passed) {
-        Machine machine = roster.machines.get(report.machine());
+        Machine machine = cluster.machines.get(report.machine());
         if (passed && passedSince == 0) {
             passedSince = loop.now();
         }
@@ -249,13 +251,13 @@
         }
     }
 
-    private void placed(Binding binding) {
+    private void placed(TaskAssignment binding) {
         starts.save(binding);
     }
 
     /** Nothing is on the machine any more. */
     private void gone(Machine machine) {
-        roster.unbindAll(machine);
+        cluster.unbindAll(machine);
         reports.refuse(machine);
         roundSoon();
     }
@@ -263,14 +265,14 @@
     // ---- from time to time -------------------------------------------------------------------
 
     private void roundSoon() {
-        if (!roundDue && entitlement.isLoaded()) {
+        if (!roundDue && authority.isLoaded()) {
             roundDue = true;
             after(Math.max((long) (deployment.reportS() * 1000 * ROUND_RATIO), ROUND_SHARE * roundTookMs), () -> {
                 roundDue = false;
                 rounds++;
-                if (entitlement.holdsClaim()) {
+                if (authority.holdsClaim()) {
                     long begunAt = loop.now();
-                    granting.round();
+                    allocator.round();
                     roundTookMs = Math.min(loop.now() - begunAt, longestRoundMs());
                 }
                 reports.answerHeld();
@@ -300,14 +302,14 @@
         noteStandstill(now);
         tickedAt = now;
         long leaseMs = (long) (deployment.workerLeaseS() * 1000);
-        for (Machine machine : List.copyOf(roster.machines.values())) {
+        for (Machine machine : List.copyOf(cluster.machines.values())) {
             // Until it has settled, a former leader may have answered it during its grace.
             long since = machine.reportedAt + (machine.settled ? 0 : graceMs);
             if (machine.life != Life.BOOTING && now - since > Deployment.surelyOverMs(leaseMs)) {
                 machine.bindings
                         .values()
                         .forEach(binding -> log.info("task {} is lost with {}", binding.taskName(), machine.name));
-                roster.unbindAll(machine);
+                cluster.unbindAll(machine);
                 machine.settled = false;
             }
             if (machine.noticeS != null) {
@@ -315,7 +317,7 @@
             }
             reports.judge(machine, now);
         }
-        if (now - Math.max(entitlement.knownAt(), awakeSince) > unreadMs() && !isExcused()) {
+        if (now - Math.max(authority.knownAt(), awakeSince) > unreadMs() && !isExcused()) {
             giveWay.accept("cancellations can't be read");
         }
         // One worker that has just come up, and asks its way to the leader, is no sign of a cut.
@@ -324,13 +326,13 @@
         } else if (now - bypassedSince > deployment.workerLeaseS() * 300) {
             giveWay.accept("workers don't reach it, but do reach others");
         }
-        double leaningMs = Candidacy.LEANING_LEASES * deployment.workerLeaseS() * 1000;
+        double leaningMs = ElectionPriority.LEANING_LEASES * deployment.workerLeaseS() * 1000;
         if (passedSince != 0 && now - Math.max(passedSince, awakeSince) > leaningMs) {
             giveWay.accept("workers reach it only through others");
         } else if (detourMs.getAsLong() > leaningMs) {
             giveWay.accept("it reaches the state service only through others");
         }
-        if (entitlement.holdsClaim()) {
+        if (authority.holdsClaim()) {
             starts.tidy();
             jobs.tidy();
             reviewFleet();
@@ -347,7 +349,7 @@
         return peers.redirects() > 0
                 || !deployment.peers().isEmpty()
                         && peers.live().isEmpty()
-                        && roster.machines.values().stream().anyMatch(machine -> machine.life == Life.UP);
+                        && cluster.machines.values().stream().anyMatch(machine -> machine.life == Life.UP);
     }
 
     /**
@@ -355,12 +357,12 @@
      * reports are answered. When it is over, they come within a report's time, or another one shall read them.
      */
     private boolean isExcused() {
-        long heldMs = entitlement.heldMs();
-        return heldMs < 0 ? entitlement.isInGrace() : heldMs < deployment.reportS() * 1000;
+        long heldMs = authority.heldMs();
+        return heldMs < 0 ? authority.isInGrace() : heldMs < deployment.reportS() * 1000;
     }
 
     private void reviewFleet() {
-        if (entitlement.holdsClaim()) {
+        if (authority.holdsClaim()) {
             noteStandstill(loop.now());
             fleet.review(awakeSince);
         }
@@ -370,14 +372,14 @@
     private void consolidate(long now) {
         if (leases.outstanding() > 0
                 || fleet.bootsAreLate()
-                || roster.jobs.values().stream().anyMatch(job -> job.waits() && !job.isDoubted())) {
+                || cluster.jobs.values().stream().anyMatch(job -> job.waits() && !job.isDoubted())) {
             return;
         }
         List<Candidate<Machine>> candidates = new ArrayList<>();
         List<JobSpec> moving = new ArrayList<>();
         int leaving = 0;
         double free = 0;
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.life == Life.LEAVING && !machine.bindings.isEmpty()) {
                 leaving++;
                 machine.bindings.values().forEach(binding -> moving.add(binding.spec));
@@ -387,7 +389,7 @@
             }
         }
         int most = Consolidation.most(
-                candidates.size(), 1 - free / Math.max(1, roster.total().cores()));
+                candidates.size(), 1 - free / Math.max(1, cluster.total().cores()));
         for (Machine machine : Consolidation.find(candidates, moving, most - leaving)) {
             log.info("machine {} is emptied", machine.name);
             machine.life = Life.LEAVING;
@@ -398,7 +400,7 @@
     /** The machine's tasks, or null if they can't be moved now, or it would not pay. */
     private List<JobSpec> movable(Machine machine, long now) {
         List<JobSpec> tasks = new ArrayList<>();
-        for (Binding binding : machine.bindings.values()) {
+        for (TaskAssignment binding : machine.bindings.values()) {
             double ranS = (now - binding.runningSince) / 1000.0;
             double restS = estimates.runS(binding.spec) - ranS;
             boolean worthIt = restS > 10 * binding.spec.saveS() || restS < 0;
@@ -412,7 +414,7 @@
 
     /** Before the cloud takes a machine, tasks that can save their progress are told to. */
     private void saveWork(Machine machine) {
-        for (Binding binding : machine.bindings.values()) {
+        for (TaskAssignment binding : machine.bindings.values()) {
             if (binding.spec.checkpointS() > 0
                     && binding.running
                     && binding.stopGraceS == null
@@ -425,8 +427,8 @@
     /** Counts of the open jobs, for display. */
     public List<Progress> progress() {
         List<Progress> progress = new ArrayList<>();
-        if (entitlement.isLoaded()) {
-            for (Job job : roster.jobs.values()) {
+        if (authority.isLoaded()) {
+            for (Job job : cluster.jobs.values()) {
                 if (job.running > 0 || !job.done.isEmpty()) {
                     progress.add(progress(job));
                 }
@@ -437,7 +439,7 @@
 
     /** The counts of one job, or null. */
     public Progress progress(String id) {
-        Job job = entitlement.isLoaded() ? roster.jobs.get(id) : null;
+        Job job = authority.isLoaded() ? cluster.jobs.get(id) : null;
         return job == null ? null : progress(job);
     }
 
--- a/src/main/java/notchpick/coordination/leading/Entitlement.java
+++ b/src/main/java/notchpick/coordination/leading/LeaderAuthority.java
@@ -9,7 +9,7 @@
  * different ways. A worker's lease must not be prolonged for longer than a cancellation that is not known yet, or
  * that can't be acted on, leaves time for: whoever confirmed it did so after the last complete read was sent.
  */
-final class Entitlement {
+final class LeaderAuthority {
     private final LongSupplier clock;
     private final long graceMs;
     private final long keepMs;
@@ -22,7 +22,7 @@
 
     private boolean loaded;
 
-    Entitlement(LongSupplier clock, Deployment deployment, double leaderLeaseS, long claimUntil) {
+    LeaderAuthority(LongSupplier clock, Deployment deployment, double leaderLeaseS, long claimUntil) {
         this.clock = clock;
         this.graceMs = deployment.graceMs(leaderLeaseS);
         this.keepMs = deployment.knowledgeMs(leaderLeaseS);
--- a/src/main/java/notchpick/coordination/leading/TakeOver.java
+++ b/src/main/java/notchpick/coordination/leading/LeaderRecovery.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import java.util.function.ObjLongConsumer;
-import notchpick.bookkeeping.Ledger;
+import notchpick.bookkeeping.FencedWriter;
 import notchpick.bookkeeping.Records;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateApi;
@@ -19,38 +19,38 @@
  * Reads what a former leader left, one kind of records after the other. Jobs come first: what the
  * others then tell of is a job that is open, or one that is over for good.
  */
-final class TakeOver {
+final class LeaderRecovery {
     private static final long RETRY_MS = 200;
 
     private final EventLoop loop;
     private final StateApi state;
-    private final Ledger ledger;
+    private final FencedWriter writer;
     private final BiConsumer<Long, Runnable> timer;
     private final OpenJobs jobs;
-    private final Starts starts;
+    private final TaskLaunchLog starts;
     private final Fleet fleet;
-    private final Granting granting;
+    private final ResourceAllocator allocator;
     private final LongConsumer done;
 
     /** @param done hears of the revision from which users' changes must be watched */
-    TakeOver(
+    LeaderRecovery(
             EventLoop loop,
             StateApi state,
-            Ledger ledger,
+            FencedWriter writer,
             BiConsumer<Long, Runnable> timer,
             OpenJobs jobs,
-            Starts starts,
+            TaskLaunchLog starts,
             Fleet fleet,
-            Granting granting,
+            ResourceAllocator allocator,
             LongConsumer done) {
         this.loop = loop;
         this.state = state;
-        this.ledger = ledger;
+        this.writer = writer;
         this.timer = timer;
         this.jobs = jobs;
         this.starts = starts;
         this.fleet = fleet;
-        this.granting = granting;
+        this.allocator = allocator;
         this.done = done;
     }
 
@@ -64,7 +64,7 @@
                     get(Records.RELEASED, released -> {
                         fleet.load(Records.released(released));
                         get(Records.COMMITMENTS, commitments -> {
-                            granting.commitments().putAll(Records.commitments(commitments));
+                            allocator.commitments().putAll(Records.commitments(commitments));
                             done.accept(open.revision());
                         });
                     });
@@ -93,7 +93,7 @@
                 key,
                 result -> timer.accept(0L, () -> {
                     if (result instanceof Ok<Entry> ok) {
-                        ledger.known(key, ok.value().version());
+                        writer.known(key, ok.value().version());
                         then.accept(ok.value().value());
                     } else if (result instanceof Missing<Entry>) {
                         then.accept(Json.object());
--- a/src/main/java/notchpick/coordination/leading/OpenJobs.java
+++ b/src/main/java/notchpick/coordination/leading/OpenJobs.java
@@ -10,20 +10,20 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import notchpick.bookkeeping.Binding;
-import notchpick.bookkeeping.Binding.Phase;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.DoneMarks;
+import notchpick.bookkeeping.FencedWriter;
+import notchpick.bookkeeping.FencedWriter.Prepared;
+import notchpick.bookkeeping.FencedWriter.Write;
 import notchpick.bookkeeping.Job;
-import notchpick.bookkeeping.Ledger;
-import notchpick.bookkeeping.Ledger.Prepared;
-import notchpick.bookkeeping.Ledger.Write;
+import notchpick.bookkeeping.PackedRecords;
 import notchpick.bookkeeping.Records;
 import notchpick.bookkeeping.Records.DoneRun;
 import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.bookkeeping.Roster;
-import notchpick.bookkeeping.SharedValues;
+import notchpick.bookkeeping.TaskAssignment;
+import notchpick.bookkeeping.TaskAssignment.Phase;
 import notchpick.coordination.Deployment;
-import notchpick.coordination.Fates;
+import notchpick.coordination.JobOutcomes;
 import notchpick.protocol.StateApi;
 import notchpick.protocol.StateApi.Change;
 import notchpick.protocol.StateApi.Changes;
@@ -44,15 +44,15 @@
     private final EventLoop loop;
     private final Deployment deployment;
     private final StateApi state;
-    private final Roster roster;
-    private final Ledger ledger;
-    private final Entitlement entitlement;
+    private final ClusterState cluster;
+    private final FencedWriter writer;
+    private final LeaderAuthority authority;
     private final long watchMs;
     private final Pipelines pipelines;
     private final BiConsumer<Long, Runnable> timer;
     private final Runnable changed;
     private final Runnable saved;
-    private final SharedValues<DoneMarks> marks;
+    private final PackedRecords<DoneMarks> marks;
     /** A job's runs of done marks, by the first task of each. */
     private final Map<Job, Map<Integer, DoneMarks>> runs = new HashMap<>();
 
@@ -65,9 +65,9 @@
             EventLoop loop,
             Deployment deployment,
             StateApi state,
-            Roster roster,
-            Ledger ledger,
-            Entitlement entitlement,
+            ClusterState cluster,
+            FencedWriter writer,
+            LeaderAuthority authority,
             long watchMs,
             ToDoubleFunction<JobSpec> stageS,
             BiConsumer<Long, Runnable> timer,
@@ -76,20 +76,20 @@
         this.loop = loop;
         this.deployment = deployment;
         this.state = state;
-        this.roster = roster;
-        this.ledger = ledger;
+        this.cluster = cluster;
+        this.writer = writer;
         this.timer = timer;
         this.changed = changed;
         this.saved = saved;
-        this.entitlement = entitlement;
+        this.authority = authority;
         this.watchMs = watchMs;
         this.pipelines = new Pipelines(
-                loop, deployment, roster, ledger, new Fates(state), stageS, timer, changed, this::cancelled);
-        this.marks = new SharedValues<>(
-                ledger,
+                loop, deployment, cluster, writer, new JobOutcomes(state), stageS, timer, changed, this::cancelled);
+        this.marks = new PackedRecords<>(
+                writer,
                 Records.DONE_TASKS,
-                new SharedValues.Form<>(Records::doneBytes, Records::done),
-                SharedValues.Fill.FULLEST,
+                new PackedRecords.Form<>(Records::doneBytes, Records::done),
+                PackedRecords.Fill.FULLEST,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
                 this::durable);
@@ -103,17 +103,17 @@
 
     /** @param sentAt when the listing was asked for */
     void load(Listing open, long sentAt) {
-        entitlement.known(sentAt);
-        roster.jobs.clear();
+        authority.known(sentAt);
+        cluster.jobs.clear();
         open.entries().forEach(entry -> opened(entry.key(), entry.value(), entry.version()));
     }
 
     void loadDone(Listing listing) {
         for (Entry entry : listing.entries()) {
-            ledger.known(entry.key(), entry.version());
+            writer.known(entry.key(), entry.version());
             Set<DoneMarks> loaded = new HashSet<>();
             for (DoneRun run : Records.done(entry.value())) {
-                Job job = roster.jobs.get(run.job());
+                Job job = cluster.jobs.get(run.job());
                 if (job != null) {
                     run.bits().stream().forEach(bit -> {
                         job.finish(run.first() + bit);
@@ -144,7 +144,7 @@
                         closed(change.key().substring(Records.OPEN.length()));
                     }
                 }
-                entitlement.known(sentAt);
+                authority.known(sentAt);
                 if (!ok.value().log().isEmpty()) {
                     changed.run();
                 }
@@ -170,39 +170,39 @@
                 open.add(entry.key().substring(Records.OPEN.length()));
                 opened(entry.key(), entry.value(), entry.version());
             }
-            List.copyOf(roster.jobs.keySet()).stream()
+            List.copyOf(cluster.jobs.keySet()).stream()
                     .filter(id -> !open.contains(id))
                     .forEach(this::closed);
-            entitlement.known(sentAt);
+            authority.known(sentAt);
             watch(ok.value().revision());
         }));
     }
 
     private void opened(String key, JsonNode value, long version) {
         String id = key.substring(Records.OPEN.length());
-        if (!roster.jobs.containsKey(id)) {
+        if (!cluster.jobs.containsKey(id)) {
             Job job = new Job(Records.spec(id, value), version);
-            roster.jobs.put(id, job);
+            cluster.jobs.put(id, job);
             pipelines.opened(job);
         }
     }
 
     /** The job is over, by its last task or by its user. */
     private void closed(String id) {
-        Job job = roster.jobs.remove(id);
+        Job job = cluster.jobs.remove(id);
         if (job == null) {
             return;
         }
         if (!job.isDone()) {
             LOG.info("job {} was cancelled", id);
         }
-        for (Binding binding : roster.bindingsOf(id)) {
+        for (TaskAssignment binding : cluster.bindingsOf(id)) {
             if (binding.phase == Phase.PLANNED || binding.phase == Phase.READY) {
-                roster.unbind(binding);
+                cluster.unbind(binding);
             } else {
                 binding.stopGraceS = 0.0;
                 // It was confirmed after the last complete read was sent, or would have been known by that.
-                binding.overSince = entitlement.knownAt();
+                binding.overSince = authority.knownAt();
             }
         }
         Map<Integer, DoneMarks> over = runs.remove(job);
@@ -222,7 +222,7 @@
     /** For what they need has been: they never ran, so nothing else becomes of them. */
     private void cancelled(Collection<String> ids) {
         for (String id : ids) {
-            Job job = roster.jobs.get(id);
+            Job job = cluster.jobs.get(id);
             if (job != null) {
                 closed(id);
                 pipelines.ended(id, JobRecord.open(job.spec).cancelled(loop.wallTime()));
@@ -236,7 +236,7 @@
     void finished(Job job, int task) {
         if (job.isDone()) {
             String id = job.spec.id();
-            ledger.write("end " + id, () -> roster.jobs.get(id) == job ? end(job) : null);
+            writer.write("end " + id, () -> cluster.jobs.get(id) == job ? end(job) : null);
         } else {
             marks.save(run(job, task - task % runLength()));
         }
--- a/src/main/java/notchpick/coordination/leading/Pipelines.java
+++ b/src/main/java/notchpick/coordination/leading/Pipelines.java
@@ -7,17 +7,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Dependencies;
+import notchpick.bookkeeping.FencedWriter;
+import notchpick.bookkeeping.FencedWriter.Prepared;
+import notchpick.bookkeeping.FencedWriter.Write;
 import notchpick.bookkeeping.Job;
-import notchpick.bookkeeping.Ledger;
-import notchpick.bookkeeping.Ledger.Prepared;
-import notchpick.bookkeeping.Ledger.Write;
 import notchpick.bookkeeping.Records;
 import notchpick.bookkeeping.Records.Fate;
 import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.bookkeeping.Roster;
 import notchpick.coordination.Deployment;
-import notchpick.coordination.Fates;
+import notchpick.coordination.JobOutcomes;
 import notchpick.scheduling.CriticalPath;
 import notchpick.scheduling.JobSpec;
 import notchpick.transport.EventLoop;
@@ -35,9 +35,9 @@
     private static final int CASCADE_PART = 4;
 
     private final EventLoop loop;
-    private final Roster roster;
-    private final Ledger ledger;
-    private final Fates fates;
+    private final ClusterState cluster;
+    private final FencedWriter writer;
+    private final JobOutcomes fates;
     private final ToDoubleFunction<JobSpec> stageS;
     private final BiConsumer<Long, Runnable> timer;
     private final Runnable ready;
@@ -55,23 +55,23 @@
     Pipelines(
             EventLoop loop,
             Deployment deployment,
-            Roster roster,
-            Ledger ledger,
-            Fates fates,
+            ClusterState cluster,
+            FencedWriter writer,
+            JobOutcomes fates,
             ToDoubleFunction<JobSpec> stageS,
             BiConsumer<Long, Runnable> timer,
             Runnable ready,
             Consumer<Collection<String>> cancelled) {
         this.loop = loop;
-        this.roster = roster;
-        this.ledger = ledger;
+        this.cluster = cluster;
+        this.writer = writer;
         this.fates = fates;
         this.stageS = stageS;
         this.timer = timer;
         this.ready = ready;
         this.cancelled = cancelled;
         this.cascadeJobs = Math.max(1, deployment.writesAtOnce() / CASCADE_PART);
-        this.dependencies = new Dependencies(roster.jobs::containsKey);
+        this.dependencies = new Dependencies(cluster.jobs::containsKey);
     }
 
     /** A job has come; {@link #settle} follows when all that came with it are known. */
@@ -92,9 +92,9 @@
     void ended(String id, JobRecord record) {
         boolean letGo = false;
         for (String next : dependencies.resolved(id, record)) {
-            Job job = roster.jobs.get(next);
+            Job job = cluster.jobs.get(next);
             job.held = false;
-            roster.respec(job, job.spec.readyAt(Math.max(job.spec.submittedAt(), dependencies.lastEndedAt(next))));
+            cluster.respec(job, job.spec.readyAt(Math.max(job.spec.submittedAt(), dependencies.lastEndedAt(next))));
             LOG.info("job {} needs nothing more", next);
             letGo = true;
         }
@@ -127,9 +127,9 @@
 
     private void recount(Collection<String> changed) {
         for (String id : changed) {
-            Job job = roster.jobs.get(id);
+            Job job = cluster.jobs.get(id);
             if (job != null) {
-                roster.respec(job, path.counting(job.spec));
+                cluster.respec(job, path.counting(job.spec));
             }
         }
     }
@@ -140,7 +140,7 @@
         // What will never run must not hurry what it needs.
         dependencies.doomed().forEach(id -> recount(path.remove(id)));
         if (!dependencies.doomed().isEmpty()) {
-            ledger.write("cascade", this::prepare);
+            writer.write("cascade", this::prepare);
         }
     }
 
@@ -149,7 +149,7 @@
         List<String> next = new ArrayList<>();
         List<Write> writes = new ArrayList<>();
         for (String id : dependencies.doomed()) {
-            Job job = roster.jobs.get(id);
+            Job job = cluster.jobs.get(id);
             if (job != null && next.size() < cascadeJobs) {
                 next.add(id);
                 writes.add(Write.put(
--- a/src/main/java/notchpick/coordination/leading/Boots.java
+++ b/src/main/java/notchpick/coordination/leading/ProvisioningMonitor.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
-import notchpick.bookkeeping.Roster;
 import notchpick.scheduling.FleetPlan.Pool;
 
 /**
@@ -18,7 +18,7 @@
  * replaced; to do so with the others would be a treadmill: each is paid for and given up shortly before
  * it would have come, and nothing ever comes up.
  */
-final class Boots {
+final class ProvisioningMonitor {
     /** A machine that comes at all is usually up after 1.5 boot times. */
     private static final double OVERDUE_BOOTS = 2.5;
 
@@ -26,7 +26,7 @@
     /** While all are late, this part of a pool is replaced at a time: should none of them ever come, these will. */
     private static final double REPLACED_PART = 0.25;
 
-    private final Roster roster;
+    private final ClusterState cluster;
     private final ToDoubleFunction<String> nominalMs;
     private final double reportMs;
     private final Map<Pool, Long> replacedAt = new HashMap<>();
@@ -34,8 +34,8 @@
     private final Map<Pool, Long> late = new HashMap<>();
 
     /** @param nominalMs how long machines of a type usually take to boot */
-    Boots(Roster roster, ToDoubleFunction<String> nominalMs, double reportMs) {
-        this.roster = roster;
+    ProvisioningMonitor(ClusterState cluster, ToDoubleFunction<String> nominalMs, double reportMs) {
+        this.cluster = cluster;
         this.nominalMs = nominalMs;
         this.reportMs = reportMs;
     }
@@ -65,7 +65,7 @@
     Set<Machine> review(long now) {
         late.clear();
         Map<Pool, List<Machine>> overdue = new HashMap<>();
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.life == Life.BOOTING
                     && now - machine.knownSince
                             > OVERDUE_BOOTS * nominalMs.applyAsDouble(machine.type()) + OVERDUE_REPORTS * reportMs) {
@@ -98,7 +98,7 @@
     /** Whether of its pool as many as are overdue came up that were rented with it, or any that was much later. */
     private boolean othersCame(Machine machine, List<Machine> overdue) {
         int came = 0;
-        for (Machine other : roster.machines.values()) {
+        for (Machine other : cluster.machines.values()) {
             boolean isUp = other.life == Life.UP || other.life == Life.LEAVING;
             if (isUp && other.pool.equals(machine.pool)) {
                 if (other.knownSince - machine.knownSince > nominalMs.applyAsDouble(machine.type())) {
--- a/src/main/java/notchpick/coordination/leading/Reports.java
+++ b/src/main/java/notchpick/coordination/leading/Reports.java
@@ -9,12 +9,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import notchpick.bookkeeping.Binding;
-import notchpick.bookkeeping.Binding.Phase;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Machine;
 import notchpick.bookkeeping.Machine.Life;
-import notchpick.bookkeeping.Roster;
+import notchpick.bookkeeping.TaskAssignment;
+import notchpick.bookkeeping.TaskAssignment.Phase;
 import notchpick.coordination.Deployment;
 import notchpick.protocol.Json;
 import notchpick.protocol.WorkerWire;
@@ -44,13 +44,13 @@
 
     private final EventLoop loop;
     private final Deployment deployment;
-    private final Roster roster;
+    private final ClusterState cluster;
     private final Estimates estimates;
     private final Fleet fleet;
     private final OpenJobs jobs;
-    private final Starts starts;
+    private final TaskLaunchLog starts;
     private final long term;
-    private final Entitlement entitlement;
+    private final LeaderAuthority authority;
     private final LongSupplier rounds;
     private final Runnable news;
     private final BiConsumer<Long, Runnable> timer;
@@ -68,25 +68,25 @@
     Reports(
             EventLoop loop,
             Deployment deployment,
-            Roster roster,
+            ClusterState cluster,
             Estimates estimates,
             Fleet fleet,
             OpenJobs jobs,
-            Starts starts,
+            TaskLaunchLog starts,
             long term,
-            Entitlement entitlement,
+            LeaderAuthority authority,
             LongSupplier rounds,
             Runnable news,
             BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
-        this.roster = roster;
+        this.cluster = cluster;
         this.estimates = estimates;
         this.fleet = fleet;
         this.jobs = jobs;
         this.starts = starts;
         this.term = term;
-        this.entitlement = entitlement;
+        this.authority = authority;
         this.rounds = rounds;
         this.news = news;
         this.timer = timer;
@@ -111,11 +111,11 @@
     void receive(Report report, Consumer<Answer> reply) {
         long now = loop.now();
         // A late report may be of a machine that is surely gone.
-        if (!entitlement.mayKeep() || report.token() > term || fleet.wasReleased(report.machine())) {
+        if (!authority.mayKeep() || report.token() > term || fleet.wasReleased(report.machine())) {
             reply.accept(refusal());
             return;
         }
-        Machine known = roster.machines.get(report.machine());
+        Machine known = cluster.machines.get(report.machine());
         if (known != null
                 && (report.session() < known.session
                         || report.session() == known.session && report.sequence() <= known.sequence)) {
@@ -126,7 +126,7 @@
             greet(known, report.tasks(), reply, now);
             return;
         }
-        Machine machine = roster.machines.computeIfAbsent(report.machine(), name -> {
+        Machine machine = cluster.machines.computeIfAbsent(report.machine(), name -> {
             LOG.info("machine {} reports unasked", name);
             return new Machine(
                     name, new Pool(report.type(), report.zone(), report.spot()), fleet.size(report.type()), now);
@@ -167,8 +167,8 @@
     private void greet(Machine machine, List<TaskReport> tasks, Consumer<Answer> reply, long now) {
         List<Order> orders = new ArrayList<>();
         for (TaskReport task : tasks) {
-            if (task.phase() != WorkerWire.Phase.EXITED && !roster.jobs.containsKey(task.job())) {
-                if (!entitlement.holdsClaim()) {
+            if (task.phase() != WorkerWire.Phase.EXITED && !cluster.jobs.containsKey(task.job())) {
+                if (!authority.holdsClaim()) {
                     reply.accept(refusal());
                     return;
                 }
@@ -188,9 +188,9 @@
         if (machine.everReported && report.session() > machine.session) {
             LOG.info("machine {} begins session {}", machine.name, report.session());
             // Its lease had run out: all that was there has been killed.
-            for (Binding binding : List.copyOf(machine.bindings.values())) {
+            for (TaskAssignment binding : List.copyOf(machine.bindings.values())) {
                 if (binding.phase == Phase.SENT || binding.phase == Phase.SEEN) {
-                    roster.unbind(binding);
+                    cluster.unbind(binding);
                 }
             }
             changed = true;
@@ -200,9 +200,9 @@
         machine.sequence = report.sequence();
         machine.reportedAt = now;
         machine.noticeS = report.noticeS();
-        Set<Binding> there = new HashSet<>();
+        Set<TaskAssignment> there = new HashSet<>();
         for (TaskReport task : report.tasks()) {
-            Binding binding = machine.bindings.get(task.name());
+            TaskAssignment binding = machine.bindings.get(task.name());
             if (task.phase() == WorkerWire.Phase.EXITED) {
                 if (binding != null
                         && binding.attempt == task.attempt()
@@ -211,21 +211,21 @@
                     exited(binding, task.exit(), now);
                     changed = true;
                 }
-                Job job = roster.jobs.get(task.job());
+                Job job = cluster.jobs.get(task.job());
                 if (task.exit() == Exit.DONE && job != null && job.finish(task.task())) {
                     machine.failedJobs.clear();
                     jobs.finished(job, task.task());
                     changed = true;
                 }
             } else {
-                Binding seen = seen(machine, binding, task);
+                TaskAssignment seen = seen(machine, binding, task);
                 if (seen != null) {
                     there.add(seen);
                     boolean running = task.phase() != WorkerWire.Phase.FETCHING;
                     if (running && !seen.running) {
                         seen.running = true;
                         seen.runningSince = now;
-                        Job job = roster.jobs.get(task.job());
+                        Job job = cluster.jobs.get(task.job());
                         if (job != null) {
                             job.running++;
                         }
@@ -254,15 +254,15 @@
      * Whether an order to start a task was lost. A worker that carries one out names the task from then on, even if it
      * refuses it, until it is told to forget it.
      */
-    private static boolean hasMissedOrder(Machine machine, Set<Binding> there) {
+    private static boolean hasMissedOrder(Machine machine, Set<TaskAssignment> there) {
         return machine.bindings.values().stream()
                 .anyMatch(binding -> binding.phase == Phase.SENT && !there.contains(binding));
     }
 
     /** What the report does not name is gone, as far as this can be sure. */
-    private boolean dropAbsent(Machine machine, Set<Binding> there) {
+    private boolean dropAbsent(Machine machine, Set<TaskAssignment> there) {
         boolean dropped = false;
-        for (Binding binding : List.copyOf(machine.bindings.values())) {
+        for (TaskAssignment binding : List.copyOf(machine.bindings.values())) {
             boolean left = !there.contains(binding)
                     && switch (binding.phase) {
                         case PLANNED, READY -> false;
@@ -271,7 +271,7 @@
                         case SENT, SEEN, HINTED -> true;
                     };
             if (left) {
-                roster.unbind(binding);
+                cluster.unbind(binding);
                 dropped = true;
             }
         }
@@ -279,7 +279,7 @@
     }
 
     /** The binding that a reported live task stands for, made if need be; null if it must go. */
-    private Binding seen(Machine machine, Binding binding, TaskReport task) {
+    private TaskAssignment seen(Machine machine, TaskAssignment binding, TaskReport task) {
         if (binding != null) {
             if (binding.attempt != task.attempt() && binding.phase != Phase.HINTED) {
                 return null;
@@ -294,7 +294,7 @@
             binding.phase = Phase.SEEN;
             return binding;
         }
-        Job job = roster.jobs.get(task.job());
+        Job job = cluster.jobs.get(task.job());
         if (job == null
                 || task.task() >= job.spec.tasks()
                 || job.done.get(task.task())
@@ -302,15 +302,15 @@
                 || job.leased.get(task.task())) {
             return null;
         }
-        Binding found = roster.bind(job.spec, task.task(), machine, task.attempt(), Phase.SEEN);
+        TaskAssignment found = cluster.bind(job.spec, task.task(), machine, task.attempt(), Phase.SEEN);
         starts.save(found);
         return found;
     }
 
-    private void exited(Binding binding, Exit exit, long now) {
+    private void exited(TaskAssignment binding, Exit exit, long now) {
         Machine machine = binding.machine;
-        roster.unbind(binding);
-        Job job = roster.jobs.get(binding.spec.id());
+        cluster.unbind(binding);
+        Job job = cluster.jobs.get(binding.spec.id());
         switch (exit) {
             case DONE -> {
                 if (binding.running) {
@@ -328,7 +328,7 @@
         }
     }
 
-    private void failed(Machine machine, Job job, Binding binding, long now) {
+    private void failed(Machine machine, Job job, TaskAssignment binding, long now) {
         LOG.info("task {} failed on {}", binding.taskName(), machine.name);
         machine.failedJobs.put(binding.spec.id(), now);
         if (job != null) {
@@ -351,7 +351,7 @@
     private boolean isToBlame(Machine machine, long now) {
         int jobs = 0;
         for (Map.Entry<String, Long> failed : machine.failedJobs.entrySet()) {
-            Job job = roster.jobs.get(failed.getKey());
+            Job job = cluster.jobs.get(failed.getKey());
             boolean counts = job != null && !job.isDoubted() && now - failed.getValue() < reportMs() * BLAME_REPORTS;
             jobs += counts ? 1 : 0;
         }
@@ -405,7 +405,7 @@
         if (machine.isLeased() || open.rounds() == rounds.getAsLong()) {
             return true;
         }
-        for (Binding binding : machine.bindings.values()) {
+        for (TaskAssignment binding : machine.bindings.values()) {
             if (binding.phase == Phase.PLANNED) {
                 return true;
             }
@@ -420,7 +420,7 @@
 
     /** A done task's worker may forget it only when the state service has it. */
     private boolean mayForget(TaskReport task) {
-        Job job = roster.jobs.get(task.job());
+        Job job = cluster.jobs.get(task.job());
         return task.exit() != Exit.DONE
                 || job == null
                 || job.spec.isService()
@@ -431,10 +431,10 @@
     /** Whether one of its tasks has been over for so long that its lease must not go on without an order to stop. */
     private boolean mustEnd(Machine machine, List<TaskReport> tasks) {
         for (TaskReport task : tasks) {
-            Binding binding = machine.bindings.get(task.name());
+            TaskAssignment binding = machine.bindings.get(task.name());
             if (task.phase() != WorkerWire.Phase.EXITED
-                    && !roster.jobs.containsKey(task.job())
-                    && (binding == null || !entitlement.mayKeepOver(binding.overSince))) {
+                    && !cluster.jobs.containsKey(task.job())
+                    && (binding == null || !authority.mayKeepOver(binding.overSince))) {
                 return true;
             }
         }
@@ -448,15 +448,15 @@
             return;
         }
         // Time may have passed since the report came.
-        if (!entitlement.mayKeep() || !entitlement.holdsClaim() && mustEnd(machine, open.tasks())) {
+        if (!authority.mayKeep() || !authority.holdsClaim() && mustEnd(machine, open.tasks())) {
             open.reply().accept(refusal());
             return;
         }
         List<Order> orders = new ArrayList<>();
         // A claim that has lapsed entitles to nothing but keeping the worker alive.
-        if (entitlement.holdsClaim()) {
+        if (authority.holdsClaim()) {
             for (TaskReport task : open.tasks()) {
-                Binding binding = machine.bindings.get(task.name());
+                TaskAssignment binding = machine.bindings.get(task.name());
                 if (task.phase() == WorkerWire.Phase.EXITED) {
                     if (mayForget(task)) {
                         orders.add(new Forget(task.name(), task.attempt()));
@@ -464,14 +464,14 @@
                 } else if (binding == null
                         || binding.attempt != task.attempt()
                         // Cancelled while nobody led: its hint was read, its job was not open any more.
-                        || !roster.jobs.containsKey(task.job())) {
+                        || !cluster.jobs.containsKey(task.job())) {
                     orders.add(new Stop(task.name(), task.attempt(), 0));
                 } else if (binding.stopGraceS != null && !(binding.saving && binding.stopGraceS > 0)) {
                     orders.add(new Stop(task.name(), task.attempt(), binding.stopGraceS));
                 }
             }
-            if (entitlement.mayStart()) {
-                for (Binding binding : machine.bindings.values()) {
+            if (authority.mayStart()) {
+                for (TaskAssignment binding : machine.bindings.values()) {
                     if (binding.phase == Phase.READY) {
                         binding.phase = Phase.SENT;
                         orders.add(new Start(binding.taskName(), binding.attempt));
--- a/src/main/java/notchpick/coordination/leading/Granting.java
+++ b/src/main/java/notchpick/coordination/leading/ResourceAllocator.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import notchpick.bookkeeping.Binding;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Machine;
-import notchpick.bookkeeping.Roster;
+import notchpick.bookkeeping.TaskAssignment;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
 import notchpick.scheduling.Amounts;
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Shares room: ranks the teams, and grants room to the lowest while its next task fits. */
-final class Granting {
-    private static final Logger LOG = LoggerFactory.getLogger(Granting.class);
+final class ResourceAllocator {
+    private static final Logger LOG = LoggerFactory.getLogger(ResourceAllocator.class);
     /** So many report periods a job stays away from a machine on which a task of it failed. */
     private static final int SHUN_REPORTS = 20;
     /** How often tasks may be told to give way, in report periods. */
@@ -47,9 +47,9 @@
     private final EventLoop loop;
     private final Deployment deployment;
     private final Tuning tuning;
-    private final Roster roster;
+    private final ClusterState cluster;
     private final Estimates estimates;
-    private final RoomLeases leases;
+    private final ResourceLeases leases;
     private final ToDoubleFunction<String> fetchGbPerS;
 
     private final Map<String, Amounts> commitments = new HashMap<>();
@@ -57,18 +57,18 @@
     private long updatedAt;
     private long roomMadeAt;
 
-    Granting(
+    ResourceAllocator(
             EventLoop loop,
             Deployment deployment,
             Tuning tuning,
-            Roster roster,
+            ClusterState cluster,
             Estimates estimates,
-            RoomLeases leases,
+            ResourceLeases leases,
             ToDoubleFunction<String> fetchGbPerS) {
         this.loop = loop;
         this.deployment = deployment;
         this.tuning = tuning;
-        this.roster = roster;
+        this.cluster = cluster;
         this.estimates = estimates;
         this.leases = leases;
         this.fetchGbPerS = fetchGbPerS;
@@ -94,7 +94,7 @@
             Amounts before = commitments.getOrDefault(team, Amounts.NONE);
             Amounts over = overuse.getOrDefault(team, Amounts.NONE);
             commitments.put(team, Sdrf.commitment(before, over, elapsedS, tuning.tauS()));
-            overuse.put(team, Sdrf.overuse(Sdrf.share(roster.use(team), total), present.size()));
+            overuse.put(team, Sdrf.overuse(Sdrf.share(cluster.use(team), total), present.size()));
         }
     }
 
@@ -126,7 +126,7 @@
     private final class Turn {
         private final String team;
         private final List<Job> jobs;
-        private final RoomLeases.Leased leased;
+        private final ResourceLeases.Leased leased;
         private final Map<Job, Shape> shapes = new HashMap<>();
         /** Shapes that found no room; there won't be more of it during this round. */
         private final Set<Shape> missed = new HashSet<>();
@@ -135,11 +135,11 @@
 
         private Amounts held;
 
-        Turn(String team, List<Job> jobs, RoomLeases.Leased leased) {
+        Turn(String team, List<Job> jobs, ResourceLeases.Leased leased) {
             this.team = team;
             this.jobs = jobs;
             this.leased = leased;
-            this.held = roster.use(team);
+            this.held = cluster.use(team);
             Map<Shape, Shape> known = new HashMap<>();
             for (Job job : jobs) {
                 Shape shape = Shape.of(job);
@@ -172,11 +172,11 @@
 
     /** Algorithm 1, with our additions: see docs/design.md. */
     void round() {
-        Amounts total = roster.total();
+        Amounts total = cluster.total();
         Map<String, List<Job>> waiting = new HashMap<>();
         Set<String> present = new HashSet<>();
         long now = loop.now();
-        for (Job job : roster.jobs.values()) {
+        for (Job job : cluster.jobs.values()) {
             if (job.held) {
                 continue;
             }
@@ -192,7 +192,7 @@
             return;
         }
         List<Machine> usable = new ArrayList<>();
-        for (Machine machine : roster.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.room().cores() > Amounts.SLACK && machine.isUsable(now, reportMs())) {
                 usable.add(machine);
             }
@@ -246,7 +246,7 @@
     private double coresOf(String team, Amounts total, int teams) {
         Deployment.Limit limit = deployment.limit(team);
         double cores =
-                Math.max(total.cores() / Math.max(1, teams), roster.use(team).cores());
+                Math.max(total.cores() / Math.max(1, teams), cluster.use(team).cores());
         if (limit == null) {
             return cores;
         }
@@ -279,9 +279,9 @@
             return;
         }
         double freeing = 0;
-        List<Victim<Binding>> victims = new ArrayList<>();
-        for (Machine machine : roster.machines.values()) {
-            for (Binding binding : machine.bindings.values()) {
+        List<Victim<TaskAssignment>> victims = new ArrayList<>();
+        for (Machine machine : cluster.machines.values()) {
+            for (TaskAssignment binding : machine.bindings.values()) {
                 if (binding.stopGraceS != null) {
                     freeing += binding.spec.demand().cores();
                 } else if (binding.mayBeMoved(now) && machine.isUsable(now, reportMs())) {
@@ -289,7 +289,7 @@
                 }
             }
         }
-        for (Binding binding : Preemption.choose(starved, victims, freeing, this::beyondGuarantee)) {
+        for (TaskAssignment binding : Preemption.choose(starved, victims, freeing, this::beyondGuarantee)) {
             LOG.info("task {} gives way", binding.taskName());
             binding.stopGraceS = Math.ceil(binding.spec.saveS());
         }
@@ -297,7 +297,8 @@
 
     private double beyondGuarantee(String team) {
         Deployment.Limit limit = deployment.limit(team);
-        return roster.use(team).cores() - (limit == null ? 0 : limit.guarantee().cores());
+        return cluster.use(team).cores()
+                - (limit == null ? 0 : limit.guarantee().cores());
     }
 
     /** Grants room to the team's next task that fits; false if none does. */
@@ -429,8 +430,8 @@
         return true;
     }
 
-    private Map<String, Integer> zonesOf(Job job, RoomLeases.Leased leased) {
-        Map<String, Integer> zones = roster.zonesOf(job.spec.id());
+    private Map<String, Integer> zonesOf(Job job, ResourceLeases.Leased leased) {
+        Map<String, Integer> zones = cluster.zonesOf(job.spec.id());
         if (leased != null && leased.holds(job)) {
             // While a round runs, where its tasks will go is not settled: count the room as taken.
             leased.machines().forEach(machine -> zones.merge(machine.zone(), 1, Integer::sum));
--- a/src/main/java/notchpick/coordination/leading/RoomLeases.java
+++ b/src/main/java/notchpick/coordination/leading/ResourceLeases.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Binding;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Machine;
-import notchpick.bookkeeping.Roster;
+import notchpick.bookkeeping.TaskAssignment;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
 import notchpick.coordination.membership.Peers;
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Leases granted room to the controller that holds the team's jobs, and takes placements back. */
-final class RoomLeases {
-    private static final Logger LOG = LoggerFactory.getLogger(RoomLeases.class);
+final class ResourceLeases {
+    private static final Logger LOG = LoggerFactory.getLogger(ResourceLeases.class);
     /** Lease numbers carry the term above this many bits, so that they rise over all terms. */
     private static final int LEASE_BITS = 24;
 
@@ -40,10 +40,10 @@
     private final EventLoop loop;
     private final Deployment deployment;
     private final Tuning tuning;
-    private final Roster roster;
+    private final ClusterState cluster;
     private final Peers peers;
     private final long term;
-    private final Consumer<Binding> bound;
+    private final Consumer<TaskAssignment> bound;
     private final Runnable changed;
     private final BiConsumer<Long, Runnable> timer;
     private final Map<Long, Leased> leases = new HashMap<>();
@@ -83,20 +83,20 @@
     }
 
     /** @param bound hears of every task that has been placed; changed, that room is free again */
-    RoomLeases(
+    ResourceLeases(
             EventLoop loop,
             Deployment deployment,
             Tuning tuning,
-            Roster roster,
+            ClusterState cluster,
             Peers peers,
             long term,
-            Consumer<Binding> bound,
+            Consumer<TaskAssignment> bound,
             Runnable changed,
             BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.deployment = deployment;
         this.tuning = tuning;
-        this.roster = roster;
+        this.cluster = cluster;
         this.peers = peers;
         this.term = term;
         this.bound = bound;
@@ -165,7 +165,7 @@
             JobSpec spec = job.spec;
             Map<String, Integer> zoneRoom = new HashMap<>();
             if (spec.spread()) {
-                Map<String, Integer> taken = roster.zonesOf(spec.id());
+                Map<String, Integer> taken = cluster.zonesOf(spec.id());
                 deployment.zones().forEach(zone -> zoneRoom.put(zone, spec.zoneLimit() - taken.getOrDefault(zone, 0)));
             }
             String zone =
@@ -218,8 +218,8 @@
         long now = loop.now();
         int accepted = 0;
         for (Placed placed : placements.getPlaced()) {
-            Job job = roster.jobs.get(placed.getJob());
-            Machine machine = roster.machines.get(placed.getMachine());
+            Job job = cluster.jobs.get(placed.getJob());
+            Machine machine = cluster.machines.get(placed.getMachine());
             int task = placed.getTask();
             if (job == null
                     || machine == null
@@ -231,7 +231,7 @@
                 continue;
             }
             left.merge(machine, job.spec.demand(), Amounts::minus);
-            bound.accept(roster.bind(job.spec, task, machine, leased.number, Binding.Phase.PLANNED));
+            bound.accept(cluster.bind(job.spec, task, machine, leased.number, TaskAssignment.Phase.PLANNED));
             accepted++;
         }
         if (accepted < placements.getPlaced().size()) {
@@ -254,9 +254,9 @@
                 && job.spec.demand().fitsIn(machine.room())
                 && job.spec.allows(machine.type(), machine.zone(), machine.spot())
                 && (!job.spec.isConstrained()
-                        || job.spec.allowsAmongFellows(machine.zone(), roster.zonesOf(job.spec.id())))
+                        || job.spec.allowsAmongFellows(machine.zone(), cluster.zonesOf(job.spec.id())))
                 && limit != null
-                && limit.allows(roster.use(job.spec.team()).plus(job.spec.demand()));
+                && limit.allows(cluster.use(job.spec.team()).plus(job.spec.demand()));
     }
 
     int outstanding() {
--- a/src/main/java/notchpick/coordination/leading/Silence.java
+++ b/src/main/java/notchpick/coordination/leading/ZoneOutageDetector.java
@@ -12,7 +12,7 @@
  * machines that are broken; where most of all have, it is this controller. This decides only whether they are worth
  * keeping: what may be running on them is for their leases to say.
  */
-final class Silence {
+final class ZoneOutageDetector {
     /** So few machines tell nothing. */
     private static final int TOO_FEW = 3;
 
@@ -24,7 +24,7 @@
      * @param awakeSince nobody's silence from before then counts
      * @param longMs who has not reported for so long counts as silent
      */
-    Silence(Iterable<Machine> machines, long now, long awakeSince, double longMs) {
+    ZoneOutageDetector(Iterable<Machine> machines, long now, long awakeSince, double longMs) {
         int up = 0;
         int silent = 0;
         for (Machine machine : machines) {
--- a/src/main/java/notchpick/coordination/membership/Candidacy.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionPriority.java
@@ -4,17 +4,18 @@
 import notchpick.protocol.peer.LinkKind;
 
 /** How well this controller is connected to lead, compared with the others. Who is worse off lets others go first. */
-public final class Candidacy implements LongSupplier {
+public final class ElectionPriority implements LongSupplier {
     /** A leader that relies on others for so many worker leases lets one lead that need not. */
     public static final int LEANING_LEASES = 2;
 
     private final Links links;
     private final Peers peers;
-    private final StateRoutes routes;
+    private final FailoverStateTransport routes;
     private final long reportMs;
     private final long leaderLeaseMs;
 
-    public Candidacy(Links links, Peers peers, StateRoutes routes, long reportMs, long leaderLeaseMs) {
+    public ElectionPriority(
+            Links links, Peers peers, FailoverStateTransport routes, long reportMs, long leaderLeaseMs) {
         this.links = links;
         this.peers = peers;
         this.routes = routes;
--- a/src/main/java/notchpick/coordination/membership/StateRoutes.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateTransport.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.protocol.PeerWire;
-import notchpick.protocol.StateWay;
+import notchpick.protocol.StateTransport;
 import notchpick.protocol.peer.Outcome;
 import notchpick.protocol.peer.StateCall;
 import notchpick.transport.Actor;
@@ -23,7 +23,7 @@
  * once. One that stays silent may have been: it is given up as lost as soon as a hasty request, which may be sent
  * twice, has come back by another way. Whoever sent it bears that it is carried out late, as always.
  */
-public final class StateRoutes extends Actor<Void> implements StateWay {
+public final class FailoverStateTransport extends Actor<Void> implements StateTransport {
     private static final int TURNED_AWAY = 503;
     /** A hasty request that is silent for so long, as a part of the leader's lease, is sent by another way as well. */
     private static final double HEDGE_RATIO = 0.08;
@@ -76,7 +76,7 @@
 
     private long noPeerUntil = Long.MIN_VALUE;
 
-    public StateRoutes(EventLoop loop, Caller caller, Links links, Peers peers, long leaderLeaseMs) {
+    public FailoverStateTransport(EventLoop loop, Caller caller, Links links, Peers peers, long leaderLeaseMs) {
         super(loop);
         this.caller = caller;
         this.links = links;
--- a/src/main/java/notchpick/coordination/users/OpenCopy.java
+++ b/src/main/java/notchpick/coordination/users/OpenJobCache.java
@@ -12,7 +12,7 @@
 import notchpick.bookkeeping.Dependencies;
 import notchpick.bookkeeping.Records;
 import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.coordination.Fates;
+import notchpick.coordination.JobOutcomes;
 import notchpick.protocol.StateApi;
 import notchpick.protocol.StateApi.Change;
 import notchpick.protocol.StateApi.Changes;
@@ -30,7 +30,7 @@
  * so no answer is older than what any controller may have told by then. A storm of polls costs no
  * more requests than a quiet hour.
  */
-final class OpenCopy {
+final class OpenJobCache {
     /** What is known of an open job; the version is that of its description. */
     record Open(JobRecord record, long version) {}
 
@@ -48,7 +48,7 @@
 
     private final EventLoop loop;
     private final StateApi state;
-    private final Fates fates;
+    private final JobOutcomes fates;
     private final BiConsumer<Long, Runnable> timer;
     private final long gapMs;
     private final Map<String, Open> jobs = new HashMap<>();
@@ -62,7 +62,8 @@
     private record Asker(String job, Consumer<Told> then) {}
 
     /** @param requestsPerS what this controller may send in all */
-    OpenCopy(EventLoop loop, StateApi state, Fates fates, double requestsPerS, BiConsumer<Long, Runnable> timer) {
+    OpenJobCache(
+            EventLoop loop, StateApi state, JobOutcomes fates, double requestsPerS, BiConsumer<Long, Runnable> timer) {
         this.loop = loop;
         this.state = state;
         this.fates = fates;
--- a/src/main/java/notchpick/coordination/users/Prerequisites.java
+++ b/src/main/java/notchpick/coordination/users/Prerequisites.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 import notchpick.bookkeeping.Records.Fate;
 import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.coordination.Fates;
-import notchpick.coordination.users.OpenCopy.Told;
+import notchpick.coordination.JobOutcomes;
+import notchpick.coordination.users.OpenJobCache.Told;
 import notchpick.scheduling.JobSpec;
 
 /** Looks at the jobs that a submission names: each must have been accepted, by whatever controller. */
 final class Prerequisites {
-    private final OpenCopy open;
-    private final Fates fates;
+    private final OpenJobCache open;
+    private final JobOutcomes fates;
 
     /**
      * What the look came to.
@@ -24,7 +24,7 @@
      */
     record Verdict(boolean readable, String obstacle, boolean doomed) {}
 
-    Prerequisites(OpenCopy open, Fates fates) {
+    Prerequisites(OpenJobCache open, JobOutcomes fates) {
         this.open = open;
         this.fates = fates;
     }
--- a/src/main/java/notchpick/coordination/users/FrontDoor.java
+++ b/src/main/java/notchpick/coordination/users/UserRequestHandler.java
@@ -9,7 +9,7 @@
 import notchpick.bookkeeping.Records.Fate;
 import notchpick.bookkeeping.Records.JobRecord;
 import notchpick.coordination.Deployment;
-import notchpick.coordination.Fates;
+import notchpick.coordination.JobOutcomes;
 import notchpick.protocol.InvalidMessage;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateApi;
@@ -31,7 +31,7 @@
  * Answers users, at every controller alike: what has been accepted, cancelled or done is written to the
  * state service, and read from it after the question came, never taken from a copy that may lag.
  */
-public final class FrontDoor extends Actor<FrontDoor.Message> {
+public final class UserRequestHandler extends Actor<UserRequestHandler.Message> {
     /** What this actor is told. */
     public sealed interface Message {}
 
@@ -44,19 +44,20 @@
     private final Deployment deployment;
     private final StateApi state;
     private final Function<String, Progress> progress;
-    private final Fates fates;
-    private final OpenCopy open;
+    private final JobOutcomes fates;
+    private final OpenJobCache open;
     private final Prerequisites prerequisites;
     private final Acceptances acceptances;
     private List<MachineType> types;
 
-    public FrontDoor(EventLoop loop, Deployment deployment, StateApi state, Function<String, Progress> progress) {
+    public UserRequestHandler(
+            EventLoop loop, Deployment deployment, StateApi state, Function<String, Progress> progress) {
         super(loop);
         this.deployment = deployment;
         this.state = state;
         this.progress = progress;
-        this.fates = new Fates(state);
-        this.open = new OpenCopy(loop, state, fates, deployment.requestsPerS(), this::after);
+        this.fates = new JobOutcomes(state);
+        this.open = new OpenJobCache(loop, state, fates, deployment.requestsPerS(), this::after);
         this.prerequisites = new Prerequisites(open, fates);
         this.acceptances = new Acceptances(state, deployment.writesAtOnce(), this::after);
     }
--- a/src/main/java/notchpick/protocol/StateApi.java
+++ b/src/main/java/notchpick/protocol/StateApi.java
@@ -22,7 +22,7 @@
 
     private static final String HOLDS = "/holds";
 
-    private final StateWay way;
+    private final StateTransport way;
     private final EventLoop loop;
     private final String target;
     private final long timeoutMs;
@@ -34,7 +34,7 @@
     private int failures;
 
     /** @param requestsPerS this controller's part of what all may send */
-    public StateApi(StateWay way, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
+    public StateApi(StateTransport way, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
         this.way = way;
         this.loop = loop;
         this.target = target;
--- a/src/main/java/notchpick/protocol/StateWay.java
+++ b/src/main/java/notchpick/protocol/StateTransport.java
@@ -6,7 +6,7 @@
 import notchpick.transport.Caller.Call;
 
 /** How requests reach the state service. */
-public interface StateWay {
+public interface StateTransport {
     /**
      * Sends a request and calls back exactly once, as a {@link Caller} does.
      *
@@ -20,7 +20,7 @@
     }
 
     /** The plain way. */
-    static StateWay direct(Caller caller) {
+    static StateTransport direct(Caller caller) {
         return (call, timeoutMs, hasty, then) -> caller.call(call, timeoutMs, then);
     }
 }
--- a/src/main/java/notchpick/transport/Gathered.java
+++ b/src/main/java/notchpick/transport/ResultCollector.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** Gathers answers that come one by one, and gives all of them at once when there are no more to wait for. */
-public final class Gathered<T> {
+public final class ResultCollector<T> {
     private final List<T> all;
     private final List<Boolean> have;
     private final Consumer<List<T>> then;
@@ -14,7 +14,7 @@
     private boolean closed;
 
     /** @param otherwise stands for each that has not come when this is closed */
-    public Gathered(int count, T otherwise, Consumer<List<T>> then) {
+    public ResultCollector(int count, T otherwise, Consumer<List<T>> then) {
         this.all = new ArrayList<>(Collections.nCopies(count, otherwise));
         this.have = new ArrayList<>(Collections.nCopies(count, false));
         this.then = then;
--- a/src/test/java/notchpick/MeetingWalkTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -16,9 +16,9 @@
 import notchpick.scheduling.Amounts;
 import notchpick.scheduling.MachineType;
 import notchpick.standin.Network.Cut;
+import notchpick.standin.SimulatedCluster;
+import notchpick.standin.SimulatedCluster.Timing;
 import notchpick.standin.WorkerStandIn;
-import notchpick.standin.World;
-import notchpick.standin.World.Timing;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,7 +30,7 @@
  * pairs in turn; {@code -Dmeetings=FIRST-LAST} plays others. A seed that fails tells what happened in order.
  */
 @Execution(ExecutionMode.CONCURRENT)
-class MeetingWalkTest {
+class FaultCombinationTest {
     /** Jobs with long to go, for users to cancel. */
     private static final int LONG_JOBS = 6;
 
@@ -93,13 +93,13 @@
     }
 
     private final List<String> happened = new ArrayList<>();
-    private World world;
+    private SimulatedCluster cluster;
     private Random random;
     private int wideJobs;
 
     private void begin(int seed) throws InvalidMessage {
         random = new Random(seed);
-        world = new World(
+        cluster = new SimulatedCluster(
                 5,
                 List.of(
                         new Limit("a", Amounts.NONE, new Amounts(40, 0, 0)),
@@ -110,21 +110,21 @@
                 null,
                 false,
                 new Timing(5, 22, 42));
-        world.capacity("m8", "east", true, 7);
-        world.capacity("m8", "west", true, 7);
-        world.simulation().runUntil(3000);
+        cluster.capacity("m8", "east", true, 7);
+        cluster.capacity("m8", "west", true, 7);
+        cluster.simulation().runUntil(3000);
         submit(JOBS.get(0), Map.of("tasks", "25", "team", "a"), 100);
         submit(JOBS.get(1), Map.of("tasks", "90", "team", "a"), 9);
         submit(JOBS.get(2), Map.of("tasks", "20", "team", "b", "one-zone", "yes"), 40);
         for (String job : JOBS.subList(3, JOBS.size())) {
             submit(job, Map.of("tasks", "5", "team", "b"), 150);
         }
-        world.simulation().runUntil(20_000);
-        world.closeLooks(true);
-        world.cancelAtEnd(0.2);
+        cluster.simulation().runUntil(20_000);
+        cluster.closeLooks(true);
+        cluster.cancelAtEnd(0.2);
         for (int i = 0; i < 25; i++) {
             int number = i;
-            world.simulation().after(2000L * i, () -> trySubmit(String.format("run-01%04d", number)));
+            cluster.simulation().after(2000L * i, () -> trySubmit(String.format("run-01%04d", number)));
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     private void submit(String job, Map<String, String> options, double runS) throws InvalidMessage {
-        world.submit(ScenarioTest.submission(job, options), runS, 0.8, false);
+        cluster.submit(ScenarioTest.submission(job, options), runS, 0.8, false);
     }
 
     private long between(long least, long most) {
@@ -145,15 +145,15 @@
     }
 
     private void note(String what) {
-        happened.add("at " + world.simulation().now() / 1000.0 + " " + what);
+        happened.add("at " + cluster.simulation().now() / 1000.0 + " " + what);
     }
 
     private String leader() {
-        return world.leader() == null ? world.nodes().get(random.nextInt(5)) : world.leader();
+        return cluster.leader() == null ? cluster.nodes().get(random.nextInt(5)) : cluster.leader();
     }
 
     private void later(long delayMs, String what, Runnable work) {
-        world.simulation().after(delayMs, () -> {
+        cluster.simulation().after(delayMs, () -> {
             note(what);
             work.run();
         });
@@ -169,52 +169,52 @@
         String until = " for " + forMs / 1000.0;
         note(trouble + " " + leader + until);
         switch (trouble) {
-            case LEADER_CRASHES -> world.crash(leader, between(200, 8000));
-            case ANOTHER_CRASHES -> world.crash(world.nodes().get(random.nextInt(5)), between(200, 8000));
-            case ALL_CRASH -> world.nodes().forEach(node -> world.crash(node, Math.min(forMs, 40_000)));
-            case LEADER_FREEZES -> world.freeze(leader, Math.min(forMs, 25_000));
+            case LEADER_CRASHES -> cluster.crash(leader, between(200, 8000));
+            case ANOTHER_CRASHES -> cluster.crash(cluster.nodes().get(random.nextInt(5)), between(200, 8000));
+            case ALL_CRASH -> cluster.nodes().forEach(node -> cluster.crash(node, Math.min(forMs, 40_000)));
+            case LEADER_FREEZES -> cluster.freeze(leader, Math.min(forMs, 25_000));
             case LEADER_REFUSED -> {
-                world.state().refuse(leader, true);
-                later(forMs, leader + " is served again", () -> world.state().refuse(leader, false));
+                cluster.state().refuse(leader, true);
+                later(forMs, leader + " is served again", () -> cluster.state().refuse(leader, false));
             }
             case OUTAGE -> {
-                world.state().outage(true);
-                later(forMs, "the outage is over", () -> world.state().outage(false));
+                cluster.state().outage(true);
+                later(forMs, "the outage is over", () -> cluster.state().outage(false));
             }
             case WRITES_LATE, WRITES_UNHEARD -> {
-                world.state().lateWrites(0.4, trouble == Trouble.WRITES_UNHEARD);
-                later(forMs, "writes are answered", () -> world.state().lateWrites(0, false));
+                cluster.state().lateWrites(0.4, trouble == Trouble.WRITES_UNHEARD);
+                later(forMs, "writes are answered", () -> cluster.state().lateWrites(0, false));
             }
             case REPORTS_LATE, REPORTS_FOR_NEXT -> {
-                world.lateReports(0.5, trouble == Trouble.REPORTS_FOR_NEXT);
-                later(forMs, "no more copies", () -> world.lateReports(0, false));
+                cluster.lateReports(0.5, trouble == Trouble.REPORTS_FOR_NEXT);
+                later(forMs, "no more copies", () -> cluster.lateReports(0, false));
             }
             case MACHINES_DEAF -> machines(forMs, WorkerStandIn::deaf);
             case MACHINES_MUTE -> machines(forMs, WorkerStandIn::mute);
             case MACHINES_HANG ->
-                world.workers().stream()
+                cluster.workers().stream()
                         .limit(between(1, 6))
-                        .forEach(worker -> world.hang(worker, Math.min(forMs, 30_000)));
+                        .forEach(worker -> cluster.hang(worker, Math.min(forMs, 30_000)));
             case LEADER_LOSES_STATE_AND_PEERS -> {
                 cut(leader, "state", forMs);
-                world.nodes().stream().filter(node -> !node.equals(leader)).forEach(node -> cut(leader, node, forMs));
+                cluster.nodes().stream().filter(node -> !node.equals(leader)).forEach(node -> cut(leader, node, forMs));
             }
             case ZONE_CUT -> cut("zone-east", "outside-east", forMs);
             case LEADER_LOSES_WORKERS -> cut(leader, "workers", forMs);
             case ANSWERS_HELD -> {
-                world.network().cutOneWay(leader, "workers", Cut.HOLD);
+                cluster.network().cutOneWay(leader, "workers", Cut.HOLD);
                 later(
                         Math.min(forMs, 6000),
                         "answers pass",
-                        () -> world.network().heal(leader, "workers"));
+                        () -> cluster.network().heal(leader, "workers"));
             }
             case WATCHES_HANG -> {
-                world.state().watchesHang(true);
-                later(forMs, "watches are answered", () -> world.state().watchesHang(false));
+                cluster.state().watchesHang(true);
+                later(forMs, "watches are answered", () -> cluster.state().watchesHang(false));
             }
             case LISTS_SLOW -> {
-                world.state().lists(between(500, 4000));
-                later(forMs, "lists are quick", () -> world.state().lists(0));
+                cluster.state().lists(between(500, 4000));
+                later(forMs, "lists are quick", () -> cluster.state().lists(0));
             }
             case LINKS_SLOW -> {
                 List<String> ends = new ArrayList<>(List.of("controllers", "workers-east", "workers-west", "state"));
@@ -232,36 +232,36 @@
                 slow("controllers", "workers", forMs);
             }
             case BOOTS_AT_ONCE -> {
-                world.cloud().boots(0.1);
-                world.machines().stream().limit(between(1, 6)).toList().forEach(world.cloud()::take);
-                later(forMs, "boots take their time", () -> world.cloud().boots(1));
+                cluster.cloud().boots(0.1);
+                cluster.machines().stream().limit(between(1, 6)).toList().forEach(cluster.cloud()::take);
+                later(forMs, "boots take their time", () -> cluster.cloud().boots(1));
             }
-            case ODD_REQUESTS -> ScenarioTest.oddRequests(world, JOBS.get(0));
+            case ODD_REQUESTS -> ScenarioTest.oddRequests(cluster, JOBS.get(0));
             case WORK_CHANGES_HANDS -> {
                 // Teams are parted among the controllers that show signs of life: some fall silent and come back.
-                List<String> others = new ArrayList<>(world.nodes());
+                List<String> others = new ArrayList<>(cluster.nodes());
                 others.remove(leader);
                 Collections.shuffle(others, random);
-                others.stream().limit(between(1, 3)).forEach(node -> world.silence(node, Math.min(forMs, 20_000)));
+                others.stream().limit(between(1, 3)).forEach(node -> cluster.silence(node, Math.min(forMs, 20_000)));
             }
-            case CANCELLED_AT_ONCE -> note("users cancel " + world.cancelNow((int) between(3, 6)));
+            case CANCELLED_AT_ONCE -> note("users cancel " + cluster.cancelNow((int) between(3, 6)));
             case OLD_LEADER_WAKES -> {
                 slow(leader, "workers", 9000);
-                world.freeze(leader, between(2000, 9000));
+                cluster.freeze(leader, between(2000, 9000));
             }
             case MACHINES_DIE ->
-                List.copyOf(world.machines()).stream().limit(between(1, 8)).forEach(world.cloud()::take);
+                List.copyOf(cluster.machines()).stream().limit(between(1, 8)).forEach(cluster.cloud()::take);
         }
     }
 
     private void cut(String one, String other, long forMs) {
-        world.network().cut(one, other, Cut.HOLD);
-        world.simulation().after(forMs, () -> world.network().heal(one, other));
+        cluster.network().cut(one, other, Cut.HOLD);
+        cluster.simulation().after(forMs, () -> cluster.network().heal(one, other));
     }
 
     private void slow(String from, String to, long forMs) {
-        world.network().delayOneWay(from, to, between(200, 3800));
-        later(forMs, from + " to " + to + " is quick", () -> world.network().delayOneWay(from, to, 0));
+        cluster.network().delayOneWay(from, to, between(200, 3800));
+        later(forMs, from + " to " + to + " is quick", () -> cluster.network().delayOneWay(from, to, 0));
     }
 
     private interface Fault {
@@ -270,7 +270,7 @@
 
     private void machines(long forMs, Fault fault) {
         List<WorkerStandIn> some =
-                world.workers().stream().limit(between(1, 20)).toList();
+                cluster.workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
         later(forMs, "machines are well", () -> some.forEach(worker -> fault.set(worker, false)));
     }
@@ -278,21 +278,21 @@
     /** Goes on until shortly after something has come about once more, or has not for a while. */
     private void await(String what, IntSupplier count) {
         int before = count.getAsInt();
-        long until = world.simulation().now() + PATIENCE_MS;
-        while (count.getAsInt() == before && world.simulation().now() < until) {
-            world.simulation().runUntil(world.simulation().now() + 10);
+        long until = cluster.simulation().now() + PATIENCE_MS;
+        while (count.getAsInt() == before && cluster.simulation().now() < until) {
+            cluster.simulation().runUntil(cluster.simulation().now() + 10);
         }
         note(count.getAsInt() == before ? "no " + what + " came" : "after " + what);
-        world.simulation().runUntil(world.simulation().now() + between(0, 400));
+        cluster.simulation().runUntil(cluster.simulation().now() + between(0, 400));
     }
 
     private void awaitSomething() {
         switch (random.nextInt(6)) {
-            case 0 -> await("an election", world::term);
-            case 1 -> await("a cancellation", () -> world.met("cancellations"));
-            case 2 -> await("an end", () -> world.met("ends"));
-            case 3 -> await("a boot", () -> world.cloud().ups());
-            case 4 -> world.simulation().runUntil(world.simulation().now() + between(0, 5000));
+            case 0 -> await("an election", cluster::term);
+            case 1 -> await("a cancellation", () -> cluster.met("cancellations"));
+            case 2 -> await("an end", () -> cluster.met("ends"));
+            case 3 -> await("a boot", () -> cluster.cloud().ups());
+            case 4 -> cluster.simulation().runUntil(cluster.simulation().now() + between(0, 5000));
             default -> {}
         }
     }
@@ -305,7 +305,7 @@
         } catch (InvalidMessage e) {
             throw new IllegalArgumentException(job, e);
         }
-        later(between(20, 6000), "users cancel " + job, () -> world.cancel(job));
+        later(between(20, 6000), "users cancel " + job, () -> cluster.cancel(job));
     }
 
     private void cancelSome() {
@@ -313,10 +313,10 @@
             cancelWhileStarting();
         }
         int count = (int) between(0, 2);
-        List<String> jobs = world.cancelNow(count);
+        List<String> jobs = cluster.cancelNow(count);
         note("users cancel " + jobs);
         if (random.nextInt(4) == 0) {
-            world.hangMachinesOf(jobs, between(3000, 30_000));
+            cluster.hangMachinesOf(jobs, between(3000, 30_000));
         }
     }
 
@@ -334,7 +334,7 @@
             case 1 -> troubles.add(Trouble.OUTAGE);
             default -> {}
         }
-        world.simulation().runUntil(world.simulation().now() + between(0, 8000));
+        cluster.simulation().runUntil(cluster.simulation().now() + between(0, 8000));
         for (Trouble trouble : troubles) {
             boolean cancelFirst = random.nextBoolean();
             if (cancelFirst) {
@@ -343,28 +343,29 @@
             }
             start(trouble);
             if (!cancelFirst) {
-                world.simulation().runUntil(world.simulation().now() + between(0, 1500));
+                cluster.simulation().runUntil(cluster.simulation().now() + between(0, 1500));
                 cancelSome();
             }
             awaitSomething();
         }
-        world.simulation().runUntil(world.simulation().now() + 75_000);
+        cluster.simulation().runUntil(cluster.simulation().now() + 75_000);
         note("troubles are over");
-        world.cancelAtEnd(0);
-        world.troublesOver();
-        world.simulation().runUntil(world.simulation().now() + 300_000);
+        cluster.cancelAtEnd(0);
+        cluster.troublesOver();
+        cluster.simulation().runUntil(cluster.simulation().now() + 300_000);
         String story = "seed " + seed + ": " + String.join("\n", happened) + "\n";
         System.out.printf(
                 "seed %d: gone %d ms and ordered %d ms after a cancellation at the latest, %d orders, %d starts%n",
                 seed,
-                world.rules().longestAfterCancelMs(),
-                world.rules().longestOrderAfterCancelMs(),
-                world.rules().ordersAfterCancel(),
-                world.rules().startsAfterCancel());
-        assertEquals(List.of(), world.rules().breaches(), story);
-        assertEquals(0, world.network().callsTo("10.1."), "direct commands");
+                cluster.rules().longestAfterCancelMs(),
+                cluster.rules().longestOrderAfterCancelMs(),
+                cluster.rules().ordersAfterCancel(),
+                cluster.rules().startsAfterCancel());
+        assertEquals(List.of(), cluster.rules().breaches(), story);
+        assertEquals(0, cluster.network().callsTo("10.1."), "direct commands");
         for (String job : JOBS) {
-            assertTrue(List.of("done", "cancelled").contains(world.told(job)), story + job + " is " + world.told(job));
+            assertTrue(
+                    List.of("done", "cancelled").contains(cluster.told(job)), story + job + " is " + cluster.told(job));
         }
     }
 }
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -93,7 +93,7 @@
             }
         }
         asking.sort(null);
-        assertEquals(List.of("Leader.java", "RoomLeases.java"), asking);
+        assertEquals(List.of("Leader.java", "ResourceLeases.java"), asking);
     }
 
     @Test
--- a/src/test/java/notchpick/LinkWalkTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -11,7 +11,7 @@
 import notchpick.scheduling.Amounts;
 import notchpick.scheduling.MachineType;
 import notchpick.standin.Network.Cut;
-import notchpick.standin.World;
+import notchpick.standin.SimulatedCluster;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,7 +19,7 @@
 
 /** Seeded random walks over failures of links, checked against the rules. A seed that fails repeats. */
 @Execution(ExecutionMode.CONCURRENT)
-class LinkWalkTest {
+class LinkFaultTest {
     private static final int CONTROLLERS = 5;
     /** All its links are left alone where a path must be left. */
     private static final String WHOLE = "node-4";
@@ -32,8 +32,8 @@
         return IntStream.rangeClosed(1, 150);
     }
 
-    private static World world() throws Exception {
-        World world = new World(
+    private static SimulatedCluster cluster() throws Exception {
+        SimulatedCluster cluster = new SimulatedCluster(
                 CONTROLLERS,
                 List.of(new Limit("a", Amounts.NONE, new Amounts(70, 0, 0))),
                 List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 5, List.of("east", "west"))),
@@ -41,15 +41,15 @@
                 100,
                 null,
                 false);
-        world.capacity("m8", "east", true, 5);
-        world.capacity("m8", "west", true, 5);
-        world.simulation().runUntil(3000);
+        cluster.capacity("m8", "east", true, 5);
+        cluster.capacity("m8", "west", true, 5);
+        cluster.simulation().runUntil(3000);
         double[] runS = {6, 11, 17};
         for (int i = 0; i < JOBS.size(); i++) {
-            world.submit(ScenarioTest.submission(JOBS.get(i), Map.of("tasks", "90")), runS[i], 0.9, false);
+            cluster.submit(ScenarioTest.submission(JOBS.get(i), Map.of("tasks", "90")), runS[i], 0.9, false);
         }
-        world.simulation().runUntil(25_000);
-        return world;
+        cluster.simulation().runUntil(25_000);
+        return cluster;
     }
 
     private static String any(Random random, List<String> names) {
@@ -57,7 +57,7 @@
     }
 
     /** Cuts one link in one of the ways there are, or heals one; the spared controller's workers are left alone. */
-    private static void turn(World world, Random random, List<String> nodes, String spared) {
+    private static void turn(SimulatedCluster cluster, Random random, List<String> nodes, String spared) {
         String node = any(random, nodes);
         String peer = any(random, nodes);
         String other = any(
@@ -66,33 +66,33 @@
                         ? List.of("state", peer)
                         : List.of("state", "workers", "workers-east", "workers-west", peer));
         switch (random.nextInt(8)) {
-            case 0, 1 -> world.network().cut(node, other, Cut.HOLD);
-            case 2 -> world.network().cut(node, other, Cut.RESET);
-            case 3 -> world.network().cut(node, other, Cut.REFUSE);
-            case 4 -> world.network().cutOneWay(node, other, Cut.HOLD);
-            case 5 -> world.network().cutOneWay(other, node, Cut.HOLD);
-            case 6 -> world.state().refuse(node, random.nextBoolean());
-            default -> world.network().heal(node, other);
+            case 0, 1 -> cluster.network().cut(node, other, Cut.HOLD);
+            case 2 -> cluster.network().cut(node, other, Cut.RESET);
+            case 3 -> cluster.network().cut(node, other, Cut.REFUSE);
+            case 4 -> cluster.network().cutOneWay(node, other, Cut.HOLD);
+            case 5 -> cluster.network().cutOneWay(other, node, Cut.HOLD);
+            case 6 -> cluster.state().refuse(node, random.nextBoolean());
+            default -> cluster.network().heal(node, other);
         }
     }
 
-    private static void healAll(World world) {
-        for (String node : world.nodes()) {
-            world.state().refuse(node, false);
+    private static void healAll(SimulatedCluster cluster) {
+        for (String node : cluster.nodes()) {
+            cluster.state().refuse(node, false);
             for (String other : List.of("state", "workers", "workers-east", "workers-west")) {
-                world.network().heal(node, other);
+                cluster.network().heal(node, other);
             }
-            world.nodes().forEach(peer -> world.network().heal(node, peer));
+            cluster.nodes().forEach(peer -> cluster.network().heal(node, peer));
         }
-        world.state().outage(false);
+        cluster.state().outage(false);
     }
 
-    private static void finish(World world, String what) {
-        healAll(world);
-        world.simulation().runUntil(world.simulation().now() + 260_000);
-        assertEquals(List.of(), world.rules().breaches(), what);
+    private static void finish(SimulatedCluster cluster, String what) {
+        healAll(cluster);
+        cluster.simulation().runUntil(cluster.simulation().now() + 260_000);
+        assertEquals(List.of(), cluster.rules().breaches(), what);
         for (String job : JOBS) {
-            assertEquals("done", world.told(job), what + " " + job);
+            assertEquals("done", cluster.told(job), what + " " + job);
         }
     }
 
@@ -101,15 +101,15 @@
     @MethodSource("seeds")
     void whereAPathIsLeftNoTaskDiesWithItsLease(int seed) throws Exception {
         Random random = new Random(seed);
-        World world = world();
+        SimulatedCluster cluster = cluster();
         List<String> nodes =
-                world.nodes().stream().filter(node -> !node.equals(WHOLE)).toList();
+                cluster.nodes().stream().filter(node -> !node.equals(WHOLE)).toList();
         for (int i = 0; i < 25; i++) {
-            turn(world, random, nodes, HEARD);
-            world.simulation().runUntil(world.simulation().now() + 500 + random.nextInt(4500));
+            turn(cluster, random, nodes, HEARD);
+            cluster.simulation().runUntil(cluster.simulation().now() + 500 + random.nextInt(4500));
         }
-        assertEquals(0, world.rules().killedByLease(), "seed " + seed);
-        finish(world, "seed " + seed);
+        assertEquals(0, cluster.rules().killedByLease(), "seed " + seed);
+        finish(cluster, "seed " + seed);
     }
 
     /** Links, controllers and the state service, all at once; what is lost is done again, and no rule is broken. */
@@ -117,28 +117,28 @@
     @MethodSource("seeds")
     void noRuleIsBrokenWhateverFails(int seed) throws Exception {
         Random random = new Random(1000 + seed);
-        World world = world();
+        SimulatedCluster cluster = cluster();
         for (int i = 0; i < 30; i++) {
-            String node = any(random, world.nodes());
+            String node = any(random, cluster.nodes());
             switch (random.nextInt(9)) {
-                case 0 -> world.crash(node, 200 + random.nextInt(6000));
-                case 1 -> world.freeze(node, 500 + random.nextInt(20_000));
-                case 2 -> world.state().outage(random.nextInt(3) == 0);
-                case 3 -> world.state().loseCommits(1 + random.nextInt(3), random.nextInt(20_000));
+                case 0 -> cluster.crash(node, 200 + random.nextInt(6000));
+                case 1 -> cluster.freeze(node, 500 + random.nextInt(20_000));
+                case 2 -> cluster.state().outage(random.nextInt(3) == 0);
+                case 3 -> cluster.state().loseCommits(1 + random.nextInt(3), random.nextInt(20_000));
                 case 4 -> {
                     if (i == 15) {
-                        world.cancel(JOBS.get(2));
+                        cluster.cancel(JOBS.get(2));
                     }
                 }
-                default -> turn(world, random, world.nodes(), null);
+                default -> turn(cluster, random, cluster.nodes(), null);
             }
-            world.simulation().runUntil(world.simulation().now() + 200 + random.nextInt(4000));
+            cluster.simulation().runUntil(cluster.simulation().now() + 200 + random.nextInt(4000));
         }
-        healAll(world);
-        world.simulation().runUntil(world.simulation().now() + 260_000);
-        assertEquals(List.of(), world.rules().breaches(), "seed " + seed);
+        healAll(cluster);
+        cluster.simulation().runUntil(cluster.simulation().now() + 260_000);
+        assertEquals(List.of(), cluster.rules().breaches(), "seed " + seed);
         for (String job : JOBS) {
-            assertTrue(List.of("done", "cancelled").contains(world.told(job)), "seed " + seed + " " + job);
+            assertTrue(List.of("done", "cancelled").contains(cluster.told(job)), "seed " + seed + " " + job);
         }
     }
 }
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -23,10 +23,10 @@
 import notchpick.scheduling.MachineType;
 import notchpick.standin.CloudStandIn.Listing;
 import notchpick.standin.Network.Cut;
+import notchpick.standin.SimulatedCluster;
+import notchpick.standin.SimulatedCluster.Limits;
+import notchpick.standin.SimulatedCluster.Timing;
 import notchpick.standin.WorkerStandIn;
-import notchpick.standin.World;
-import notchpick.standin.World.Limits;
-import notchpick.standin.World.Timing;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -130,26 +130,26 @@
 
     static void play(String name, List<String> lines) throws Exception {
         List<Step> steps = new ArrayList<>();
-        World world = read(name, lines, steps);
+        SimulatedCluster cluster = read(name, lines, steps);
         for (Step step : steps) {
-            world.simulation().runUntil((long) (step.atS() * 1000));
-            reading(name, step.line(), String.join(" ", step.words()), () -> play(world, step.words()));
+            cluster.simulation().runUntil((long) (step.atS() * 1000));
+            reading(name, step.line(), String.join(" ", step.words()), () -> play(cluster, step.words()));
         }
-        assertEquals(List.of(), world.rules().breaches());
-        assertTrue(world.rules().starts() > 0, "nothing_ran");
+        assertEquals(List.of(), cluster.rules().breaches());
+        assertTrue(cluster.rules().starts() > 0, "nothing_ran");
         // All orders ride in answers to reports: none can be held up for longer than a report's sender waits.
-        assertEquals(0, world.network().callsTo(WORKERS), "direct commands");
+        assertEquals(0, cluster.network().callsTo(WORKERS), "direct commands");
         System.out.printf(
                 "%s: gone %.1f s and ordered %.1f s after a cancellation at the latest, %d orders and %d starts after one%n",
                 name,
-                world.rules().longestAfterCancelMs() / 1000.0,
-                world.rules().longestOrderAfterCancelMs() / 1000.0,
-                world.rules().ordersAfterCancel(),
-                world.rules().startsAfterCancel());
+                cluster.rules().longestAfterCancelMs() / 1000.0,
+                cluster.rules().longestOrderAfterCancelMs() / 1000.0,
+                cluster.rules().ordersAfterCancel(),
+                cluster.rules().startsAfterCancel());
     }
 
     /** The deployment that the lines without a time describe; the others are put into order. */
-    private static World read(String name, List<String> lines, List<Step> steps) throws Exception {
+    private static SimulatedCluster read(String name, List<String> lines, List<Step> steps) throws Exception {
         Description description = new Description();
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
@@ -157,7 +157,7 @@
             reading(name, number, line, () -> description.read(line.strip().split("\\s+"), number, steps));
         }
         steps.sort(Comparator.comparingDouble(Step::atS));
-        return description.world();
+        return description.cluster();
     }
 
     /** What is said of the deployment, as far as it differs from the usual. */
@@ -212,131 +212,132 @@
             }
         }
 
-        World world() {
+        SimulatedCluster cluster() {
             List<Limit> allTeams = teams.isEmpty() ? List.of(new Limit("a", Amounts.NONE, Amounts.NONE)) : teams;
             List<MachineType> allTypes = types.isEmpty()
                     ? List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east", "west")))
                     : types;
-            World world =
-                    new World(controllers, allTeams, allTypes, requestsPerS, writesPerS, next, nextIsNews, timing);
+            SimulatedCluster cluster = new SimulatedCluster(
+                    controllers, allTeams, allTypes, requestsPerS, writesPerS, next, nextIsNews, timing);
             if (pools.isEmpty()) {
-                world.capacity("m8", "east", true, 4);
-                world.capacity("m8", "west", true, 4);
-                world.capacity("m8", "east", false, 4);
+                cluster.capacity("m8", "east", true, 4);
+                cluster.capacity("m8", "west", true, 4);
+                cluster.capacity("m8", "east", false, 4);
             }
-            pools.forEach(p -> world.capacity(p[1], p[2], p[3].equals("spot"), Integer.parseInt(p[4])));
-            return world;
+            pools.forEach(p -> cluster.capacity(p[1], p[2], p[3].equals("spot"), Integer.parseInt(p[4])));
+            return cluster;
         }
     }
 
     /** A controller by its own name, as who leads now, or by a name given earlier in the scenario. */
-    private static String node(World world, String word) {
-        return word.equals("leader") ? world.leader() : world.named(word);
+    private static String node(SimulatedCluster cluster, String word) {
+        return word.equals("leader") ? cluster.leader() : cluster.named(word);
     }
 
-    private static String machine(World world, String word) {
+    private static String machine(SimulatedCluster cluster, String word) {
         if (word.equals("busy")) {
-            return world.machines().stream()
-                    .filter(name -> world.worker(name).live() > 0)
+            return cluster.machines().stream()
+                    .filter(name -> cluster.worker(name).live() > 0)
                     .findFirst()
                     .orElseThrow();
         }
         return word;
     }
 
-    private static void play(World world, String[] words) throws InvalidMessage {
+    private static void play(SimulatedCluster cluster, String[] words) throws InvalidMessage {
         String verb = words[2];
         String first = words.length > 3 ? words[3] : "";
         switch (verb) {
-            case "submit" -> submit(world, first, options(words, 4));
-            case "try" -> world.send(first, Json.bytes(submission(first, options(words, 4))));
+            case "submit" -> submit(cluster, first, options(words, 4));
+            case "try" -> cluster.send(first, Json.bytes(submission(first, options(words, 4))));
             case "burst" -> {
                 for (int i = 0; i < Integer.parseInt(words[4]); i++) {
-                    submit(world, first + (100 + i), options(words, 5));
+                    submit(cluster, first + (100 + i), options(words, 5));
                 }
             }
-            case "resubmit" -> world.resubmit(first);
-            case "cancel" -> world.cancel(first);
-            case "ask" -> world.poll(first);
+            case "resubmit" -> cluster.resubmit(first);
+            case "cancel" -> cluster.cancel(first);
+            case "ask" -> cluster.poll(first);
             case "crash" -> {
                 long restartMs = words.length > 4 ? (long) (Double.parseDouble(words[4]) * 1000) : -1;
                 if (first.equals("all")) {
-                    world.nodes().forEach(node -> world.crash(node, restartMs));
+                    cluster.nodes().forEach(node -> cluster.crash(node, restartMs));
                 } else {
-                    world.crash(node(world, first), restartMs);
+                    cluster.crash(node(cluster, first), restartMs);
                 }
             }
-            case "silence" -> world.silence(node(world, first), (long) (Double.parseDouble(words[4]) * 1000));
-            case "freeze" -> world.freeze(node(world, first), (long) (Double.parseDouble(words[4]) * 1000));
-            case "storm" -> world.storm(first, Integer.parseInt(words[4]));
-            case "boots" -> world.cloud().boots(Double.parseDouble(first));
+            case "silence" -> cluster.silence(node(cluster, first), (long) (Double.parseDouble(words[4]) * 1000));
+            case "freeze" -> cluster.freeze(node(cluster, first), (long) (Double.parseDouble(words[4]) * 1000));
+            case "storm" -> cluster.storm(first, Integer.parseInt(words[4]));
+            case "boots" -> cluster.cloud().boots(Double.parseDouble(first));
             case "cut" -> {
                 Cut how = Cut.valueOf(words[5].toUpperCase());
-                ends(world, first, words[4]).forEach(pair -> world.network().cut(pair[0], pair[1], how));
+                ends(cluster, first, words[4]).forEach(pair -> cluster.network().cut(pair[0], pair[1], how));
             }
             // Requests of the first to the second still pass, or answers do.
             case "cut-answers" ->
-                ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[1], pair[0], Cut.HOLD));
+                ends(cluster, first, words[4]).forEach(pair -> cluster.network().cutOneWay(pair[1], pair[0], Cut.HOLD));
             case "cut-requests" ->
-                ends(world, first, words[4]).forEach(pair -> world.network().cutOneWay(pair[0], pair[1], Cut.HOLD));
+                ends(cluster, first, words[4]).forEach(pair -> cluster.network().cutOneWay(pair[0], pair[1], Cut.HOLD));
             // Packets one way take so long; 0: no longer.
             case "slow" ->
-                ends(world, first, words[4])
-                        .forEach(pair -> world.network().delayOneWay(pair[0], pair[1], millis(words[5])));
+                ends(cluster, first, words[4])
+                        .forEach(pair -> cluster.network().delayOneWay(pair[0], pair[1], millis(words[5])));
             case "heal" ->
-                ends(world, first, words[4]).forEach(pair -> world.network().heal(pair[0], pair[1]));
-            case "name" -> world.name(first, node(world, words[4]));
-            case "watch-pauses" -> world.rules().watchPauses();
-            case "outage" -> world.outage(first.equals("on"));
-            case "looks-at-elections" -> world.looksAtElections(first.equals("on"));
-            case "refuse" -> world.refuse(node(world, first), words[4].equals("on"));
-            case "refuse-none" -> world.nodes().forEach(node -> world.state().refuse(node, false));
-            case "watches-hang" -> world.state().watchesHang(first.equals("on"));
-            case "lists-take" -> world.state().lists(millis(first));
-            case "pages" -> world.state().pages(Integer.parseInt(first));
-            case "limits-fall" -> world.limitsFall();
+                ends(cluster, first, words[4]).forEach(pair -> cluster.network().heal(pair[0], pair[1]));
+            case "name" -> cluster.name(first, node(cluster, words[4]));
+            case "watch-pauses" -> cluster.rules().watchPauses();
+            case "outage" -> cluster.outage(first.equals("on"));
+            case "looks-at-elections" -> cluster.looksAtElections(first.equals("on"));
+            case "refuse" -> cluster.refuse(node(cluster, first), words[4].equals("on"));
+            case "refuse-none" ->
+                cluster.nodes().forEach(node -> cluster.state().refuse(node, false));
+            case "watches-hang" -> cluster.state().watchesHang(first.equals("on"));
+            case "lists-take" -> cluster.state().lists(millis(first));
+            case "pages" -> cluster.state().pages(Integer.parseInt(first));
+            case "limits-fall" -> cluster.limitsFall();
             case "lose-commits" ->
-                world.state().loseCommits(Integer.parseInt(first), (long) (Double.parseDouble(words[4]) * 1000));
-            case "cloud" -> world.cloud().down(first.equals("down"));
-            case "cloud-lists" -> world.cloud().listing(Listing.valueOf(first));
-            case "late-release" -> world.cloud().nextReleaseLate((long) (Double.parseDouble(first) * 1000));
-            case "late-rental" -> world.cloud().nextRentalLate((long) (Double.parseDouble(first) * 1000));
-            case "never-up" -> world.cloud().neverUp(Integer.parseInt(first));
-            case "die" -> world.cloud().take(machine(world, first));
-            case "hang" -> world.worker(machine(world, first)).hang(true);
-            case "hang-for" -> world.hang(world.worker(machine(world, first)), millis(words[4]));
+                cluster.state().loseCommits(Integer.parseInt(first), (long) (Double.parseDouble(words[4]) * 1000));
+            case "cloud" -> cluster.cloud().down(first.equals("down"));
+            case "cloud-lists" -> cluster.cloud().listing(Listing.valueOf(first));
+            case "late-release" -> cluster.cloud().nextReleaseLate((long) (Double.parseDouble(first) * 1000));
+            case "late-rental" -> cluster.cloud().nextRentalLate((long) (Double.parseDouble(first) * 1000));
+            case "never-up" -> cluster.cloud().neverUp(Integer.parseInt(first));
+            case "die" -> cluster.cloud().take(machine(cluster, first));
+            case "hang" -> cluster.worker(machine(cluster, first)).hang(true);
+            case "hang-for" -> cluster.hang(cluster.worker(machine(cluster, first)), millis(words[4]));
             case "hang-some" ->
-                List.copyOf(world.workers()).stream()
+                List.copyOf(cluster.workers()).stream()
                         .limit(Integer.parseInt(first))
-                        .forEach(worker -> world.hang(worker, millis(words[4])));
-            case "deaf" -> some(world, first).forEach(worker -> worker.deaf(true));
-            case "mute" -> some(world, first).forEach(worker -> worker.mute(true));
+                        .forEach(worker -> cluster.hang(worker, millis(words[4])));
+            case "deaf" -> some(cluster, first).forEach(worker -> worker.deaf(true));
+            case "mute" -> some(cluster, first).forEach(worker -> worker.mute(true));
             case "all-hear" ->
-                world.workers().forEach(worker -> {
+                cluster.workers().forEach(worker -> {
                     worker.deaf(false);
                     worker.mute(false);
                 });
             case "late-writes" ->
-                world.state().lateWrites(Double.parseDouble(first), words.length > 4 && words[4].equals("at-once"));
+                cluster.state().lateWrites(Double.parseDouble(first), words.length > 4 && words[4].equals("at-once"));
             case "late-reports" ->
-                world.lateReports(Double.parseDouble(first), words.length > 4 && words[4].equals("for-next"));
+                cluster.lateReports(Double.parseDouble(first), words.length > 4 && words[4].equals("for-next"));
             case "cancel-now" -> {
-                List<String> jobs = world.cancelNow(Integer.parseInt(first));
+                List<String> jobs = cluster.cancelNow(Integer.parseInt(first));
                 if (words.length > 4) {
-                    world.hangMachinesOf(jobs, millis(words[5]));
+                    cluster.hangMachinesOf(jobs, millis(words[5]));
                 }
             }
-            case "cancel-at-end" -> world.cancelAtEnd(Double.parseDouble(first));
-            case "look" -> world.look(first);
-            case "close-looks" -> world.closeLooks(first.equals("on"));
-            case "odd-requests" -> oddRequests(world, first);
-            case "stream" -> stream(world, first, options(words, 4));
-            case "troubles-over" -> world.troublesOver();
-            case "unhang" -> world.workers().forEach(worker -> worker.hang(false));
-            case "sick" -> world.worker(machine(world, first)).sick();
-            case "wave" -> wave(world, first);
-            case "notice" -> world.workers().forEach(worker -> worker.notice(Double.parseDouble(first)));
-            case "expect" -> expect(world, words);
+            case "cancel-at-end" -> cluster.cancelAtEnd(Double.parseDouble(first));
+            case "look" -> cluster.look(first);
+            case "close-looks" -> cluster.closeLooks(first.equals("on"));
+            case "odd-requests" -> oddRequests(cluster, first);
+            case "stream" -> stream(cluster, first, options(words, 4));
+            case "troubles-over" -> cluster.troublesOver();
+            case "unhang" -> cluster.workers().forEach(worker -> worker.hang(false));
+            case "sick" -> cluster.worker(machine(cluster, first)).sick();
+            case "wave" -> wave(cluster, first);
+            case "notice" -> cluster.workers().forEach(worker -> worker.notice(Double.parseDouble(first)));
+            case "expect" -> expect(cluster, words);
             default -> throw new IllegalArgumentException("unknown word " + verb);
         }
     }
@@ -346,8 +347,8 @@
     }
 
     /** All machines, those of a zone, or the first so many. */
-    private static List<WorkerStandIn> some(World world, String which) {
-        List<WorkerStandIn> all = world.workers();
+    private static List<WorkerStandIn> some(SimulatedCluster cluster, String which) {
+        List<WorkerStandIn> all = cluster.workers();
         if (Character.isDigit(which.charAt(0))) {
             return all.stream().limit(Integer.parseInt(which)).toList();
         }
@@ -357,7 +358,8 @@
     }
 
     /** So many jobs a second for a while, a share of which their users call off a second or two later. */
-    private static void stream(World world, String prefix, Map<String, String> options) throws InvalidMessage {
+    private static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options)
+            throws InvalidMessage {
         double perS = Double.parseDouble(options.get("per-second"));
         int jobs = (int) (perS * Double.parseDouble(options.get("for")));
         double share = Double.parseDouble(options.getOrDefault("cancel", "0"));
@@ -365,28 +367,28 @@
         for (int i = 0; i < jobs; i++) {
             String id = prefix + (1000 + i);
             long at = (long) (1000 * i / perS);
-            world.simulation().after(at, () -> {
+            cluster.simulation().after(at, () -> {
                 try {
-                    submit(world, id, options);
+                    submit(cluster, id, options);
                 } catch (InvalidMessage e) {
                     throw new IllegalArgumentException(id, e);
                 }
             });
             if (random.nextDouble() < share) {
-                world.simulation().after(at + 200 + random.nextInt(4000), () -> world.cancel(id));
+                cluster.simulation().after(at + 200 + random.nextInt(4000), () -> cluster.cancel(id));
             }
         }
     }
 
     /** Users submit a job again, and send everything that can't run or lacks a field, at all controllers. */
-    static void oddRequests(World world, String job) {
-        world.resubmit(job);
+    static void oddRequests(SimulatedCluster cluster, String job) {
+        cluster.resubmit(job);
         int number = 0;
         for (String field : REQUIRED) {
             String id = String.format("run-99%04d", number++);
             ObjectNode body = submission(id, Map.of());
             body.remove(field);
-            world.sendUnfit(id, Json.bytes(body));
+            cluster.sendUnfit(id, Json.bytes(body));
         }
         for (Map<String, String> unfit : List.of(
                 Map.of("cores", "1000"),
@@ -400,25 +402,25 @@
                 Map.of("urgency", "soon"),
                 Map.of("form", "gang"))) {
             String id = String.format("run-99%04d", number++);
-            world.sendUnfit(id, Json.bytes(submission(id, unfit)));
+            cluster.sendUnfit(id, Json.bytes(submission(id, unfit)));
         }
     }
 
-    private static void wave(World world, String zone) {
-        List.copyOf(world.machines()).stream()
-                .filter(name -> zone.equals("all") || world.zone(name).equals(zone))
-                .forEach(world.cloud()::take);
+    private static void wave(SimulatedCluster cluster, String zone) {
+        List.copyOf(cluster.machines()).stream()
+                .filter(name -> zone.equals("all") || cluster.zone(name).equals(zone))
+                .forEach(cluster.cloud()::take);
     }
 
-    private static List<String[]> ends(World world, String one, String other) {
-        String from = node(world, one);
+    private static List<String[]> ends(SimulatedCluster cluster, String one, String other) {
+        String from = node(cluster, one);
         List<String[]> pairs = new ArrayList<>();
         switch (other) {
             case "peers" ->
-                world.nodes().stream()
+                cluster.nodes().stream()
                         .filter(node -> !node.equals(from))
                         .forEach(node -> pairs.add(new String[] {from, node}));
-            default -> pairs.add(new String[] {from, node(world, other)});
+            default -> pairs.add(new String[] {from, node(cluster, other)});
         }
         return pairs;
     }
@@ -471,109 +473,113 @@
         return body;
     }
 
-    private static void submit(World world, String job, Map<String, String> options) throws InvalidMessage {
-        world.submit(
+    private static void submit(SimulatedCluster cluster, String job, Map<String, String> options)
+            throws InvalidMessage {
+        cluster.submit(
                 submission(job, options),
                 Double.parseDouble(options.getOrDefault("run", "20")),
                 Double.parseDouble(options.getOrDefault("vary", "0")),
                 options.containsKey("fails"));
     }
 
-    private static void expect(World world, String[] words) {
+    private static void expect(SimulatedCluster cluster, String[] words) {
         String where = String.join(" ", words);
         switch (words[3]) {
             case "met" -> {
-                if (!World.MEETINGS.contains(words[4])) {
+                if (!SimulatedCluster.MEETINGS.contains(words[4])) {
                     throw new IllegalArgumentException("nothing is counted as " + words[4]);
                 }
-                assertTrue(world.met(words[4]) >= Integer.parseInt(words[6]), () -> where + ": " + world.met(words[4]));
+                assertTrue(
+                        cluster.met(words[4]) >= Integer.parseInt(words[6]),
+                        () -> where + ": " + cluster.met(words[4]));
             }
             case "starts-after-cancel" ->
                 assertTrue(
-                        world.rules().startsAfterCancel() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.rules().startsAfterCancel());
+                        cluster.rules().startsAfterCancel() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.rules().startsAfterCancel());
             case "gone-after-cancel" ->
                 assertTrue(
-                        world.rules().longestAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
-                        () -> where + ": " + world.rules().longestAfterCancelMs() / 1000.0);
+                        cluster.rules().longestAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + cluster.rules().longestAfterCancelMs() / 1000.0);
             case "lost-starts" ->
-                assertTrue(world.lostStarts() <= Integer.parseInt(words[5]), () -> where + ": " + world.lostStarts());
+                assertTrue(
+                        cluster.lostStarts() <= Integer.parseInt(words[5]), () -> where + ": " + cluster.lostStarts());
             case "order-after-cancel" ->
                 assertTrue(
-                        world.rules().longestOrderAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
-                        () -> where + ": " + world.rules().longestOrderAfterCancelMs() / 1000.0);
-            case "served" -> assertEquals(List.of(), world.rules().underserved(), where);
+                        cluster.rules().longestOrderAfterCancelMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + cluster.rules().longestOrderAfterCancelMs() / 1000.0);
+            case "served" -> assertEquals(List.of(), cluster.rules().underserved(), where);
             case "leader" -> {
                 if (words[4].equals("none")) {
-                    assertEquals(null, world.leader(), where);
+                    assertEquals(null, cluster.leader(), where);
                 } else if (words[4].equals("not")) {
-                    assertTrue(world.leader() != null && !world.leader().equals(words[5]), where);
+                    assertTrue(cluster.leader() != null && !cluster.leader().equals(words[5]), where);
                 } else {
-                    assertTrue(world.leader() != null, where);
+                    assertTrue(cluster.leader() != null, where);
                 }
             }
             case "killed-by-lease" ->
                 assertTrue(
-                        world.rules().killedByLease() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.rules().killedByLease());
+                        cluster.rules().killedByLease() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.rules().killedByLease());
             case "pause" ->
                 assertTrue(
-                        world.rules().longestPauseMs() <= 1000 * Double.parseDouble(words[5]),
-                        () -> where + ": " + world.rules().longestPauseMs() / 1000.0);
+                        cluster.rules().longestPauseMs() <= 1000 * Double.parseDouble(words[5]),
+                        () -> where + ": " + cluster.rules().longestPauseMs() / 1000.0);
             case "running" ->
                 assertTrue(
-                        world.workers().stream().mapToInt(WorkerStandIn::live).sum() >= Integer.parseInt(words[5]),
+                        cluster.workers().stream().mapToInt(WorkerStandIn::live).sum() >= Integer.parseInt(words[5]),
                         () -> where + ": "
-                                + world.workers().stream()
+                                + cluster.workers().stream()
                                         .mapToInt(WorkerStandIn::live)
                                         .sum());
             case "machines" ->
                 assertTrue(
-                        world.cloud().machines().size() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.cloud().machines().size());
+                        cluster.cloud().machines().size() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.cloud().machines().size());
             case "starts" ->
                 assertTrue(
-                        world.rules().starts() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.rules().starts());
+                        cluster.rules().starts() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.rules().starts());
             case "rented" ->
                 assertTrue(
-                        world.cloud().rented() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.cloud().rented());
+                        cluster.cloud().rented() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.cloud().rented());
             case "storm-answers" ->
                 assertTrue(
-                        world.stormAnswers(Integer.parseInt(words[4])) >= Integer.parseInt(words[6]),
-                        () -> where + ": " + world.stormAnswers(Integer.parseInt(words[4])));
+                        cluster.stormAnswers(Integer.parseInt(words[4])) >= Integer.parseInt(words[6]),
+                        () -> where + ": " + cluster.stormAnswers(Integer.parseInt(words[4])));
             case "over-requests" ->
                 assertTrue(
-                        world.state().overRequests() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.state().overRequests());
+                        cluster.state().overRequests() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.state().overRequests());
             case "writes" ->
                 assertTrue(
-                        world.state().writes() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.state().writes());
+                        cluster.state().writes() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.state().writes());
             case "turned-away" ->
                 assertTrue(
                         words[4].equals("at-least")
-                                ? world.turnedAway() >= Integer.parseInt(words[5])
-                                : world.turnedAway() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.turnedAway());
-            case "untold" -> assertEquals(Integer.parseInt(words[4]), world.untold(), where);
+                                ? cluster.turnedAway() >= Integer.parseInt(words[5])
+                                : cluster.turnedAway() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.turnedAway());
+            case "untold" -> assertEquals(Integer.parseInt(words[4]), cluster.untold(), where);
             case "malformed" ->
-                assertEquals(Integer.parseInt(words[4]), world.state().malformed(), where);
+                assertEquals(Integer.parseInt(words[4]), cluster.state().malformed(), where);
             case "over-rate" ->
                 assertTrue(
-                        world.state().overRate() <= Integer.parseInt(words[5]),
-                        () -> where + ": " + world.state().overRate());
-            case "term" -> assertEquals(Integer.parseInt(words[4]), world.term(), where);
-            case "status" -> assertEquals(Integer.parseInt(words[5]), world.lastStatus(words[4]), where);
+                        cluster.state().overRate() <= Integer.parseInt(words[5]),
+                        () -> where + ": " + cluster.state().overRate());
+            case "term" -> assertEquals(Integer.parseInt(words[4]), cluster.term(), where);
+            case "status" -> assertEquals(Integer.parseInt(words[5]), cluster.lastStatus(words[4]), where);
             default -> {
-                if (!world.knows(words[3])) {
+                if (!cluster.knows(words[3])) {
                     throw new IllegalArgumentException("no line before submits " + words[3]);
                 }
                 if (!STATES.contains(words[4])) {
                     throw new IllegalArgumentException("no job is ever told to be " + words[4]);
                 }
-                assertEquals(words[4], world.told(words[3]), where);
+                assertEquals(words[4], cluster.told(words[3]), where);
             }
         }
     }
--- a/src/test/java/notchpick/bookkeeping/SharedValuesTest.java
+++ b/src/test/java/notchpick/bookkeeping/PackedRecordsTest.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Binding.Phase;
 import notchpick.bookkeeping.Records.DoneRun;
 import notchpick.bookkeeping.Records.Hint;
+import notchpick.bookkeeping.TaskAssignment.Phase;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateApi;
-import notchpick.protocol.StateWay;
+import notchpick.protocol.StateTransport;
 import notchpick.scheduling.Amounts;
 import notchpick.scheduling.FleetPlan.Pool;
 import notchpick.scheduling.JobSpec;
@@ -28,21 +28,21 @@
 import org.junit.jupiter.api.Test;
 
 /** Starts and done marks share values: few writes, none too large, and nothing lost on the way. */
-class SharedValuesTest {
+class PackedRecordsTest {
     private static final int VALUE_BYTES = StateStandIn.MAX_VALUE_BYTES;
     private static final int MAX_WRITES = 12;
 
     private final Simulation simulation = new Simulation();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
     private final StateStandIn state = new StateStandIn(simulation::now, simulation::after, MAX_WRITES, 300, 60);
-    private final StateApi api = new StateApi(StateWay.direct(this::call), loop, "s:1", 1500, 250);
-    private final Ledger ledger = new Ledger(api, loop, loop::after, 0, MAX_WRITES, 42, () -> {});
-    private final Set<Binding> durable = new HashSet<>();
-    private final SharedValues<Binding> starts = new SharedValues<>(
-            ledger,
+    private final StateApi api = new StateApi(StateTransport.direct(this::call), loop, "s:1", 1500, 250);
+    private final FencedWriter writer = new FencedWriter(api, loop, loop::after, 0, MAX_WRITES, 42, () -> {});
+    private final Set<TaskAssignment> durable = new HashSet<>();
+    private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
+            writer,
             Records.STARTS,
-            new SharedValues.Form<>(Records::startBytes, Records::starts),
-            SharedValues.Fill.EMPTIEST,
+            new PackedRecords.Form<>(Records::startBytes, Records::starts),
+            PackedRecords.Fill.EMPTIEST,
             VALUE_BYTES,
             MAX_WRITES,
             durable::addAll);
@@ -81,10 +81,10 @@
                 0);
     }
 
-    private static Binding start(int number) {
+    private static TaskAssignment start(int number) {
         Machine machine = new Machine(
                 "m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true), new Amounts(8, 0, 16), 0);
-        return new Binding(
+        return new TaskAssignment(
                 spec("run-" + (100_000 + number % 300), 1800), number, machine, (7L << 24) + number, Phase.PLANNED);
     }
 
@@ -100,10 +100,10 @@
 
     @Test
     void manyStartsTakeFewWritesAndAllAreThere() {
-        List<Binding> all = new ArrayList<>();
+        List<TaskAssignment> all = new ArrayList<>();
         // 75 a second for a minute, each over after 20 s.
         for (int i = 0; i < 4500; i++) {
-            Binding binding = start(i);
+            TaskAssignment binding = start(i);
             all.add(binding);
             starts.save(binding);
             if (i >= 1500) {
@@ -118,7 +118,7 @@
         assertTrue(durable.containsAll(all), "every start has become durable");
         assertTrue(state.writes() < 4500 / 3, state.writes() + " writes for 4500 starts");
         Set<String> stored = stored();
-        for (Binding binding : all.subList(3000, 4500)) {
+        for (TaskAssignment binding : all.subList(3000, 4500)) {
             assertTrue(stored.contains(binding.machine.name + " " + binding.taskName()), binding.taskName());
         }
         assertEquals(0, state.overRate());
@@ -140,11 +140,11 @@
     @Test
     void aWriteWithoutAnAnswerIsMadeAgain() {
         state.loseCommits(2, 4000);
-        Binding first = start(1);
+        TaskAssignment first = start(1);
         starts.save(first);
         simulation.runUntil(1000);
         assertFalse(durable.contains(first));
-        Binding second = start(2);
+        TaskAssignment second = start(2);
         starts.save(second);
         simulation.runUntil(20_000);
         assertTrue(durable.containsAll(List.of(first, second)));
@@ -153,7 +153,7 @@
 
     @Test
     void whatIsOverIsSweptAway() {
-        Binding over = start(1);
+        TaskAssignment over = start(1);
         starts.save(over);
         simulation.runUntil(1000);
         starts.drop(over);
@@ -186,8 +186,8 @@
     @Test
     void startsTakeNoMoreBytesThanReckoned() {
         for (int number : new int[] {0, 9, 1799, 99_999}) {
-            Binding binding = start(number);
-            Binding odd = new Binding(
+            TaskAssignment binding = start(number);
+            TaskAssignment odd = new TaskAssignment(
                     new JobSpec(
                             "run-1",
                             "c",
@@ -212,7 +212,7 @@
                     binding.machine,
                     Long.MAX_VALUE,
                     Phase.SENT);
-            for (Binding one : List.of(binding, odd)) {
+            for (TaskAssignment one : List.of(binding, odd)) {
                 int bytes = Json.bytes(Records.starts(List.of(one))).length;
                 assertTrue(bytes <= Records.startBytes(one) + 64, bytes + " bytes");
             }
@@ -220,8 +220,8 @@
     }
 
     /** A value as another version left it, longer than this one may write, with its units as they are loaded. */
-    private List<Binding> leftLong(int key, int count) {
-        List<Binding> left = new ArrayList<>();
+    private List<TaskAssignment> leftLong(int key, int count) {
+        List<TaskAssignment> left = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             left.add(start(key * 10_000 + i));
         }
@@ -233,12 +233,12 @@
 
     private static final int SHORT_BYTES = 2048;
 
-    private SharedValues<Binding> shortValues(Ledger ledger) {
-        return new SharedValues<>(
-                ledger,
+    private PackedRecords<TaskAssignment> shortValues(FencedWriter writer) {
+        return new PackedRecords<>(
+                writer,
                 Records.STARTS,
-                new SharedValues.Form<>(Records::startBytes, Records::starts),
-                SharedValues.Fill.EMPTIEST,
+                new PackedRecords.Form<>(Records::startBytes, Records::starts),
+                PackedRecords.Fill.EMPTIEST,
                 SHORT_BYTES,
                 4,
                 durable::addAll);
@@ -246,22 +246,22 @@
 
     @Test
     void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
-        List<Binding> left = leftLong(0, 200);
+        List<TaskAssignment> left = leftLong(0, 200);
         state.limits(SHORT_BYTES, 4, 42);
-        Ledger small = new Ledger(api, loop, loop::after, 0, 4, 29, () -> {});
-        SharedValues<Binding> values = shortValues(small);
+        FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
+        PackedRecords<TaskAssignment> values = shortValues(small);
         values.loaded(Records.STARTS + 0, left);
         small.known(Records.STARTS + 0, 1);
         // At each moment all are there that are not over, in whatever value.
-        List<Binding> over = new ArrayList<>(left.subList(0, 60));
+        List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
         over.forEach(values::drop);
-        List<Binding> changed = left.subList(60, 190);
+        List<TaskAssignment> changed = left.subList(60, 190);
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
             values.tidy();
             simulation.runUntil(simulation.now() + 7);
             Set<String> stored = stored();
-            for (Binding binding : left.subList(60, 200)) {
+            for (TaskAssignment binding : left.subList(60, 200)) {
                 assertTrue(stored.contains(binding.machine.name + " " + binding.taskName()), binding.taskName());
             }
         }
@@ -279,10 +279,10 @@
             starts.save(start(i));
         }
         boolean[] other = {false};
-        ledger.write(
+        writer.write(
                 "other",
-                () -> new Ledger.Prepared(
-                        List.of(Ledger.Write.put("types", Json.object().put("a", 1))
+                () -> new FencedWriter.Prepared(
+                        List.of(FencedWriter.Write.put("types", Json.object().put("a", 1))
                                 .unguarded()),
                         () -> other[0] = true,
                         () -> {}));
--- a/src/test/java/notchpick/bookkeeping/ProductionFormsTest.java
+++ b/src/test/java/notchpick/bookkeeping/ProductionFormsTest.java
@@ -149,7 +149,8 @@
                 kinds(old.get("done/0").get("jobs").get(0)),
                 kinds(marks.get("jobs").get(0)));
         Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Amounts(8, 0, 64), 0);
-        JsonNode starts = Records.starts(List.of(new Binding(spec(4), 2, machine, 9, Binding.Phase.READY)));
+        JsonNode starts =
+                Records.starts(List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.READY)));
         assertReadable("start/", starts, old.get("start/0"), List.of());
         assertEquals(kinds(old.at("/start~10/jobs/run-000008")), kinds(starts.at("/jobs/run-000010")));
         JsonNode place = starts.at("/machines/m-1");
--- a/src/test/java/notchpick/coordination/leading/GrantingTest.java
+++ b/src/test/java/notchpick/coordination/leading/ResourceAllocatorTest.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import notchpick.bookkeeping.Binding;
+import notchpick.bookkeeping.ClusterState;
 import notchpick.bookkeeping.Job;
 import notchpick.bookkeeping.Machine;
-import notchpick.bookkeeping.Roster;
+import notchpick.bookkeeping.TaskAssignment;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Limit;
 import notchpick.coordination.Deployment.Peer;
@@ -34,12 +34,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Only the holder of a current lease can place, and only within its room. */
-class GrantingTest {
+class ResourceAllocatorTest {
     private static final long TERM = 7;
     private final Simulation simulation = new Simulation();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
-    private final Roster roster = new Roster(over -> {});
-    private final List<Binding> bound = new ArrayList<>();
+    private final ClusterState cluster = new ClusterState(over -> {});
+    private final List<TaskAssignment> bound = new ArrayList<>();
     private Grant granted;
 
     private final Deployment deployment = new Deployment(
@@ -76,10 +76,10 @@
             pulse -> {},
             new Links(loop, deployment),
             () -> null);
-    private final RoomLeases leases =
-            new RoomLeases(loop, deployment, Tuning.DEFAULT, roster, peers, TERM, bound::add, () -> {}, loop::after);
-    private final Granting granting =
-            new Granting(loop, deployment, Tuning.DEFAULT, roster, new Estimates(), leases, type -> 1);
+    private final ResourceLeases leases = new ResourceLeases(
+            loop, deployment, Tuning.DEFAULT, cluster, peers, TERM, bound::add, () -> {}, loop::after);
+    private final ResourceAllocator allocator =
+            new ResourceAllocator(loop, deployment, Tuning.DEFAULT, cluster, new Estimates(), leases, type -> 1);
 
     private static Pulse pulse(String node) {
         return new Pulse(node, TERM, "n-0", true, 0, List.of());
@@ -91,7 +91,7 @@
         Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Amounts(8, 0, 64), loop.now());
         machine.life = Machine.Life.UP;
         machine.settled = true;
-        roster.machines.put("m-1", machine);
+        cluster.machines.put("m-1", machine);
         Job job = new Job(
                 new JobSpec(
                         "run-1",
@@ -114,9 +114,9 @@
                         null,
                         0),
                 1);
-        roster.jobs.put("run-1", job);
+        cluster.jobs.put("run-1", job);
         simulation.runUntil(10);
-        granting.round();
+        allocator.round();
         return job;
     }
 
@@ -190,12 +190,12 @@
             Machine machine = new Machine("m-" + i, new Pool("m8", "east", true), new Amounts(8, 0, 64), loop.now());
             machine.life = Machine.Life.UP;
             machine.settled = true;
-            roster.machines.put(machine.name, machine);
+            cluster.machines.put(machine.name, machine);
         }
         int tasks = 0;
         for (int i = 0; i < 200; i++) {
             String id = "run-" + i;
-            roster.jobs.put(
+            cluster.jobs.put(
                     id,
                     new Job(
                             new JobSpec(
@@ -221,7 +221,7 @@
                             1));
             tasks += 10;
         }
-        granting.round();
+        allocator.round();
         assertEquals(tasks, bound.size());
         assertTrue(looks.get() <= 12 * tasks, looks + " looks at machines for " + tasks + " tasks");
     }
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -18,7 +18,7 @@
 import notchpick.scheduling.FleetPlan.Pool;
 import notchpick.scheduling.MachineType;
 import notchpick.standin.CloudStandIn;
-import notchpick.standin.RuleBook;
+import notchpick.standin.InvariantChecker;
 import notchpick.standin.Simulation;
 import notchpick.standin.StateStandIn;
 import notchpick.standin.WorkerStandIn;
@@ -48,7 +48,7 @@
     private final ConcurrentLinkedQueue<Runnable> arrived = new ConcurrentLinkedQueue<>();
     private final long startedAt = System.nanoTime();
     private final Map<String, Long> saved = new HashMap<>();
-    private final RuleBook rules = new RuleBook(simulation::now, 60_000, Map.of());
+    private final InvariantChecker rules = new InvariantChecker(simulation::now, 60_000, Map.of());
     private final Amounts demand = new Amounts(2, 0, 4);
     private long reports;
     private int jobs;
--- a/src/test/java/notchpick/standin/RuleBook.java
+++ b/src/test/java/notchpick/standin/InvariantChecker.java
@@ -15,7 +15,7 @@
 import notchpick.scheduling.JobSpec;
 
 /** Checks the protocol's rules from what really happens on machines and what users are told. */
-public final class RuleBook {
+public final class InvariantChecker {
     /** After troubles are over, a job of which no question is answered for so long counts as forgotten. */
     static final long SILENT_MS = 75_000;
     /** After troubles are over, a job that could start must not wait any longer. */
@@ -61,7 +61,7 @@
     private long troublesOverAt = Long.MAX_VALUE / 2;
 
     /** @param coreLimits by team; absent: none */
-    public RuleBook(LongSupplier clock, long cancelMs, Map<String, Double> coreLimits) {
+    public InvariantChecker(LongSupplier clock, long cancelMs, Map<String, Double> coreLimits) {
         this.clock = clock;
         this.cancelMs = cancelMs;
         this.coreLimits = coreLimits;
--- a/src/test/java/notchpick/standin/RuleBookTest.java
+++ b/src/test/java/notchpick/standin/InvariantCheckerTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Each check of a rule can fail; otherwise the scenarios would show nothing. */
-class RuleBookTest {
+class InvariantCheckerTest {
     private long now;
-    private final RuleBook rules = new RuleBook(() -> now, 40_000, Map.of("a", 8.0));
+    private final InvariantChecker rules = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
     private void submit(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
         rules.submitted(new JobSpec(
@@ -328,7 +328,7 @@
         accepted("run-2");
         rules.completed("run-2/0");
         rules.answered("run-2", 200, "done");
-        now = RuleBook.LARGEST_BEGIN_MS;
+        now = InvariantChecker.LARGEST_BEGIN_MS;
         rules.started("m-1", "run-1/0", "m8", "east", true);
         assertEquals(List.of("largest of c: 0 of 1 served"), rules.underserved());
         rules.completed("run-1/0");
@@ -340,7 +340,7 @@
     @Test
     void largestBeginsLate() {
         submit("run-1", 2, false, false, true);
-        now = RuleBook.LARGEST_BEGIN_MS + 1;
+        now = InvariantChecker.LARGEST_BEGIN_MS + 1;
         rules.started("m-1", "run-1/0", "m8", "east", true);
         rules.completed("run-1/0");
         rules.completed("run-1/1");
--- a/src/test/java/notchpick/standin/World.java
+++ b/src/test/java/notchpick/standin/SimulatedCluster.java
@@ -30,7 +30,7 @@
 import notchpick.transport.Caller.Call;
 
 /** A whole deployment in simulated time: real controllers among stand-ins. */
-public final class World implements WorkerStandIn.Jobs {
+public final class SimulatedCluster implements WorkerStandIn.Jobs {
     /** Report period, workers' lease and the time that a cancellation has, in seconds. */
     public record Timing(double reportS, double leaseS, double cancelS) {
         public static final Timing DEFAULT = new Timing(3, 20, 40);
@@ -114,7 +114,7 @@
     private final Limits limits;
     private final Limits next;
     private final boolean nextIsNews;
-    private final RuleBook rules;
+    private final InvariantChecker rules;
     private final StateStandIn state;
     private final CloudStandIn cloud;
     private final List<String> nodes = new ArrayList<>();
@@ -130,7 +130,7 @@
      * @param next limits that will hold from some moment on
      * @param nextIsNews whether a controller keeps to those only from its second life on, as in a roll
      */
-    public World(
+    public SimulatedCluster(
             int count,
             List<Limit> teams,
             List<MachineType> machineTypes,
@@ -141,7 +141,7 @@
         this(count, teams, machineTypes, requestsPerS, writesPerS, next, nextIsNews, Timing.DEFAULT);
     }
 
-    public World(
+    public SimulatedCluster(
             int count,
             List<Limit> teams,
             List<MachineType> machineTypes,
@@ -160,7 +160,7 @@
         teams.stream()
                 .filter(t -> t.most().cores() > 0)
                 .forEach(t -> limits.put(t.team(), t.most().cores()));
-        rules = new RuleBook(simulation::now, (long) (timing.cancelS() * 1000), limits);
+        rules = new InvariantChecker(simulation::now, (long) (timing.cancelS() * 1000), limits);
         state = new StateStandIn(simulation::now, simulation::after, 12, requestsPerS, writesPerS);
         Map<String, MachineType> types = new LinkedHashMap<>();
         machineTypes.forEach(type -> types.put(type.name(), type));
@@ -214,7 +214,7 @@
         state.limits(next.valueBytes(), next.txnOps(), next.writesPerS());
     }
 
-    public RuleBook rules() {
+    public InvariantChecker rules() {
         return rules;
     }
 
@@ -478,7 +478,7 @@
     /** Looks at the jobs last told to be open, done and cancelled. */
     private void lookAtLatest(String meeting) {
         Map<String, String> latest = new HashMap<>();
-        status.forEach((job, told) -> latest.put(RuleBook.isFinal(told) ? told : "open", job));
+        status.forEach((job, told) -> latest.put(InvariantChecker.isFinal(told) ? told : "open", job));
         latest.values().stream().filter(truths::containsKey).forEach(job -> {
             look(job);
             meet(meeting);
@@ -514,8 +514,8 @@
     public List<String> cancelNow(int count) {
         Map<String, Integer> running = new LinkedHashMap<>();
         workers.values()
-                .forEach(
-                        worker -> worker.tasks().forEach(task -> running.merge(RuleBook.jobOf(task), 1, Integer::sum)));
+                .forEach(worker ->
+                        worker.tasks().forEach(task -> running.merge(InvariantChecker.jobOf(task), 1, Integer::sum)));
         List<String> chosen = running.keySet().stream()
                 .filter(job -> !rules.isCancelAsked(job))
                 .sorted(Comparator.comparingLong(
@@ -529,7 +529,7 @@
     /** Up to eight machines on which tasks of these jobs are stand still for a while. */
     public void hangMachinesOf(List<String> jobs, long forMs) {
         workers.values().stream()
-                .filter(worker -> worker.tasks().stream().anyMatch(task -> jobs.contains(RuleBook.jobOf(task))))
+                .filter(worker -> worker.tasks().stream().anyMatch(task -> jobs.contains(InvariantChecker.jobOf(task))))
                 .limit(8)
                 .forEach(worker -> hang(worker, forMs));
     }
@@ -547,7 +547,7 @@
 
     @Override
     public void completed(String task) {
-        String job = RuleBook.jobOf(task);
+        String job = InvariantChecker.jobOf(task);
         Truth truth = truths.get(job);
         meet("ends");
         if (cancelAtEndShare > 0
@@ -679,7 +679,7 @@
         Amounts use = Amounts.NONE;
         for (WorkerStandIn worker : workers.values()) {
             for (String task : worker.tasks()) {
-                JobSpec spec = truths.get(RuleBook.jobOf(task)).spec();
+                JobSpec spec = truths.get(InvariantChecker.jobOf(task)).spec();
                 use = spec.team().equals(team) ? use.plus(spec.demand()) : use;
             }
         }
@@ -721,7 +721,7 @@
         Map<String, Integer> fellows = new HashMap<>();
         for (WorkerStandIn worker : workers.values()) {
             for (String task : worker.tasks()) {
-                JobSpec other = truths.get(RuleBook.jobOf(task)).spec();
+                JobSpec other = truths.get(InvariantChecker.jobOf(task)).spec();
                 if (other == spec) {
                     fellows.merge(worker.zone(), 1, Integer::sum);
                 }
@@ -745,7 +745,7 @@
     private Amounts room(WorkerStandIn worker) {
         Amounts room = worker.type().size();
         for (String task : worker.tasks()) {
-            room = room.minus(demand(RuleBook.jobOf(task)));
+            room = room.minus(demand(InvariantChecker.jobOf(task)));
         }
         return room;
     }
@@ -794,7 +794,7 @@
         if (answer.status() / 100 == 2) {
             String before = status.get(job);
             // Answers cross on their way: what is over stays over for whoever looks at the last word.
-            if (!RuleBook.isFinal(before)) {
+            if (!InvariantChecker.isFinal(before)) {
                 status.put(job, state);
             }
             if ("done".equals(state) && !"done".equals(before)) {
@@ -812,7 +812,7 @@
 
     @Override
     public long runMs(String task) {
-        Truth truth = truths.get(RuleBook.jobOf(task));
+        Truth truth = truths.get(InvariantChecker.jobOf(task));
         // By the task's name, so that it is the same wherever it runs.
         double part = Math.floorMod(task.hashCode() * 31L, 1000) / 500.0 - 1;
         return Math.round(truth.runMs() * (1 + truth.vary() * part));
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/standin/WorkerStandIn.java
@@ -69,7 +69,7 @@
 
     private final Simulation simulation;
     private final Caller caller;
-    private final RuleBook rules;
+    private final InvariantChecker rules;
     private final Jobs jobs;
     private final String name;
     private final MachineType type;
@@ -106,7 +106,7 @@
     public WorkerStandIn(
             Simulation simulation,
             Caller caller,
-            RuleBook rules,
+            InvariantChecker rules,
             Jobs jobs,
             String name,
             MachineType type,
