--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -49,6 +49,7 @@
     /** What arrives from outside. */
     public sealed interface Message {}
 
+    /** The process has started. */
     public record Begin() implements Message {}
 
     private record FromOutside(Call call, Consumer<Answer> reply, long at) implements Message {}
--- a/src/main/java/notchpick/app/Main.java
+++ b/src/main/java/notchpick/app/Main.java
@@ -80,6 +80,7 @@
         return run(config, tuning, true);
     }
 
+    /** Prints how the links of all controllers are. */
     @Command(
             description = "Asks all controllers of the deployment how their links are, and prints that; status 1 "
                     + "if none answered.",
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -37,6 +37,7 @@
         }
     }
 
+    /** Reads and checks the platform's file. */
     public static Deployment read(Path file) throws Unusable {
         byte[] bytes;
         try {
--- a/src/main/java/notchpick/app/TuningFile.java
+++ b/src/main/java/notchpick/app/TuningFile.java
@@ -17,6 +17,7 @@
 final class TuningFile {
     private TuningFile() {}
 
+    /** Reads and checks the operators' file. */
     static Tuning read(Path file) throws Settings.Unusable {
         ObjectNode node;
         Set<ValidationMessage> faults;
--- a/src/main/java/notchpick/bookkeeping/ClusterState.java
+++ b/src/main/java/notchpick/bookkeeping/ClusterState.java
@@ -24,6 +24,7 @@
         this.released = released;
     }
 
+    /** Assigns the task to the machine: from now on it holds its resources there, in the place of an earlier assignment. */
     public TaskAssignment bind(JobSpec spec, int task, Machine machine, long attempt, TaskAssignment.Phase phase) {
         TaskAssignment binding = new TaskAssignment(spec, task, machine, attempt, phase);
         TaskAssignment former = machine.bindings.get(binding.taskName());
--- a/src/main/java/notchpick/bookkeeping/Job.java
+++ b/src/main/java/notchpick/bookkeeping/Job.java
@@ -108,11 +108,13 @@
         return !held && !pending.isEmpty() && (!isDoubted() || startable() > 0);
     }
 
+    /** The task is, or may be, on one more machine. */
     public void bind(int task) {
         bound.merge(task, 1, Integer::sum);
         pending.clear(task);
     }
 
+    /** The task is surely not on one of its machines any more; it waits again if it was the last. */
     public void unbind(int task) {
         bound.computeIfPresent(task, (t, count) -> count == 1 ? null : count - 1);
         if (!bound.containsKey(task) && !done.get(task) && task < spec.tasks()) {
@@ -120,6 +122,7 @@
         }
     }
 
+    /** The task has completed; false if that was known, or the job has no such task. */
     public boolean finish(int task) {
         if (task >= spec.tasks() || done.get(task) || spec.isService()) {
             return false;
--- a/src/main/java/notchpick/bookkeeping/Machine.java
+++ b/src/main/java/notchpick/bookkeeping/Machine.java
@@ -118,11 +118,13 @@
         room = size.minus(leased).minus(held);
     }
 
+    /** Takes the resources that the task needs. */
     void hold(TaskAssignment binding) {
         held = held.plus(binding.spec.demand());
         room = room.minus(binding.spec.demand());
     }
 
+    /** Gives back the resources that the task held. */
     void free(TaskAssignment binding) {
         // Sums of decimals drift; with nothing left they start afresh.
         held = bindings.isEmpty() ? Amounts.NONE : held.minus(binding.spec.demand());
--- a/src/main/java/notchpick/bookkeeping/Records.java
+++ b/src/main/java/notchpick/bookkeeping/Records.java
@@ -65,6 +65,7 @@
         }
     }
 
+    /** The durable form of how a job ended. */
     public static ObjectNode job(JobRecord record) {
         ObjectNode node = Json.object()
                 .put("state", record.fate().name().toLowerCase())
@@ -74,6 +75,7 @@
         return record.service() ? node.put("service", true) : node;
     }
 
+    /** Reads what {@link #job(JobRecord)} wrote, in this or the former version. */
     public static JobRecord job(JsonNode value) {
         Fate fate = value.path("state").asText().equals("done") ? Fate.DONE : Fate.CANCELLED;
         return new JobRecord(
@@ -84,6 +86,7 @@
                 value.path("service").asBoolean());
     }
 
+    /** The durable form of an open job's description. */
     public static ObjectNode spec(JobSpec spec) {
         ObjectNode node = Json.object()
                 .put("class", spec.jobClass())
@@ -134,6 +137,7 @@
     /** Field names, numbers and flags of a job's description. */
     private static final int SPEC_FRAME_BYTES = 600;
 
+    /** Reads what {@link #spec(JobSpec)} wrote. */
     public static JobSpec spec(String id, JsonNode node) {
         List<String> types = node.path("types").isArray() ? texts(node.path("types")) : null;
         return new JobSpec(
@@ -225,6 +229,7 @@
     /** A task that may be on a machine, of which this says where it is and what it takes. */
     public record Hint(String machine, Pool pool, JobSpec job, int task, long attempt) {}
 
+    /** Reads the tasks that a packed record of launches names. */
     public static List<Hint> hints(JsonNode node) {
         Map<String, JobSpec> jobs = new HashMap<>();
         node.path("jobs").fields().forEachRemaining(field -> {
@@ -298,6 +303,7 @@
     /** The tasks from {@code first} on that are done. */
     public record DoneRun(String job, int first, BitSet bits) {}
 
+    /** Reads the runs of done marks that a packed record holds. */
     public static List<DoneRun> done(JsonNode node) {
         List<DoneRun> runs = new ArrayList<>();
         for (JsonNode run : node.path("jobs")) {
@@ -309,6 +315,7 @@
         return runs;
     }
 
+    /** The durable form of the machines whose release may have been requested. */
     public static ObjectNode released(Collection<Machine> machines) {
         ObjectNode node = Json.object();
         ArrayNode names = node.putArray("machines");
@@ -348,6 +355,7 @@
     /** Field names of one commitment, and three numbers. */
     private static final int COMMITMENT_BYTES = 112;
 
+    /** Reads the commitments by team; empty where none were saved. */
     public static Map<String, Amounts> commitments(JsonNode node) {
         Map<String, Amounts> commitments = new HashMap<>();
         node.fields().forEachRemaining(field -> commitments.put(field.getKey(), amounts(field.getValue())));
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -37,6 +37,7 @@
                     && (most.gpus() <= 0 || held.gpus() <= most.gpus() + Amounts.SLACK);
         }
 
+        /** Whether so much stays within the team's guarantee. */
         public boolean guarantees(Amounts held) {
             return (guarantee.cores() > 0 || guarantee.gpus() > 0)
                     && held.cores() <= guarantee.cores() + Amounts.SLACK
@@ -71,6 +72,7 @@
         return stateRps / controllers();
     }
 
+    /** The limit of a team; null: there is no such team. */
     public Limit limit(String team) {
         for (Limit limit : teams) {
             if (limit.team().equals(team)) {
--- a/src/main/java/notchpick/coordination/leading/Fleet.java
+++ b/src/main/java/notchpick/coordination/leading/Fleet.java
@@ -93,11 +93,13 @@
         known.forEach(type -> types.put(type.name(), type));
     }
 
+    /** What a machine of this type offers. */
     Amounts size(String type) {
         MachineType known = types.get(type);
         return known == null ? Amounts.NONE : known.size();
     }
 
+    /** How fast a machine of this type fetches images; 0: not known. */
     double fetchGbPerS(String type) {
         MachineType known = types.get(type);
         return known == null ? 0 : known.fetchGbPerS();
--- a/src/main/java/notchpick/coordination/leading/Leader.java
+++ b/src/main/java/notchpick/coordination/leading/Leader.java
@@ -36,10 +36,13 @@
     /** What the leader is told. */
     public sealed interface Message {}
 
+    /** The leader's lease has been renewed. */
     public record ClaimRenewed(long until) implements Message {}
 
+    /** The term is over. */
     public record Depose() implements Message {}
 
+    /** The machine types, without which nothing can be sized. */
     public record TypesKnown(List<MachineType> types) implements Message {}
 
     /** @param passed whether it has come by another controller */
--- a/src/main/java/notchpick/coordination/leading/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leading/LeaderAuthority.java
@@ -30,6 +30,7 @@
         this.claimUntil = claimUntil;
     }
 
+    /** The leader's lease surely stands until then. */
     void claimRenewed(long until) {
         if (!holdsClaim()) {
             regainedAt = clock.getAsLong();
--- a/src/main/java/notchpick/coordination/leading/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leading/LeaderRecovery.java
@@ -54,6 +54,7 @@
         this.done = done;
     }
 
+    /** Starts to read; the caller hears when all is read. */
     void begin() {
         list(Records.OPEN, (open, sentAt) -> {
             jobs.load(open, sentAt);
--- a/src/main/java/notchpick/coordination/leading/OpenJobs.java
+++ b/src/main/java/notchpick/coordination/leading/OpenJobs.java
@@ -108,6 +108,7 @@
         open.entries().forEach(entry -> opened(entry.key(), entry.value(), entry.version()));
     }
 
+    /** Takes in the done marks that a former leader left. */
     void loadDone(Listing listing) {
         for (Entry entry : listing.entries()) {
             writer.known(entry.key(), entry.version());
@@ -132,6 +133,7 @@
 
     // ---- users' changes ------------------------------------------------------------------------
 
+    /** Follows the changes of open jobs from this revision on. */
     void watch(long since) {
         pipelines.settle();
         long sentAt = loop.now();
--- a/src/main/java/notchpick/coordination/leading/Placer.java
+++ b/src/main/java/notchpick/coordination/leading/Placer.java
@@ -56,6 +56,7 @@
         }
     }
 
+    /** Places the tasks of a grant on the machines whose resources it leases. */
     public static Placements place(Grant grant, String node) {
         List<LeasedRoom> rooms = new ArrayList<>();
         grant.getRooms().forEach(room -> rooms.add(new LeasedRoom(room)));
--- a/src/main/java/notchpick/coordination/leading/Reports.java
+++ b/src/main/java/notchpick/coordination/leading/Reports.java
@@ -108,6 +108,7 @@
         return nothing;
     }
 
+    /** Takes a worker's report in and answers it, at once or when what it awaits has come. */
     void receive(Report report, Consumer<Answer> reply) {
         long now = loop.now();
         // A late report may be of a machine that is surely gone.
@@ -441,6 +442,7 @@
         return false;
     }
 
+    /** Answers the machine's report now, if one waits, with all orders that are due. */
     void answer(Machine machine) {
         Held open = held.remove(machine);
         machine.awaitsAnswer = false;
--- a/src/main/java/notchpick/coordination/leading/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leading/ResourceLeases.java
@@ -64,6 +64,7 @@
             this.holder = holder;
         }
 
+        /** Leases room on the machine for a task. */
         void add(Machine machine, Job job, int task) {
             room.merge(machine, job.spec.demand(), Amounts::plus);
             tasks.computeIfAbsent(job, j -> new BitSet()).set(task);
--- a/src/main/java/notchpick/coordination/membership/Elector.java
+++ b/src/main/java/notchpick/coordination/membership/Elector.java
@@ -23,6 +23,7 @@
     /** What the elector is told. */
     public sealed interface Message {}
 
+    /** Start to look who leads. */
     public record Begin() implements Message {}
 
     /** The leader can't do its work, or must not go on; somebody else should lead. */
--- a/src/main/java/notchpick/coordination/membership/Link.java
+++ b/src/main/java/notchpick/coordination/membership/Link.java
@@ -87,6 +87,7 @@
         return Math.round(delayMs);
     }
 
+    /** How many calls a second went over the link lately. */
     double perS(long now) {
         count(now);
         return perS;
--- a/src/main/java/notchpick/coordination/membership/Peers.java
+++ b/src/main/java/notchpick/coordination/membership/Peers.java
@@ -27,8 +27,10 @@
     /** What this actor is told. */
     public sealed interface Message {}
 
+    /** Start to exchange heartbeats. */
     public record Begin() implements Message {}
 
+    /** A peer's heartbeat has arrived. */
     public record Heard(Pulse pulse) implements Message {}
 
     /** A peer has told its links; gives this controller's own. */
@@ -220,6 +222,7 @@
         return shown == null || !fresh(shown) ? null : progress.get(job);
     }
 
+    /** The address at which the peer is reached. */
     public String address(String node) {
         for (Deployment.Peer peer : deployment.peers()) {
             if (peer.node().equals(node)) {
--- a/src/main/java/notchpick/coordination/membership/ReportRoutes.java
+++ b/src/main/java/notchpick/coordination/membership/ReportRoutes.java
@@ -36,6 +36,7 @@
     /** What this actor is told. */
     public sealed interface Message {}
 
+    /** Start to forget old visits from time to time. */
     public record Begin() implements Message {}
 
     /** A worker's report, and when it came. */
--- a/src/main/java/notchpick/coordination/users/Acceptances.java
+++ b/src/main/java/notchpick/coordination/users/Acceptances.java
@@ -50,6 +50,7 @@
         this.timer = timer;
     }
 
+    /** Writes the job down as open, and tells what came of it. */
     void add(JobSpec spec, Consumer<Outcome> then) {
         waiting.add(new Submission(spec, then));
         if (!due && onTheirWay < MOST_ON_THEIR_WAY) {
--- a/src/main/java/notchpick/coordination/users/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/users/UserRequestHandler.java
@@ -35,8 +35,10 @@
     /** What this actor is told. */
     public sealed interface Message {}
 
+    /** A user's request, and where its answer goes. */
     public record Request(Call call, Consumer<Answer> reply) implements Message {}
 
+    /** The machine types, by which it is judged whether a job can run. */
     public record TypesKnown(List<MachineType> types) implements Message {}
 
     private static final int RETRY_AFTER_S = 1;
--- a/src/main/java/notchpick/protocol/CloudApi.java
+++ b/src/main/java/notchpick/protocol/CloudApi.java
@@ -29,20 +29,24 @@
         this.timeoutMs = timeoutMs;
     }
 
+    /** What the cloud says of a machine. */
     public enum ListedState {
         STARTING,
         RUNNING,
         FAILED
     }
 
+    /** A machine in the cloud's list, and its age as of that list. */
     public record Listed(
             String machine, String address, String type, String zone, boolean spot, ListedState state, double ageS) {}
 
+    /** One page of the cloud's list. */
     public record Page(List<Listed> machines, boolean more) {}
 
     /** @param refused there is no capacity now; otherwise machines holds what was rented */
     public record Rented(boolean refused, List<String> machines) {}
 
+    /** Asks for the machine types; gives null if there is no answer. */
     public void types(Consumer<List<MachineType>> then) {
         caller.call(new Call(target, "GET", "/machine_types", null), timeoutMs, answer -> {
             ObjectNode body = answer.status() == 200 ? Json.object(answer.body()) : null;
@@ -75,6 +79,7 @@
         return types.isEmpty() ? null : List.copyOf(types);
     }
 
+    /** The form in which machine types are kept in the state service. */
     public static ObjectNode typesJson(Collection<MachineType> types) {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("boxKinds");
@@ -95,6 +100,7 @@
         return body;
     }
 
+    /** Rents machines under a request name that is never used for anything else; gives null if there is no answer. */
     public void rent(String request, String type, String zone, boolean spot, int count, Consumer<Rented> then) {
         ObjectNode body = Json.object()
                 .put("hireSlip", request)
@@ -129,6 +135,7 @@
                 answer -> then.accept(answer.status() == 200));
     }
 
+    /** Asks for one page of the list, after this name; gives null if there is no answer. */
     public void list(String after, Consumer<Page> then) {
         String path = "/rentals?limit=" + LIST_PAGE + (after == null ? "" : "&since=" + after);
         caller.call(new Call(target, "GET", path, null), timeoutMs, answer -> then.accept(page(answer)));
--- a/src/main/java/notchpick/protocol/Json.java
+++ b/src/main/java/notchpick/protocol/Json.java
@@ -33,6 +33,7 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** Serializes a value. */
     public static byte[] bytes(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
@@ -61,6 +62,7 @@
         return node.textValue();
     }
 
+    /** Reads a decimal number within bounds. */
     static double amount(JsonNode object, String field, double least, double most) throws InvalidMessage {
         JsonNode node = object.get(field);
         if (node == null || !node.isNumber()) {
@@ -73,6 +75,7 @@
         return value;
     }
 
+    /** Reads an integer within bounds. */
     static long count(JsonNode object, String field, long least, long most) throws InvalidMessage {
         JsonNode node = object.get(field);
         if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
@@ -85,6 +88,7 @@
         return value;
     }
 
+    /** Reads a boolean. */
     static boolean flag(JsonNode object, String field) throws InvalidMessage {
         JsonNode node = object.get(field);
         if (node == null || !node.isBoolean()) {
@@ -93,6 +97,7 @@
         return node.booleanValue();
     }
 
+    /** Whether the field is missing or null. */
     static boolean absent(JsonNode object, String field) {
         JsonNode node = object.get(field);
         return node == null || node.isNull();
--- a/src/main/java/notchpick/protocol/PeerWire.java
+++ b/src/main/java/notchpick/protocol/PeerWire.java
@@ -15,6 +15,7 @@
 
     private PeerWire() {}
 
+    /** Serializes a message between controllers. */
     public static byte[] bytes(Object body) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/main/java/notchpick/protocol/StateApi.java
+++ b/src/main/java/notchpick/protocol/StateApi.java
@@ -48,6 +48,7 @@
     /** What became of a request. */
     public sealed interface Result<T> {}
 
+    /** The request was carried out, with this result. */
     public record Ok<T>(T value) implements Result<T> {}
 
     /** The key or lease does not exist. */
@@ -62,13 +63,16 @@
     /** No answer: it may have been executed, or may be later. */
     public record Lost<T>() implements Result<T> {}
 
+    /** A key, its value, the revision of its last change, and the lease that it is attached to (0: none). */
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
+    /** Part of the keys with a prefix, as of a revision. */
     public record Listing(List<Entry> entries, boolean more, long revision) {}
 
     /** @param value null if the key was deleted */
     public record Change(String key, JsonNode value, long version) {}
 
+    /** What has changed below a prefix, up to a revision. */
     public record Changes(List<Change> log, long revision) {}
 
     /** A transaction in the making. */
@@ -82,17 +86,20 @@
             return this;
         }
 
+        /** Writes a key. */
         public Transaction put(String key, JsonNode value) {
             writes.addObject().put("put", key).set("v", value);
             return this;
         }
 
+        /** Writes a key that is deleted when the lease ends. */
         public Transaction put(String key, JsonNode value, long lease) {
             ObjectNode write = writes.addObject().put("put", key).put("permit", lease);
             write.set("v", value);
             return this;
         }
 
+        /** Deletes a key. */
         public Transaction delete(String key) {
             writes.addObject().put("delete", key);
             return this;
@@ -144,6 +151,7 @@
                 answer -> then.accept(read(answer, body -> entry(body))));
     }
 
+    /** Reads one page of the keys with a prefix, after a key if one is given. */
     public void list(String prefix, String after, int limit, Consumer<Result<Listing>> then) {
         String path = "/keys?prefix=" + prefix + "&limit=" + limit + (after == null ? "" : "&since=" + after);
         send(
@@ -200,6 +208,7 @@
         });
     }
 
+    /** Requests a lease of this length. */
     public void grantLease(long lifeMs, Consumer<Result<Long>> then) {
         byte[] body = Json.bytes(Json.object().put("lifeMs", lifeMs));
         send(
@@ -211,6 +220,7 @@
                 answer -> then.accept(read(answer, node -> node.path("permit").asLong())));
     }
 
+    /** Renews a lease; {@link Missing} stands for one that has ended. */
     public void renewLease(long lease, Consumer<Result<Boolean>> then) {
         send("POST", HOLDS + "/" + lease + "/touch", Json.bytes(Json.object()), timeoutMs, true, true, answer -> {
             if (answer.status() / 100 == 2) {
@@ -221,6 +231,7 @@
         });
     }
 
+    /** Ends a lease at once, with the keys attached to it. */
     public void endLease(long lease, Consumer<Boolean> then) {
         send(
                 "DELETE",
--- a/src/main/java/notchpick/protocol/UserWire.java
+++ b/src/main/java/notchpick/protocol/UserWire.java
@@ -21,6 +21,7 @@
         return JOB_ID.matcher(text).matches();
     }
 
+    /** Reads a submission that came at this time of day. */
     public static JobSpec submission(ObjectNode body, long now) throws InvalidMessage {
         if (body == null) {
             throw new InvalidMessage("the body must be a JSON object");
--- a/src/main/java/notchpick/protocol/WorkerWire.java
+++ b/src/main/java/notchpick/protocol/WorkerWire.java
@@ -13,6 +13,7 @@
 
     private WorkerWire() {}
 
+    /** The state of a task on its worker. */
     public enum Phase {
         FETCHING,
         RUNNING,
@@ -20,6 +21,7 @@
         EXITED
     }
 
+    /** Why a task ended. */
     public enum Exit {
         DONE,
         STOPPED,
@@ -53,12 +55,16 @@
         long attempt();
     }
 
+    /** Start this attempt of the task. */
     public record Start(String task, long attempt) implements Order {}
 
+    /** Stop the attempt; with enough time for it, progress is saved first. */
     public record Stop(String task, long attempt, double graceS) implements Order {}
 
+    /** Drop the exited attempt from the reports. */
     public record Forget(String task, long attempt) implements Order {}
 
+    /** Reads a worker's report. */
     public static Report report(ObjectNode body) throws InvalidMessage {
         if (body == null) {
             throw new InvalidMessage("the body must be a JSON object");
@@ -117,6 +123,7 @@
                 name, name.substring(0, slash), index, Json.count(piece, "tryNo", 0, Long.MAX_VALUE), phase, exit);
     }
 
+    /** The body of an answer that gives a worker orders under the leader's fencing token. */
     public static ObjectNode orders(long token, List<Order> orders) {
         ObjectNode answer = Json.object().put("mandate", token);
         ArrayNode list = answer.putArray("orders");
@@ -134,6 +141,7 @@
         return answer;
     }
 
+    /** The body of an answer that sends a worker to the leader; null: nobody is known to lead. */
     public static ObjectNode redirect(String leader) {
         ObjectNode answer = Json.object();
         if (leader != null) {
--- a/src/main/java/notchpick/scheduling/Estimates.java
+++ b/src/main/java/notchpick/scheduling/Estimates.java
@@ -12,6 +12,7 @@
 
     private final Map<String, Double> factors = new HashMap<>();
 
+    /** Learns from a task of the job that completed after so many seconds. */
     public void observe(JobSpec spec, double ranS) {
         if (spec.estimateS() > 0 && ranS > 0) {
             double factor = Math.min(4, Math.max(0.25, ranS / spec.estimateS()));
--- a/src/main/java/notchpick/scheduling/FleetPlan.java
+++ b/src/main/java/notchpick/scheduling/FleetPlan.java
@@ -33,6 +33,7 @@
     /** A machine that is up or will be. */
     public record Owned(String name, Pool pool, Amounts size, boolean idle) {}
 
+    /** What to rent, by pool, and the names of machines that nothing needs. */
     public record Plan(Map<Pool, Integer> rent, Set<String> unneeded) {}
 
     private static final class Slot {
--- a/src/main/java/notchpick/scheduling/Objectives.java
+++ b/src/main/java/notchpick/scheduling/Objectives.java
@@ -20,6 +20,7 @@
         DEADLINE
     }
 
+    /** What is promised of a class of jobs: that a time, in seconds, stays within a limit. */
     public record Objective(Kind kind, double limit) {
         private double slackS(JobSpec spec, double ageS, double runS) {
             return switch (kind) {
--- a/src/main/java/notchpick/scheduling/SiteIndex.java
+++ b/src/main/java/notchpick/scheduling/SiteIndex.java
@@ -85,6 +85,7 @@
         put(new Entry<>(site.room().cores(), entry.number(), site));
     }
 
+    /** Takes a site out of the index, which must hold it. */
     public void remove(S site) {
         Entry<S> entry = entries.remove(site);
         if (entry != null) {
--- a/src/main/java/notchpick/transport/Actor.java
+++ b/src/main/java/notchpick/transport/Actor.java
@@ -43,6 +43,7 @@
         loop.after(delayMs, () -> guarded(work));
     }
 
+    /** Runs the work again and again, in this actor's turn. */
     protected final void every(long periodMs, Runnable work) {
         after(periodMs, () -> {
             try {
