--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -287,12 +287,12 @@
                 ends(cluster, first, words[4]).forEach(pair -> cluster.network().heal(pair[0], pair[1]));
             case "name" -> cluster.name(first, node(cluster, words[4]));
             case "watch-pauses" -> cluster.rules().watchPauses();
-            case "outage" -> cluster.outage(first.equals("on"));
-            case "looks-at-elections" -> cluster.looksAtElections(first.equals("on"));
-            case "refuse" -> cluster.refuse(node(cluster, first), words[4].equals("on"));
+            case "outage" -> cluster.outage(isOn(words[3]));
+            case "looks-at-elections" -> cluster.looksAtElections(isOn(words[3]));
+            case "refuse" -> cluster.refuse(node(cluster, first), isOn(words[4]));
             case "refuse-none" ->
                 cluster.nodes().forEach(node -> cluster.state().refuse(node, false));
-            case "watches-hang" -> cluster.state().watchesHang(first.equals("on"));
+            case "watches-hang" -> cluster.state().watchesHang(isOn(words[3]));
             case "lists-take" -> cluster.state().lists(millis(first));
             case "pages" -> cluster.state().pages(Integer.parseInt(first));
             case "limits-fall" -> cluster.limitsFall();
@@ -329,7 +329,7 @@
             }
             case "cancel-at-end" -> cluster.cancelAtEnd(Double.parseDouble(first));
             case "look" -> cluster.look(first);
-            case "close-looks" -> cluster.closeLooks(first.equals("on"));
+            case "close-looks" -> cluster.closeLooks(isOn(words[3]));
             case "odd-requests" -> oddRequests(cluster, first);
             case "stream" -> stream(cluster, first, options(words, 4));
             case "troubles-over" -> cluster.troublesOver();
@@ -342,6 +342,14 @@
         }
     }
 
+    private static boolean isOn(String word) {
+        return switch (word) {
+            case "on" -> true;
+            case "off" -> false;
+            default -> throw new IllegalArgumentException("neither on nor off: " + word);
+        };
+    }
+
     private static long millis(String seconds) {
         return (long) (Double.parseDouble(seconds) * 1000);
     }
--- a/src/test/java/notchpick/standin/InvariantChecker.java
+++ b/src/test/java/notchpick/standin/InvariantChecker.java
@@ -16,14 +16,18 @@
 
 /** Checks the protocol's rules from what really happens on machines and what users are told. */
 public final class InvariantChecker {
-    /** After troubles are over, a job of which no question is answered for so long counts as forgotten. */
+    /** "Once all troubles are over, a job about which no question is answered for 75 s counts as forgotten." */
     static final long SILENT_MS = 75_000;
-    /** After troubles are over, a job that could start must not wait any longer. */
+    /** "No job is left waiting for 90 s while a machine that fits has room and its team is under its limit." */
     static final long WAITING_MS = 90_000;
-    /** The largest jobs of a class have to begin within this time. */
+    /** "The largest ones too have to begin within four minutes." */
     static final long LARGEST_BEGIN_MS = 240_000;
-    /** One in so many jobs of a class, but one at least, counts among its largest. */
+    /** "If less than half of a class, of a team or of a class's largest jobs is served": one in so many at least. */
+    private static final int HALF = 2;
+    /** One in so many jobs of a class, but one at least, counts among its largest; the rules name no number. */
     private static final int LARGEST_PART = 10;
+    /** The sum of what a team's tasks hold is rounded; the rule "more than the team's limit" allows nothing else. */
+    private static final double ROUNDING = 1e-6;
 
     /** What a start looks like to the rules. */
     private record Running(String machine, String zone) {}
@@ -201,7 +205,7 @@
                     .filter(job -> begunAt.getOrDefault(job.id(), Long.MAX_VALUE) - submittedAt.get(job.id())
                             > LARGEST_BEGIN_MS)
                     .count();
-            if (late * 2 > largest.size()) {
+            if (late * HALF > largest.size()) {
                 poor.add("largest of " + name + " begin late");
             }
         });
@@ -209,7 +213,7 @@
             long served = members.stream()
                     .filter(job -> "done".equals(lastTold(job.id())))
                     .count();
-            if (served * 2 < members.size()) {
+            if (served * HALF < members.size()) {
                 poor.add(name + ": " + served + " of " + members.size() + " served");
             }
         });
@@ -275,7 +279,7 @@
                     ? holder.demand().cores()
                     : 0;
         }
-        if (limit != null && cores > limit + 1e-6) {
+        if (limit != null && cores > limit + ROUNDING) {
             breach("quota", job.team() + " holds " + cores);
         }
     }
--- a/src/test/java/notchpick/standin/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/standin/InvariantCheckerTest.java
@@ -358,4 +358,67 @@
         rules.answered("run-1", 201, "queued");
         broken("accepted_unfit");
     }
+
+    @Test
+    void lawfulStarts() {
+        submit("run-1", 1, false, false, true);
+        rules.started("m-1", "run-1/0", "m8", "east", true);
+        rules.left("m-1", "run-1/0");
+        // It had left its first machine, so it has not run twice; two tasks of four cores are what the team may hold.
+        rules.started("m-2", "run-1/0", "m8", "west", true);
+        submit("run-2", 1, false, false, false);
+        rules.started("m-3", "run-2/0", "m8", "east", false);
+        lawful();
+    }
+
+    @Test
+    void lawfulPlacesAmongFellows() {
+        submit("run-1", 2, true, false, true);
+        rules.started("m-1", "run-1/0", "m8", "east", true);
+        rules.started("m-2", "run-1/1", "m8", "east", true);
+        rules.left("m-1", "run-1/0");
+        rules.left("m-2", "run-1/1");
+        // All its fellows have gone from the one zone, so that any may be the next.
+        rules.started("m-3", "run-1/1", "m8", "west", true);
+        rules.left("m-3", "run-1/1");
+        submit("run-2", 2, false, true, true);
+        rules.started("m-1", "run-2/0", "m8", "east", true);
+        rules.started("m-3", "run-2/1", "m8", "west", true);
+        lawful();
+    }
+
+    @Test
+    void lawfulAnswers() {
+        accepted("run-1");
+        rules.answered("run-1", 503, null);
+        rules.answered("run-1", 200, "running");
+        rules.answered("run-9", 404, null);
+        rules.started("m-1", "run-1/0", "m8", "east", true);
+        rules.left("m-1", "run-1/0");
+        rules.completed("run-1/0");
+        rules.answered("run-1", 200, "done");
+        rules.answered("run-1", 200, "done");
+        accepted("run-2");
+        rules.cancelAsked("run-2");
+        rules.answered("run-2", 200, "queued");
+        rules.answered("run-2", 200, "cancelled");
+        submitAfter("run-3", "run-1");
+        rules.started("m-1", "run-3/0", "m8", "east", true);
+        lawful();
+    }
+
+    @Test
+    void ordersAfterACancellationAreMeasured() {
+        accepted("run-1");
+        rules.ordered("m-1", "run-1/0", 4000);
+        assertEquals(0, rules.ordersAfterCancel());
+        now = 1000;
+        rules.cancelAsked("run-1");
+        rules.answered("run-1", 200, "cancelled");
+        now = 3500;
+        rules.ordered("m-1", "run-1/0", 4000);
+        assertEquals(1, rules.ordersAfterCancel());
+        assertEquals(2500, rules.longestOrderAfterCancelMs());
+        lawful();
+    }
 }
