--- a/src/test/java/notchpick/standin/InvariantChecker.java
+++ b/src/test/java/notchpick/standin/InvariantChecker.java
@@ -2,11 +2,9 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -20,12 +18,6 @@
     static final long SILENT_MS = 75_000;
     /** "No job is left waiting for 90 s while a machine that fits has room and its team is under its limit." */
     static final long WAITING_MS = 90_000;
-    /** "The largest ones too have to begin within four minutes." */
-    static final long LARGEST_BEGIN_MS = 240_000;
-    /** "If less than half of a class, of a team or of a class's largest jobs is served": one in so many at least. */
-    private static final int HALF = 2;
-    /** One in so many jobs of a class, but one at least, counts among its largest; the rules name no number. */
-    private static final int LARGEST_PART = 10;
     /** The sum of what a team's tasks hold is rounded; the rule "more than the team's limit" allows nothing else. */
     private static final double ROUNDING = 1e-6;
 
@@ -43,8 +35,7 @@
     private final Set<String> complete = new HashSet<>();
     private final Map<String, Long> toldCancelled = new HashMap<>();
     private final Map<String, List<Told>> told = new HashMap<>();
-    private final Map<String, Long> submittedAt = new LinkedHashMap<>();
-    private final Map<String, Long> begunAt = new HashMap<>();
+    private final ServedJobs served;
     /** When a question about the job was last answered. */
     private final Map<String, Long> heardAt = new HashMap<>();
     /** Since when a job waits though it could start. */
@@ -69,6 +60,7 @@
         this.clock = clock;
         this.cancelMs = cancelMs;
         this.coreLimits = coreLimits;
+        this.served = new ServedJobs();
     }
 
     public List<String> breaches() {
@@ -115,12 +107,13 @@
 
     public void submitted(JobSpec job) {
         jobs.put(job.id(), job);
-        submittedAt.put(job.id(), clock.getAsLong());
+        served.submitted(job, clock.getAsLong());
     }
 
     /** A user sends a submission of this id that can never run or lacks a field. */
     public void unfit(String job) {
         unfit.add(job);
+        served.excused(job);
     }
 
     /** From now on nothing fails any more: what still waits or is not answered has been left behind. */
@@ -181,48 +174,7 @@
 
     /** Classes, teams and largest jobs of a class of which less than half was served, or which began too late. */
     public List<String> underserved() {
-        Map<String, List<JobSpec>> groups = new LinkedHashMap<>();
-        Map<String, List<JobSpec>> classes = new LinkedHashMap<>();
-        for (String id : submittedAt.keySet()) {
-            JobSpec job = jobs.get(id);
-            if (!cancelAsked.contains(id) && !unfit.contains(id)) {
-                groups.computeIfAbsent("team " + job.team(), g -> new ArrayList<>())
-                        .add(job);
-                groups.computeIfAbsent("class " + job.jobClass(), g -> new ArrayList<>())
-                        .add(job);
-                classes.computeIfAbsent(job.jobClass(), g -> new ArrayList<>()).add(job);
-            }
-        }
-        List<String> poor = new ArrayList<>();
-        classes.forEach((name, members) -> {
-            List<JobSpec> largest = members.stream()
-                    .sorted(Comparator.comparingDouble(
-                            (JobSpec job) -> -job.tasks() * job.demand().cores()))
-                    .limit((members.size() + LARGEST_PART - 1) / LARGEST_PART)
-                    .toList();
-            groups.put("largest of " + name, largest);
-            long late = largest.stream()
-                    .filter(job -> begunAt.getOrDefault(job.id(), Long.MAX_VALUE) - submittedAt.get(job.id())
-                            > LARGEST_BEGIN_MS)
-                    .count();
-            if (late * HALF > largest.size()) {
-                poor.add("largest of " + name + " begin late");
-            }
-        });
-        groups.forEach((name, members) -> {
-            long served = members.stream()
-                    .filter(job -> "done".equals(lastTold(job.id())))
-                    .count();
-            if (served * HALF < members.size()) {
-                poor.add(name + ": " + served + " of " + members.size() + " served");
-            }
-        });
-        return poor;
-    }
-
-    private String lastTold(String job) {
-        List<Told> all = told.getOrDefault(job, List.of());
-        return all.isEmpty() ? null : all.get(all.size() - 1).state();
+        return served.underserved();
     }
 
     static String jobOf(String task) {
@@ -247,7 +199,7 @@
         }
         overdue(task, breaches);
         startsAfterCancel += toldCancelled.containsKey(jobOf(task)) ? 1 : 0;
-        begunAt.putIfAbsent(jobOf(task), clock.getAsLong());
+        served.begun(jobOf(task), clock.getAsLong());
         waitingSince.remove(jobOf(task));
         running.put(task, new Running(machine, zone));
         if (job == null) {
@@ -302,6 +254,7 @@
 
     public void cancelAsked(String job) {
         cancelAsked.add(job);
+        served.excused(job);
     }
 
     boolean isCancelAsked(String job) {
@@ -372,6 +325,7 @@
         if ("done".equals(state) && completed(spec) < spec.tasks()) {
             breach("not_done", job);
         }
+        served.told(job, state);
         told.computeIfAbsent(job, j -> new ArrayList<>()).add(new Told(state, clock.getAsLong()));
     }
 
--- a/src/test/java/notchpick/standin/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/standin/InvariantCheckerTest.java
@@ -15,7 +15,12 @@
     private final InvariantChecker rules = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
     private void submit(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
-        rules.submitted(new JobSpec(
+        rules.submitted(job(id, tasks, oneZone, spread, spot));
+    }
+
+    /** A job of class c and team a, whose tasks take four cores each. */
+    static JobSpec job(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
+        return new JobSpec(
                 id,
                 "c",
                 "a",
@@ -34,7 +39,7 @@
                 0,
                 0,
                 null,
-                0));
+                0);
     }
 
     private void submitAfter(String id, String need) {
@@ -304,50 +309,6 @@
         broken("left_waiting");
     }
 
-    @Test
-    void underHalfServed() {
-        for (int i = 1; i <= 4; i++) {
-            accepted("run-" + i);
-            rules.started("m-1", "run-" + i + "/0", "m8", "east", true);
-            rules.left("m-1", "run-" + i + "/0");
-            if (i <= 2) {
-                rules.completed("run-" + i + "/0");
-                rules.answered("run-" + i, 200, "done");
-            }
-        }
-        assertEquals(List.of(), rules.underserved());
-        accepted("run-5");
-        assertEquals(List.of("team a: 2 of 5 served", "class c: 2 of 5 served"), rules.underserved());
-        rules.cancelAsked("run-5");
-        assertEquals(List.of(), rules.underserved());
-    }
-
-    @Test
-    void largestServedAndBegunInTime() {
-        submit("run-1", 2, false, false, true);
-        accepted("run-2");
-        rules.completed("run-2/0");
-        rules.answered("run-2", 200, "done");
-        now = InvariantChecker.LARGEST_BEGIN_MS;
-        rules.started("m-1", "run-1/0", "m8", "east", true);
-        assertEquals(List.of("largest of c: 0 of 1 served"), rules.underserved());
-        rules.completed("run-1/0");
-        rules.completed("run-1/1");
-        rules.answered("run-1", 200, "done");
-        assertEquals(List.of(), rules.underserved());
-    }
-
-    @Test
-    void largestBeginsLate() {
-        submit("run-1", 2, false, false, true);
-        now = InvariantChecker.LARGEST_BEGIN_MS + 1;
-        rules.started("m-1", "run-1/0", "m8", "east", true);
-        rules.completed("run-1/0");
-        rules.completed("run-1/1");
-        rules.answered("run-1", 200, "done");
-        assertEquals(List.of("largest of c begin late"), rules.underserved());
-    }
-
     @Test
     void acceptedThoughUnfit() {
         rules.unfit("run-1");
