--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -27,7 +27,8 @@
 /**
  * Seeded random walks over pairs and triples of troubles, the second of which begins close to an election, a confirmed
  * cancellation, a task's end or a machine's boot, while users cancel and look at all controllers. Seeds go through all
- * pairs in turn; {@code -Dmeetings=FIRST-LAST} plays others. A seed that fails tells what happened in order.
+ * pairs in turn; {@code -Dmeetings=FIRST-LAST} plays others. A seed that fails tells what happened in order, and
+ * with {@code -Dstory=true} each does.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class FaultCombinationTest {
@@ -368,6 +369,9 @@
         cluster.troublesOver();
         cluster.simulation().runUntil(cluster.simulation().now() + 300_000);
         String story = "seed " + seed + ": " + String.join("\n", happened) + "\n";
+        if (Boolean.getBoolean("story")) {
+            System.out.println(story);
+        }
         System.out.printf(
                 "seed %d: gone %d ms and ordered %d ms after a cancellation at the latest, %d orders, %d starts%n",
                 seed,
