--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -87,6 +87,7 @@
     private static final Trouble[] ALL = Trouble.values();
     private static final int PAIRS = ALL.length * (ALL.length + 1) / 2;
 
+    /** The seeds to play. */
     static IntStream seeds() {
         String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-");
         return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]));
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -88,6 +88,7 @@
     /** Where workers could be sent direct commands. */
     private static final String WORKERS = "10.1.";
 
+    /** The scenario files, in order of their names. */
     static Stream<Path> scenarios() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
             // -Dscenario=WORD plays only those with this word in their names.
@@ -128,6 +129,7 @@
         }
     }
 
+    /** Plays one scenario and checks that no rule was broken. */
     static void play(String name, List<String> lines) throws Exception {
         List<Step> steps = new ArrayList<>();
         SimulatedCluster cluster = read(name, lines, steps);
@@ -444,6 +446,7 @@
         return options;
     }
 
+    /** A submission as users send it, with the usual values where the options name none. */
     static ObjectNode submission(String job, Map<String, String> options) {
         ObjectNode body = Json.object()
                 .put("ref", job)
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
+/** What is read of the platform's file, and how a mistake in it is named. */
 class SettingsTest {
     private static final String GOOD = """
             {"node":"n-0","location":"east","serve_on":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
--- a/src/test/java/notchpick/bookkeeping/DependenciesTest.java
+++ b/src/test/java/notchpick/bookkeeping/DependenciesTest.java
@@ -11,6 +11,7 @@
 import notchpick.bookkeeping.Records.JobRecord;
 import org.junit.jupiter.api.Test;
 
+/** Which jobs wait, which are ready, and which fall with a cancelled one. */
 class DependenciesTest {
     private static final JobRecord CANCELLED = new JobRecord(Fate.CANCELLED, 1, 0, 0, false);
 
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -58,6 +58,7 @@
         this.runS = runS;
     }
 
+    /** Measures what a controller costs among stand-ins on loopback; see the README. */
     public static void main(String[] args) throws Exception {
         new FleetLoad(Integer.parseInt(args[0]), Double.parseDouble(args[2]))
                 .run(Integer.parseInt(args[1]), new ArrayList<>(List.of(args).subList(3, args.length)));
--- a/src/test/java/notchpick/protocol/UserWireTest.java
+++ b/src/test/java/notchpick/protocol/UserWireTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** What submissions are taken, and which are malformed. */
 class UserWireTest {
     private static final String GOOD = """
             {"ref":"run-000412","workclass":"train","ownerDesk":"vision","jobForm":"sweep","urgency":"high","pieces":16,
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -13,6 +13,7 @@
 import notchpick.scheduling.JobSpec.Priority;
 import org.junit.jupiter.api.Test;
 
+/** What a job takes over from those that need it; compared with the plain form on random graphs. */
 class CriticalPathTest {
     private final CriticalPath path = new CriticalPath();
     private final Map<String, JobSpec> jobs = new HashMap<>();
--- a/src/test/java/notchpick/scheduling/FleetPlanTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlanTest.java
@@ -10,6 +10,7 @@
 import notchpick.scheduling.FleetPlan.Pool;
 import org.junit.jupiter.api.Test;
 
+/** What is rented for a backlog, and what is given back. */
 class FleetPlanTest {
     private static final MachineType SMALL =
             new MachineType("small", new Amounts(4, 0, 16), 50, 1, 1.0, 0.2, 30, List.of("east", "west"));
--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -10,6 +10,7 @@
 import notchpick.scheduling.Objectives.Objective;
 import org.junit.jupiter.api.Test;
 
+/** The order of a team's jobs. */
 class JobOrderTest {
     private static final Objectives OBJECTIVES = new Objectives(Map.of(
             "count", List.of(new Objective(Kind.FINISHED, 200)), "prune", List.of(new Objective(Kind.FINISHED, 250))));
--- a/src/test/java/notchpick/scheduling/ObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ObjectivesTest.java
@@ -10,6 +10,7 @@
 import notchpick.scheduling.Objectives.Objective;
 import org.junit.jupiter.api.Test;
 
+/** Which objectives of a job can still be met, and by when. */
 class ObjectivesTest {
     private static final Objectives OBJECTIVES = new Objectives(Map.of(
             "import", List.of(new Objective(Kind.FINISHED, 200), new Objective(Kind.FINISHED, 300)),
--- a/src/test/java/notchpick/standin/CloudStandIn.java
+++ b/src/test/java/notchpick/standin/CloudStandIn.java
@@ -121,6 +121,7 @@
         return new ArrayList<>(machines.values());
     }
 
+    /** The cloud takes the machine away without notice. */
     public void take(String name) {
         if (machines.remove(name) != null) {
             gone.accept(name);
--- a/src/test/java/notchpick/standin/InvariantChecker.java
+++ b/src/test/java/notchpick/standin/InvariantChecker.java
@@ -63,6 +63,7 @@
         this.served = new ServedJobs();
     }
 
+    /** What has been broken so far, a line each. */
     public List<String> breaches() {
         List<String> all = new ArrayList<>(breaches);
         running.keySet().forEach(task -> overdue(task, all));
@@ -105,6 +106,7 @@
         breaches.add(rule + ": " + what + " at " + clock.getAsLong() / 1000.0);
     }
 
+    /** A user submits a job. */
     public void submitted(JobSpec job) {
         jobs.put(job.id(), job);
         served.submitted(job, clock.getAsLong());
@@ -188,6 +190,7 @@
         }
     }
 
+    /** A task has its image and runs from now on. */
     public void started(String machine, String task, String type, String zone, boolean spot) {
         starts++;
         longestPauseMs = longestPauseMs();
@@ -236,6 +239,7 @@
         }
     }
 
+    /** A task is not on the machine any more. */
     public void left(String machine, String task) {
         Running where = running.get(task);
         if (where != null && where.machine().equals(machine)) {
@@ -252,6 +256,7 @@
         complete.add(task);
     }
 
+    /** A user asks to cancel the job. */
     public void cancelAsked(String job) {
         cancelAsked.add(job);
         served.excused(job);
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/standin/Network.java
@@ -50,6 +50,7 @@
         this.simulation = simulation;
     }
 
+    /** A host serves this address. */
     public void serve(String address, String host, Handler handler) {
         hosts.put(address, handler);
         hostOf.put(address, host);
@@ -59,6 +60,7 @@
         hosts.remove(address);
     }
 
+    /** The host loses its power, or has it back. */
     public void dark(String host, boolean on) {
         if (on) {
             dark.add(host);
@@ -76,6 +78,7 @@
         groups.computeIfAbsent(host, h -> new HashSet<>()).add(group);
     }
 
+    /** Cuts both ways between two hosts or groups. */
     public void cut(String one, String other, Cut how) {
         cutOneWay(one, other, how);
         cutOneWay(other, one, how);
@@ -108,6 +111,7 @@
                 .sum();
     }
 
+    /** Ends the cuts between two hosts or groups; what was held back is delivered. */
     public void heal(String one, String other) {
         for (Route route : List.of(new Route(one, other), new Route(other, one))) {
             cuts.remove(route);
--- a/src/test/java/notchpick/standin/SimulatedCluster.java
+++ b/src/test/java/notchpick/standin/SimulatedCluster.java
@@ -258,11 +258,13 @@
         return lastStatus.getOrDefault(job, 0);
     }
 
+    /** The controller that holds the leader's key; null: none does. */
     public String leader() {
         var value = state.value(Records.LEADER);
         return value == null ? null : value.path("node").asText();
     }
 
+    /** The newest term; 0: nobody has led yet. */
     public int term() {
         var value = state.value(Records.TERM);
         return value == null ? 0 : value.path("term").asInt();
@@ -272,6 +274,7 @@
         return "10.0.0." + (index + 1) + ":8081";
     }
 
+    /** Starts a controller's process anew. */
     public void begin(String node) {
         int index = nodes.indexOf(node);
         int life = lives.merge(node, 1, Integer::sum);
@@ -318,6 +321,7 @@
         controller.tell(new Controller.Begin());
     }
 
+    /** Ends a controller's process; a negative time: it does not restart. */
     public void crash(String node, long restartMs) {
         if (node.equals(leader())) {
             endedTerm = term();
@@ -445,6 +449,7 @@
         return stormAnswers.getOrDefault(ofStatus, 0);
     }
 
+    /** Submits an accepted job once more, to one controller. */
     public void resubmit(String job) {
         long askedAt = simulation.now();
         call("POST", "/submissions", Json.bytes(truths.get(job).body()), answer -> {
@@ -534,6 +539,7 @@
                 .forEach(worker -> hang(worker, forMs));
     }
 
+    /** The worker's machine stands still for a while. */
     public void hang(WorkerStandIn worker, long forMs) {
         worker.hang(true);
         simulation.after(forMs, () -> worker.hang(false));
@@ -750,6 +756,7 @@
         return room;
     }
 
+    /** Asks how the job stands, now and every five seconds until it is over. */
     public void poll(String job) {
         long askedAt = simulation.now();
         call("GET", "/submissions/" + job, null, answer -> {
@@ -762,6 +769,7 @@
         });
     }
 
+    /** Cancels the job, again and again until one controller has said how it stands. */
     public void cancel(String job) {
         rules.cancelAsked(job);
         long askedAt = simulation.now();
--- a/src/test/java/notchpick/standin/Simulation.java
+++ b/src/test/java/notchpick/standin/Simulation.java
@@ -23,6 +23,7 @@
         due.add(new Due(now + Math.max(0, delayMs), order++, work));
     }
 
+    /** Runs all that is due until then. */
     public void runUntil(long end) {
         while (!due.isEmpty() && due.peek().at() <= end) {
             Due next = due.poll();
--- a/src/test/java/notchpick/standin/StateStandIn.java
+++ b/src/test/java/notchpick/standin/StateStandIn.java
@@ -134,6 +134,7 @@
         return true;
     }
 
+    /** Everybody is refused from now on, or served again with full leases. */
     public void outage(boolean on) {
         if (outage && !on) {
             leaseLives.forEach((lease, life) -> setEnd(lease, clock.getAsLong() + life));
@@ -214,6 +215,7 @@
         appliedUnanswered += commit(Json.object(call.body())).status() == 200 ? 1 : 0;
     }
 
+    /** The value of a key; null: there is none. */
     public JsonNode value(String key) {
         Item item = items.get(key);
         return item == null ? null : item.value();
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/standin/WorkerStandIn.java
@@ -141,6 +141,7 @@
         killAll();
     }
 
+    /** The machine stands still, or goes on with what came meanwhile. */
     public void hang(boolean on) {
         hanging = on;
         if (!on) {
@@ -196,6 +197,7 @@
         sick = true;
     }
 
+    /** The cloud announces that it takes the machine back after so many seconds. */
     public void notice(double seconds) {
         noticeS = seconds;
         change();
