--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -150,7 +150,7 @@
     }
 
     private void submit(String job, Map<String, String> options, double runS) throws InvalidMessage {
-        cluster.submit(ScenarioTest.submission(job, options), runS, 0.8, false);
+        cluster.submit(Submissions.submission(job, options), runS, 0.8, false);
     }
 
     private long between(long least, long most) {
@@ -252,7 +252,7 @@
                 cluster.machines().stream().limit(between(1, 6)).toList().forEach(cluster.cloud()::take);
                 later(forMs, "boots take their time", () -> cluster.cloud().boots(1));
             }
-            case ODD_REQUESTS -> ScenarioTest.oddRequests(cluster, JOBS.get(0));
+            case ODD_REQUESTS -> Submissions.oddRequests(cluster, JOBS.get(0));
             case WORK_CHANGES_HANDS -> {
                 // Teams are parted among the controllers that show signs of life: some fall silent and come back.
                 List<String> others = new ArrayList<>(cluster.nodes());
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -46,7 +46,7 @@
         cluster.simulation().runUntil(3000);
         double[] runS = {6, 11, 17};
         for (int i = 0; i < JOBS.size(); i++) {
-            cluster.submit(ScenarioTest.submission(JOBS.get(i), Map.of("tasks", "90")), runS[i], 0.9, false);
+            cluster.submit(Submissions.submission(JOBS.get(i), Map.of("tasks", "90")), runS[i], 0.9, false);
         }
         cluster.simulation().runUntil(25_000);
         return cluster;
--- /dev/null
+++ b/src/test/java/notchpick/Submissions.java
@@ -0,0 +1,170 @@
+package notchpick;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import notchpick.protocol.InvalidMessage;
+import notchpick.protocol.Json;
+import notchpick.standin.SimulatedCluster;
+
+/** What users submit in tests: jobs, streams of jobs, and what must not be accepted. */
+final class Submissions {
+    /** What may be said of a job, each with a value. */
+    private static final Set<String> OPTIONS = Set.of(
+            "tasks",
+            "run",
+            "vary",
+            "needs",
+            "urgency",
+            "team",
+            "cores",
+            "gpus",
+            "ram",
+            "image",
+            "image-length",
+            "zone",
+            "one-zone",
+            "apart",
+            "ordinary",
+            "expected",
+            "saves",
+            "due",
+            "types",
+            "class",
+            "form",
+            "fails",
+            "per-second",
+            "for",
+            "cancel");
+    /** What a submission must not lack. */
+    private static final List<String> REQUIRED = List.of(
+            "workclass",
+            "ownerDesk",
+            "jobForm",
+            "urgency",
+            "pieces",
+            "cores",
+            "gpus",
+            "ramGb",
+            "bundle",
+            "sizeGb",
+            "oneZone",
+            "apart",
+            "borrowed",
+            "expectedS",
+            "bookmarkS",
+            "bookmarkWriteS");
+
+    private Submissions() {}
+
+    /** So many jobs a second for a while, a share of which their users call off a second or two later. */
+    static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options) throws InvalidMessage {
+        double perS = Double.parseDouble(options.get("per-second"));
+        int jobs = (int) (perS * Double.parseDouble(options.get("for")));
+        double share = Double.parseDouble(options.getOrDefault("cancel", "0"));
+        Random random = new Random(jobs);
+        for (int i = 0; i < jobs; i++) {
+            String id = prefix + (1000 + i);
+            long at = (long) (1000 * i / perS);
+            cluster.simulation().after(at, () -> {
+                try {
+                    submit(cluster, id, options);
+                } catch (InvalidMessage e) {
+                    throw new IllegalArgumentException(id, e);
+                }
+            });
+            if (random.nextDouble() < share) {
+                cluster.simulation().after(at + 200 + random.nextInt(4000), () -> cluster.cancel(id));
+            }
+        }
+    }
+
+    /** Users submit a job again, and send everything that can't run or lacks a field, at all controllers. */
+    static void oddRequests(SimulatedCluster cluster, String job) {
+        cluster.resubmit(job);
+        int number = 0;
+        for (String field : REQUIRED) {
+            String id = String.format("run-99%04d", number++);
+            ObjectNode body = submission(id, Map.of());
+            body.remove(field);
+            cluster.sendUnfit(id, Json.bytes(body));
+        }
+        for (Map<String, String> unfit : List.of(
+                Map.of("cores", "1000"),
+                Map.of("team", "nobody"),
+                Map.of("types", "m-none"),
+                Map.of("zone", "nowhere"),
+                Map.of("gpus", "1"),
+                Map.of("tasks", "0"),
+                Map.of("tasks", "100001"),
+                Map.of("cores", "-1"),
+                Map.of("urgency", "soon"),
+                Map.of("form", "gang"))) {
+            String id = String.format("run-99%04d", number++);
+            cluster.sendUnfit(id, Json.bytes(submission(id, unfit)));
+        }
+    }
+
+    /** Reads pairs of words. */
+    static Map<String, String> options(String[] words, int start) {
+        Map<String, String> options = new HashMap<>();
+        for (int i = start; i < words.length; i += 2) {
+            if (!OPTIONS.contains(words[i])) {
+                throw new IllegalArgumentException("unknown word " + words[i]);
+            }
+            options.put(words[i], words[i + 1]);
+        }
+        return options;
+    }
+
+    /** A submission as users send it, with the usual values where the options name none. */
+    static ObjectNode submission(String job, Map<String, String> options) {
+        ObjectNode body = Json.object()
+                .put("ref", job)
+                .put("workclass", options.getOrDefault("class", "plain"))
+                .put("ownerDesk", options.getOrDefault("team", "a"))
+                .put("jobForm", options.getOrDefault("form", "sweep"))
+                .put("urgency", options.getOrDefault("urgency", "normal"))
+                .put("pieces", Integer.parseInt(options.getOrDefault("tasks", "4")))
+                .put("cores", Double.parseDouble(options.getOrDefault("cores", "1")))
+                .put("gpus", Double.parseDouble(options.getOrDefault("gpus", "0")))
+                .put("ramGb", Double.parseDouble(options.getOrDefault("ram", "1")))
+                .put(
+                        "bundle",
+                        options.containsKey("image-length")
+                                ? "i".repeat(Integer.parseInt(options.get("image-length")))
+                                : options.getOrDefault("image", "img-1"))
+                .put("sizeGb", 1.0)
+                .put("site", options.get("zone"))
+                .put("oneZone", options.containsKey("one-zone"))
+                .put("apart", options.containsKey("apart"))
+                .put("borrowed", !options.containsKey("ordinary"))
+                .put("expectedS", Double.parseDouble(options.getOrDefault("expected", "20")))
+                .put("bookmarkS", Double.parseDouble(options.getOrDefault("saves", "0")))
+                .put("bookmarkWriteS", 1.0);
+        if (options.containsKey("due")) {
+            body.put("dueS", Double.parseDouble(options.get("due")));
+        }
+        if (options.containsKey("needs")) {
+            ArrayNode needs = body.putArray("waitsOn");
+            List.of(options.get("needs").split(",")).forEach(needs::add);
+        }
+        if (options.containsKey("types")) {
+            body.putArray("boxKinds").add(options.get("types"));
+        }
+        return body;
+    }
+
+    /** Submits a job; what the service is not told, such as its run time, goes to the stand-ins. */
+    static void submit(SimulatedCluster cluster, String job, Map<String, String> options) throws InvalidMessage {
+        cluster.submit(
+                submission(job, options),
+                Double.parseDouble(options.getOrDefault("run", "20")),
+                Double.parseDouble(options.getOrDefault("vary", "0")),
+                options.containsKey("fails"));
+    }
+}
