--- a/src/test/java/notchpick/standin/SimulatedCluster.java
+++ b/src/test/java/notchpick/standin/SimulatedCluster.java
@@ -64,12 +64,7 @@
     /** A team whose room under its limit is less than this is at its limit. */
     private static final Amounts LEAST_ROOM = new Amounts(1, 0, 0);
 
-    /** How long a copy of a report may be under way, as a part of the workers' lease. */
-    private static final double COPY_LEASES = 1.4;
-
     private static final long LOOK_MS = 2;
-    /** Copies that were kept for the next leader arrive within so long. */
-    private static final long COPIES_MS = 2000;
 
     private static final List<String> ZONES = List.of("east", "west");
     private static final String STATE = "10.2.0.1:2379";
@@ -99,13 +94,9 @@
 
     private final Random chance = new Random(11);
     private final Timing timing;
-    private final List<byte[]> keptForNext = new ArrayList<>();
-    private double copyShare;
-    private boolean copyForNext;
+    private final ReportCopies copies;
     private double cancelAtEndShare;
     private boolean closeLooks;
-    private int keptInTerm;
-    private boolean awaitsNextTerm;
     /** The last term whose leader crashed. */
     private int endedTerm;
 
@@ -151,6 +142,7 @@
             boolean nextIsNews,
             Timing timing) {
         this.timing = timing;
+        this.copies = new ReportCopies(simulation, chance, (long) (timing.leaseS() * 1000), new CopyHost());
         this.teams = teams;
         this.requestsPerS = requestsPerS;
         this.limits = new Limits(StateStandIn.MAX_VALUE_BYTES, 12, writesPerS);
@@ -566,58 +558,36 @@
 
     // ---- reports that come twice ---------------------------------------------------------------
 
-    /**
-     * From now on a copy of this share of the reports arrives again: from two seconds to well over a lease later, or
-     * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to none.
-     */
+    /** See {@link ReportCopies#set}. */
     public void lateReports(double share, boolean forNext) {
-        copyShare = share;
-        copyForNext = forNext;
-        if (forNext && !awaitsNextTerm) {
-            awaitsNextTerm = true;
-            keptInTerm = term();
-            awaitNextTerm();
-        }
-    }
-
-    private void awaitNextTerm() {
-        simulation.after(20, () -> {
-            if (leader() != null && term() > keptInTerm) {
-                keptInTerm = term();
-                List<byte[]> copies = List.copyOf(keptForNext);
-                keptForNext.clear();
-                for (int i = 0; i < copies.size(); i++) {
-                    byte[] copy = copies.get(i);
-                    // In their order, while the new leader reads what was left and just after.
-                    simulation.after(
-                            COPIES_MS * i / copies.size(),
-                            () -> nodes.forEach(node -> {
-                                meet("copies-for-next");
-                                call(node, "POST", "/hello", copy, answer -> {});
-                            }));
-                }
-            }
-            awaitsNextTerm = copyForNext;
-            if (awaitsNextTerm) {
-                awaitNextTerm();
-            }
-        });
+        copies.set(share, forNext);
     }
 
     @Override
     public void reported(byte[] report) {
-        if (chance.nextDouble() >= copyShare) {
-            return;
+        copies.reported(report);
+    }
+
+    /** What the copies of reports need of the cluster. */
+    private final class CopyHost implements ReportCopies.Host {
+        @Override
+        public int ledTerm() {
+            return leader() == null ? 0 : term();
         }
-        if (copyForNext) {
-            keptForNext.add(report);
-        } else {
-            int sentInTerm = term();
-            long lateMs = 2000 + chance.nextInt((int) (COPY_LEASES * 1000 * timing.leaseS()));
-            simulation.after(lateMs, () -> {
-                meet(term() > sentInTerm ? "copies-in-later-term" : "copies");
-                nodes.forEach(node -> call(node, "POST", "/hello", report, answer -> {}));
-            });
+
+        @Override
+        public int term() {
+            return SimulatedCluster.this.term();
+        }
+
+        @Override
+        public void deliver(byte[] report) {
+            nodes.forEach(node -> call(node, "POST", "/hello", report, answer -> {}));
+        }
+
+        @Override
+        public void meet(String what) {
+            SimulatedCluster.this.meet(what);
         }
     }
 
