--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -381,7 +381,7 @@
                 cluster.rules().ordersAfterCancel(),
                 cluster.rules().startsAfterCancel());
         assertEquals(List.of(), cluster.rules().breaches(), story);
-        assertEquals(0, cluster.network().callsTo("10.1."), "direct commands");
+        assertEquals(0, cluster.directCommands(), "direct commands");
         for (String job : JOBS) {
             assertTrue(
                     List.of("done", "cancelled").contains(cluster.told(job)), story + job + " is " + cluster.told(job));
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -91,6 +91,7 @@
         healAll(cluster);
         cluster.simulation().runUntil(cluster.simulation().now() + 260_000);
         assertEquals(List.of(), cluster.rules().breaches(), what);
+        assertEquals(0, cluster.directCommands(), "direct commands");
         for (String job : JOBS) {
             assertEquals("done", cluster.told(job), what + " " + job);
         }
@@ -137,6 +138,7 @@
         healAll(cluster);
         cluster.simulation().runUntil(cluster.simulation().now() + 260_000);
         assertEquals(List.of(), cluster.rules().breaches(), "seed " + seed);
+        assertEquals(0, cluster.directCommands(), "direct commands");
         for (String job : JOBS) {
             assertTrue(List.of("done", "cancelled").contains(cluster.told(job)), "seed " + seed + " " + job);
         }
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -22,9 +22,6 @@
  */
 @Execution(ExecutionMode.CONCURRENT)
 class ScenarioTest {
-    /** Where workers could be sent direct commands. */
-    private static final String WORKERS = "10.1.";
-
     /** The scenario files, in order of their names. */
     static Stream<Path> scenarios() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
@@ -74,7 +71,7 @@
         assertEquals(List.of(), cluster.rules().breaches());
         assertTrue(cluster.rules().starts() > 0, "nothing_ran");
         // All orders ride in answers to reports: none can be held up for longer than a report's sender waits.
-        assertEquals(0, cluster.network().callsTo(WORKERS), "direct commands");
+        assertEquals(0, cluster.directCommands(), "direct commands");
         System.out.printf(
                 "%s: gone %.1f s and ordered %.1f s after a cancellation at the latest, %d orders and %d starts after one%n",
                 name,
--- a/src/test/java/notchpick/standin/SimulatedCluster.java
+++ b/src/test/java/notchpick/standin/SimulatedCluster.java
@@ -634,6 +634,11 @@
         lostStarts++;
     }
 
+    /** Commands that were sent straight to workers; all orders are to ride in answers to reports. */
+    public int directCommands() {
+        return network.callsTo(WorkerStandIn.ADDRESS);
+    }
+
     /** Orders to start a task that were lost on their way to deaf machines. */
     public int lostStarts() {
         return lostStarts;
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/standin/WorkerStandIn.java
@@ -45,6 +45,8 @@
         default void droppedOld() {}
     }
 
+    /** Where workers could be sent direct commands. */
+    static final String ADDRESS = "10.1.0.1:9000";
     /** A worker gives a report up after so long, and drops an answer that comes later. */
     private static final long PATIENCE_MS = 4000;
 
@@ -259,7 +261,7 @@
         long sentSession = session;
         ObjectNode body = Json.object()
                 .put("box", name)
-                .put("address", "10.1.0.1:9000")
+                .put("address", ADDRESS)
                 .put("boxKind", type.name())
                 .put("site", zone)
                 .put("borrowed", spot)
