--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -18,6 +18,7 @@
 import notchpick.standin.Network.Cut;
 import notchpick.standin.SimulatedCluster;
 import notchpick.standin.SimulatedCluster.Timing;
+import notchpick.standin.Transcript;
 import notchpick.standin.WorkerStandIn;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
@@ -109,7 +110,7 @@
     private Random random;
     private int wideJobs;
 
-    private void begin(int seed) throws InvalidMessage {
+    private void begin(int seed, Transcript transcript) throws InvalidMessage {
         random = new Random(seed);
         Setting setting = SETTINGS.get(Math.floorMod(seed - 1 + (seed - 1) / PAIRS, SETTINGS.size()));
         cluster = new SimulatedCluster(
@@ -123,6 +124,7 @@
                 null,
                 false,
                 setting.timing());
+        cluster.record(transcript);
         cluster.capacity("m8", "east", true, 7);
         cluster.capacity("m8", "west", true, 7);
         cluster.simulation().runUntil(3000);
@@ -339,7 +341,13 @@
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
     void noRuleIsBrokenWhereTroublesMeet(int seed) throws InvalidMessage {
-        begin(seed);
+        try (Transcript transcript = Transcript.open("fault-combination-" + seed)) {
+            play(seed, transcript);
+        }
+    }
+
+    private void play(int seed, Transcript transcript) throws InvalidMessage {
+        begin(seed, transcript);
         List<Trouble> troubles = new ArrayList<>(pair(seed));
         if (random.nextBoolean()) {
             Collections.reverse(troubles);
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -12,6 +12,7 @@
 import notchpick.scheduling.MachineType;
 import notchpick.standin.Network.Cut;
 import notchpick.standin.SimulatedCluster;
+import notchpick.standin.Transcript;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +33,7 @@
         return IntStream.rangeClosed(1, 150);
     }
 
-    private static SimulatedCluster cluster() throws Exception {
+    private static SimulatedCluster cluster(Transcript transcript) throws Exception {
         SimulatedCluster cluster = new SimulatedCluster(
                 CONTROLLERS,
                 List.of(new Limit("a", Amounts.NONE, new Amounts(70, 0, 0))),
@@ -41,6 +42,7 @@
                 100,
                 null,
                 false);
+        cluster.record(transcript);
         cluster.capacity("m8", "east", true, 5);
         cluster.capacity("m8", "west", true, 5);
         cluster.simulation().runUntil(3000);
@@ -101,8 +103,14 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void whereAPathIsLeftNoTaskDiesWithItsLease(int seed) throws Exception {
+        try (Transcript transcript = Transcript.open("link-fault-path-left-" + seed)) {
+            whereAPathIsLeft(seed, transcript);
+        }
+    }
+
+    private static void whereAPathIsLeft(int seed, Transcript transcript) throws Exception {
         Random random = new Random(seed);
-        SimulatedCluster cluster = cluster();
+        SimulatedCluster cluster = cluster(transcript);
         List<String> nodes =
                 cluster.nodes().stream().filter(node -> !node.equals(WHOLE)).toList();
         for (int i = 0; i < 25; i++) {
@@ -117,8 +125,14 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void noRuleIsBrokenWhateverFails(int seed) throws Exception {
+        try (Transcript transcript = Transcript.open("link-fault-any-" + seed)) {
+            whateverFails(seed, transcript);
+        }
+    }
+
+    private static void whateverFails(int seed, Transcript transcript) throws Exception {
         Random random = new Random(1000 + seed);
-        SimulatedCluster cluster = cluster();
+        SimulatedCluster cluster = cluster(transcript);
         for (int i = 0; i < 30; i++) {
             String node = any(random, cluster.nodes());
             switch (random.nextInt(9)) {
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import notchpick.standin.SimulatedCluster;
+import notchpick.standin.Transcript;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -62,8 +63,15 @@
 
     /** Plays one scenario and checks that no rule was broken. */
     static void play(String name, List<String> lines) throws Exception {
+        try (Transcript transcript = Transcript.open(name)) {
+            play(name, lines, transcript);
+        }
+    }
+
+    private static void play(String name, List<String> lines, Transcript transcript) throws Exception {
         List<ScenarioStep> steps = new ArrayList<>();
         SimulatedCluster cluster = read(name, lines, steps);
+        cluster.record(transcript);
         for (ScenarioStep step : steps) {
             cluster.simulation().runUntil((long) (step.atS() * 1000));
             reading(name, step.line(), String.join(" ", step.words()), () -> ScenarioVerbs.play(cluster, step.words()));
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/standin/Network.java
@@ -46,10 +46,17 @@
     /** Hosts that stand still, and until when. What comes meanwhile waits in their sockets. */
     private final Map<String, Long> frozen = new HashMap<>();
 
+    private Transcript transcript = Transcript.NONE;
+
     public Network(Simulation simulation) {
         this.simulation = simulation;
     }
 
+    /** From now on all calls and answers are written down. */
+    void record(Transcript to) {
+        transcript = to;
+    }
+
     /** A host serves this address. */
     public void serve(String address, String host, Handler handler) {
         hosts.put(address, handler);
@@ -166,6 +173,7 @@
     public Caller from(String host, BooleanSupplier alive) {
         return (call, timeoutMs, then) -> {
             calls.merge(call.target(), 1, Integer::sum);
+            transcript.called(simulation.now(), host, call);
             boolean[] over = {false};
             Consumer<Answer> once = answer -> {
                 if (!over[0] && alive.getAsBoolean()) {
@@ -193,7 +201,10 @@
                         // The state service refuses by who calls, so the caller's name goes along.
                         handler.handle(
                                 new Call(host, call.method(), call.path(), call.body()),
-                                answer -> carry(to, host, () -> once.accept(answer), reset));
+                                answer -> {
+                                    transcript.answered(simulation.now(), to, host, call, answer);
+                                    carry(to, host, () -> once.accept(answer), reset);
+                                });
                     },
                     reset);
         };
--- a/src/test/java/notchpick/standin/SimulatedCluster.java
+++ b/src/test/java/notchpick/standin/SimulatedCluster.java
@@ -185,6 +185,12 @@
         }
     }
 
+    /** From now on all messages and transactions are written down. */
+    public void record(Transcript transcript) {
+        network.record(transcript);
+        state.record(transcript);
+    }
+
     public Simulation simulation() {
         return simulation;
     }
--- a/src/test/java/notchpick/standin/StateStandIn.java
+++ b/src/test/java/notchpick/standin/StateStandIn.java
@@ -65,6 +65,7 @@
     private final Map<String, Long> deletedAt = new HashMap<>();
 
     private final Map<String, Runnable> listeners = new HashMap<>();
+    private Transcript transcript = Transcript.NONE;
     private long revision;
     private long lastLease;
     private boolean outage;
@@ -323,6 +324,11 @@
         }
     }
 
+    /** From now on all transactions are written down. */
+    void record(Transcript to) {
+        transcript = to;
+    }
+
     /** The listener hears each time the key is written. */
     public void whenPut(String key, Runnable listener) {
         listeners.put(key, listener);
@@ -407,6 +413,7 @@
                 delete(write.path("delete").asText());
             }
         }
+        transcript.committed(clock.getAsLong(), revision, writes.toString());
         wake();
         return ok(Json.object().put("ledgerNo", revision));
     }
--- /dev/null
+++ b/src/test/java/notchpick/standin/Transcript.java
@@ -0,0 +1,95 @@
+package notchpick.standin;
+
+import java.io.BufferedWriter;
+import java.io.IOException;
+import java.io.OutputStreamWriter;
+import java.io.UncheckedIOException;
+import java.io.Writer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.zip.GZIPOutputStream;
+import notchpick.protocol.PeerWire;
+import notchpick.transport.Caller.Answer;
+import notchpick.transport.Caller.Call;
+
+/**
+ * A record of every message between hosts and of every transaction that the state service carried out, with simulated
+ * time, in the words of the wire. Two versions that behave alike write the same bytes.
+ */
+public final class Transcript implements AutoCloseable {
+    /** Writes nothing. */
+    static final Transcript NONE = new Transcript(null);
+
+    private final Writer out;
+
+    private Transcript(Writer out) {
+        this.out = out;
+    }
+
+    /** Opens the transcript of a test in the folder that {@code -Dtranscript=DIR} names; without it nothing is written. */
+    public static Transcript open(String test) {
+        String folder = System.getProperty("transcript");
+        if (folder == null) {
+            return NONE;
+        }
+        try {
+            Path file = Files.createDirectories(Path.of(folder)).resolve(test + ".gz");
+            return new Transcript(new BufferedWriter(new OutputStreamWriter(
+                    new GZIPOutputStream(Files.newOutputStream(file)), StandardCharsets.UTF_8)));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** A call leaves its host, whether or not it arrives. */
+    void called(long nowMs, String from, Call call) {
+        if (out != null) {
+            write(nowMs + " " + from + " > " + call.target() + " " + call.method() + " " + call.path() + " "
+                    + text(call.path(), call.body()));
+        }
+    }
+
+    /** A host answers a call, whether or not the answer arrives. */
+    void answered(long nowMs, String from, String to, Call call, Answer answer) {
+        if (out != null) {
+            write(nowMs + " " + from + " > " + to + " " + answer.status() + " " + text(call.path(), answer.body()));
+        }
+    }
+
+    /** The state service has carried out a transaction. */
+    void committed(long nowMs, long revision, String transaction) {
+        if (out != null) {
+            write(nowMs + " revision " + revision + " " + transaction);
+        }
+    }
+
+    private static String text(String path, byte[] body) {
+        if (body == null || body.length == 0) {
+            return "";
+        }
+        return path.equals(PeerWire.PATH)
+                ? String.valueOf(PeerWire.body(body))
+                : new String(body, StandardCharsets.UTF_8);
+    }
+
+    private void write(String line) {
+        try {
+            out.write(line);
+            out.write('\n');
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    @Override
+    public void close() {
+        if (out != null) {
+            try {
+                out.close();
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
+            }
+        }
+    }
+}
