--- a/src/main/java/notchpick/coordination/leading/OpenJobs.java
+++ b/src/main/java/notchpick/coordination/leading/OpenJobs.java
@@ -4,6 +4,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -112,7 +113,7 @@
     void loadDone(Listing listing) {
         for (Entry entry : listing.entries()) {
             writer.known(entry.key(), entry.version());
-            Set<DoneMarks> loaded = new HashSet<>();
+            Set<DoneMarks> loaded = new LinkedHashSet<>();
             for (DoneRun run : Records.done(entry.value())) {
                 Job job = cluster.jobs.get(run.job());
                 if (job != null) {
--- a/src/main/java/notchpick/coordination/leading/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leading/TaskLaunchLog.java
@@ -1,7 +1,6 @@
 package notchpick.coordination.leading;
 
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -84,7 +83,7 @@
     void load(Listing listing) {
         for (Entry entry : listing.entries()) {
             writer.known(entry.key(), entry.version());
-            Set<TaskAssignment> loaded = new HashSet<>();
+            Set<TaskAssignment> loaded = new LinkedHashSet<>();
             for (Hint hint : Records.hints(entry.value())) {
                 Machine machine = cluster.machines.computeIfAbsent(hint.machine(), name -> {
                     Machine found = new Machine(
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/standin/Network.java
@@ -199,12 +199,10 @@
                             return;
                         }
                         // The state service refuses by who calls, so the caller's name goes along.
-                        handler.handle(
-                                new Call(host, call.method(), call.path(), call.body()),
-                                answer -> {
-                                    transcript.answered(simulation.now(), to, host, call, answer);
-                                    carry(to, host, () -> once.accept(answer), reset);
-                                });
+                        handler.handle(new Call(host, call.method(), call.path(), call.body()), answer -> {
+                            transcript.answered(simulation.now(), to, host, call, answer);
+                            carry(to, host, () -> once.accept(answer), reset);
+                        });
                     },
                     reset);
         };
--- a/src/test/java/notchpick/standin/Transcript.java
+++ b/src/test/java/notchpick/standin/Transcript.java
@@ -35,8 +35,8 @@
         }
         try {
             Path file = Files.createDirectories(Path.of(folder)).resolve(test + ".gz");
-            return new Transcript(new BufferedWriter(new OutputStreamWriter(
-                    new GZIPOutputStream(Files.newOutputStream(file)), StandardCharsets.UTF_8)));
+            return new Transcript(new BufferedWriter(
+                    new OutputStreamWriter(new GZIPOutputStream(Files.newOutputStream(file)), StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
