--- a/src/main/java/notchpick/app/LinkReport.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -8,32 +8,32 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import notchpick.coordination.Deployment;
-import notchpick.protocol.PeerWire;
+import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** Asks every controller of a deployment for its links, and writes them down for people. */
-final class LinkReport {
+final class LinkStatusCommand {
     private static final long PATIENCE_MS = 3000;
 
-    private LinkReport() {}
+    private LinkStatusCommand() {}
 
     /** What came of asking one controller. */
-    record Asked(String node, Answer answer) {}
+    record Asked(String node, Response answer) {}
 
     /** Asks all at once. */
-    static List<Asked> ask(Deployment deployment, Caller caller) throws InterruptedException {
+    static List<Asked> ask(Deployment deployment, HttpCaller caller) throws InterruptedException {
         Map<String, String> addresses = new TreeMap<>();
         addresses.put(deployment.node(), deployment.peerBind());
         deployment.peers().forEach(peer -> addresses.put(peer.node(), peer.address()));
-        byte[] question = PeerWire.bytes(new LinkTable("", 0L, null, null, 0L, List.of()));
-        Map<String, Answer> answers = new TreeMap<>();
+        byte[] question = PeerProtocol.bytes(new LinkTable("", 0L, null, null, 0L, List.of()));
+        Map<String, Response> answers = new TreeMap<>();
         CountDownLatch open = new CountDownLatch(addresses.size());
         addresses.forEach((node, address) ->
-                caller.call(new Call(address, "POST", PeerWire.PATH, question), PATIENCE_MS, answer -> {
+                caller.call(new Request(address, "POST", PeerProtocol.PATH, question), PATIENCE_MS, answer -> {
                     synchronized (answers) {
                         answers.put(node, answer);
                     }
@@ -42,21 +42,21 @@
         open.await(2 * PATIENCE_MS, TimeUnit.MILLISECONDS);
         List<Asked> all = new ArrayList<>();
         synchronized (answers) {
-            addresses.keySet().forEach(node -> all.add(new Asked(node, answers.getOrDefault(node, Answer.NONE))));
+            addresses.keySet().forEach(node -> all.add(new Asked(node, answers.getOrDefault(node, Response.NONE))));
         }
         return all;
     }
 
     /** One paragraph for a controller. */
     static String text(Asked asked) {
-        Answer answer = asked.answer();
+        Response answer = asked.answer();
         if (answer.isUnsent()) {
             return asked.node() + ": connection refused\n";
         }
         if (answer.isNone()) {
             return asked.node() + ": no answer\n";
         }
-        if (answer.status() != 200 || !(PeerWire.body(answer.body()) instanceof LinkTable table)) {
+        if (answer.status() != 200 || !(PeerProtocol.body(answer.body()) instanceof LinkTable table)) {
             return asked.node() + ": runs a version that does not tell its links\n";
         }
         StringBuilder text = new StringBuilder(String.format(
--- a/src/main/java/notchpick/app/Main.java
+++ b/src/main/java/notchpick/app/Main.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.Callable;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
-import notchpick.transport.Handler;
-import notchpick.transport.JettyCaller;
-import notchpick.transport.JettyServer;
-import notchpick.transport.SerialLoop;
+import notchpick.transport.HttpHandler;
+import notchpick.transport.JettyHttpCaller;
+import notchpick.transport.JettyHttpServer;
+import notchpick.transport.SerialEventLoop;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -36,6 +36,10 @@
     private static final int CONNECTIONS_PER_TARGET = 16;
     private static final int THREADS = 16;
     private static final int IDLE_THREAD_MS = 60_000;
+    /** An idle connection is closed after so many worker leases. */
+    private static final int IDLE_LEASES = 4;
+    /** Where connections run short, an idle one is closed after so many heartbeat periods. */
+    private static final int CROWDED_IDLE_PERIODS = 2;
 
     @Option(
             names = "--config",
@@ -97,9 +101,9 @@
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
         scheduler.start();
-        JettyCaller caller = new JettyCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS);
-        List<LinkReport.Asked> all = LinkReport.ask(deployment, caller);
-        all.forEach(asked -> System.out.print(LinkReport.text(asked)));
+        JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS);
+        List<LinkStatusCommand.Asked> all = LinkStatusCommand.ask(deployment, caller);
+        all.forEach(asked -> System.out.print(LinkStatusCommand.text(asked)));
         caller.stop();
         scheduler.stop();
         threads.stop();
@@ -135,19 +139,19 @@
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", false);
         scheduler.start();
-        JettyCaller caller = new JettyCaller(threads, scheduler, CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS);
-        Controller controller = new Controller(new SerialLoop(), deployment, tuned, caller, new Random());
-        Handler outside = controller::serve;
-        Handler peers = controller::servePeer;
-        JettyServer server = new JettyServer(
+        JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS);
+        Controller controller = new Controller(new SerialEventLoop(), deployment, tuned, caller, new Random());
+        HttpHandler outside = controller::serve;
+        HttpHandler peers = controller::servePeer;
+        JettyHttpServer server = new JettyHttpServer(
                 threads,
                 scheduler,
                 new ArrayByteBufferPool(),
                 Map.of(deployment.serveOn(), outside, deployment.peerBind(), peers),
                 deployment.peerBind(),
-                (long) (deployment.workerLeaseS() * 4000),
+                IDLE_LEASES * deployment.workerLeaseMs(),
                 deployment.connectionsTaken(),
-                (long) (deployment.reportS() * 2000));
+                CROWDED_IDLE_PERIODS * deployment.heartbeatPeriodMs());
         controller.tell(new Controller.Begin());
         server.start();
     }
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import notchpick.coordination.Deployment;
-import notchpick.coordination.Deployment.Limit;
 import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.Deployment.Quota;
 import notchpick.protocol.Json;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.Objectives;
-import notchpick.scheduling.Objectives.Kind;
-import notchpick.scheduling.Objectives.Objective;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
 
 /** Reads the settings file that the platform hands over. */
 public final class Settings {
@@ -59,12 +59,12 @@
         for (JsonNode peer : list(root, "", "known")) {
             peers.add(new Peer(text(peer, "known.", "node"), address(peer, "known.", "addr")));
         }
-        List<Limit> teams = new ArrayList<>();
+        List<Quota> teams = new ArrayList<>();
         for (JsonNode team : list(deployment, "deployment.", "teams")) {
-            teams.add(new Limit(
+            teams.add(new Quota(
                     text(team, "deployment.teams.", "name"),
-                    new Amounts(optional(team, "cpus"), optional(team, "gpus"), 0),
-                    new Amounts(optional(team, "cpus_max"), optional(team, "gpus_max"), 0)));
+                    new Resources(optional(team, "cpus"), optional(team, "gpus"), 0),
+                    new Resources(optional(team, "cpus_max"), optional(team, "gpus_max"), 0)));
         }
         Map<String, List<Objective>> objectives = new HashMap<>();
         for (JsonNode node : deployment.path("objectives")) {
@@ -86,7 +86,7 @@
                 address(outside, "outside.", "state"),
                 zones,
                 teams,
-                new Objectives(objectives),
+                new ServiceObjectives(objectives),
                 positive(workers, "deployment.workers.", "report_s"),
                 positive(workers, "deployment.workers.", "lease_s"),
                 positive(workers, "deployment.workers.", "cancel_s"),
--- a/src/main/java/notchpick/app/TuningFile.java
+++ b/src/main/java/notchpick/app/TuningFile.java
@@ -37,10 +37,10 @@
         }
         Tuning standard = Tuning.DEFAULT;
         return new Tuning(
-                node.path("commitmentMemoryS").asDouble(standard.tauS()),
-                node.path("commitmentSaveS").asDouble(standard.saveS()),
-                node.path("roomLeaseMs").asLong(standard.roomLeaseMs()),
-                node.path("barringWaitS").asDouble(standard.barringS()),
+                node.path("commitmentMemoryS").asDouble(standard.commitmentDecayS()),
+                node.path("commitmentSaveS").asDouble(standard.commitmentSaveS()),
+                node.path("roomLeaseMs").asLong(standard.resourceLeaseMs()),
+                node.path("barringWaitS").asDouble(standard.maxSkippedS()),
                 node.path("leaderLeaseRatio").asDouble(standard.leaderLeaseRatio()));
     }
 }
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -1,8 +1,8 @@
 package notchpick.coordination;
 
 import java.util.List;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.Objectives;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.ServiceObjectives;
 
 /** What the platform tells a controller of the deployment, and what follows from it. */
 public record Deployment(
@@ -13,11 +13,11 @@
         String cloudAddress,
         String stateAddress,
         List<String> zones,
-        List<Limit> teams,
-        Objectives objectives,
-        double reportS,
+        List<Quota> teams,
+        ServiceObjectives objectives,
+        double heartbeatPeriodS,
         double workerLeaseS,
-        double cancelS,
+        double cancelTimeoutS,
         double stateRps,
         double stateWriteRps,
         int valueBytes,
@@ -29,24 +29,32 @@
     /** Another controller. */
     public record Peer(String node, String address) {}
 
-    /** A team's guarantee and most; an amount of 0 stands for none. */
-    public record Limit(String team, Amounts guarantee, Amounts most) {
+    /** What a team may always have, and what it may have at the most; an amount of 0 stands for no limit. */
+    public record Quota(String team, Resources guaranteed, Resources maximum) {
         /** Whether the team may hold so much at once. */
-        public boolean allows(Amounts held) {
-            return (most.cores() <= 0 || held.cores() <= most.cores() + Amounts.SLACK)
-                    && (most.gpus() <= 0 || held.gpus() <= most.gpus() + Amounts.SLACK);
+        public boolean allows(Resources held) {
+            return (maximum.cores() <= 0 || held.cores() <= maximum.cores() + Resources.SLACK)
+                    && (maximum.gpus() <= 0 || held.gpus() <= maximum.gpus() + Resources.SLACK);
         }
 
         /** Whether so much stays within the team's guarantee. */
-        public boolean guarantees(Amounts held) {
-            return (guarantee.cores() > 0 || guarantee.gpus() > 0)
-                    && held.cores() <= guarantee.cores() + Amounts.SLACK
-                    && held.gpus() <= guarantee.gpus() + Amounts.SLACK;
+        public boolean isWithinGuarantee(Resources held) {
+            return (guaranteed.cores() > 0 || guaranteed.gpus() > 0)
+                    && held.cores() <= guaranteed.cores() + Resources.SLACK
+                    && held.gpus() <= guaranteed.gpus() + Resources.SLACK;
         }
     }
 
+    private static final double MS_PER_S = 1000;
+
     /** The end of a job takes two changes that belong together. */
     private static final int END_WRITES = 2;
+    /** Of the writes that the state store takes in a second, one transaction holds no more than this part. */
+    private static final int TRANSACTIONS_PER_S = 5;
+    /** One connection in so many is kept for this controller's own calls. */
+    private static final int OWN_CONNECTIONS_PART = 8;
+    /** A lease ends elsewhere no later than this after its time, besides clock drift. */
+    private static final long EXPIRY_MARGIN_MS = 100;
     /** Steady clocks differ by at most a twentieth of a percent each; this counts for both, amply. */
     private static final double DRIFT = 0.002;
 
@@ -55,41 +63,61 @@
      * of more than a second's worth: a transaction larger than that would be turned away for ever.
      */
     public int writesAtOnce() {
-        return Math.min(txnOps, Math.max(END_WRITES, (int) (stateWriteRps / 5)));
+        return Math.min(txnOps, Math.max(END_WRITES, (int) (stateWriteRps / TRANSACTIONS_PER_S)));
     }
 
     /** Connections that others may hold here: without some of its own a controller could reach nobody. */
     public int connectionsTaken() {
-        return socketLimit - socketLimit / 8;
+        return socketLimit - socketLimit / OWN_CONNECTIONS_PART;
     }
 
     public int controllers() {
         return peers.size() + 1;
     }
 
+    /** How often a worker sends a heartbeat. */
+    public long heartbeatPeriodMs() {
+        return (long) (heartbeatPeriodS * MS_PER_S);
+    }
+
+    /** How long a worker keeps its tasks running without a reply to its heartbeats. */
+    public long workerLeaseMs() {
+        return (long) (workerLeaseS * MS_PER_S);
+    }
+
+    /** How long after the confirmation of a job's cancellation its tasks may still run. */
+    public long cancelTimeoutMs() {
+        return (long) (cancelTimeoutS * MS_PER_S);
+    }
+
+    /** The length of the leader lease. */
+    public long leaderLeaseMs(Tuning tuning) {
+        return (long) (workerLeaseS * MS_PER_S * tuning.leaderLeaseRatio());
+    }
+
     /** This controller's part of the requests that the state service takes. */
     public double requestsPerS() {
         return stateRps / controllers();
     }
 
-    /** The limit of a team; null: there is no such team. */
-    public Limit limit(String team) {
-        for (Limit limit : teams) {
-            if (limit.team().equals(team)) {
-                return limit;
+    /** The quota of a team; null if there is no such team. */
+    public Quota quota(String team) {
+        for (Quota quota : teams) {
+            if (quota.team().equals(team)) {
+                return quota;
             }
         }
         return null;
     }
 
     /** How long a lease of this length may surely be relied on, measured from before it was asked. */
-    public static long surelyHeldMs(double leaseMs) {
+    public static long leaseSafelyHeldMs(double leaseMs) {
         return (long) (leaseMs * (1 - DRIFT));
     }
 
     /** After so long a lease of this length has surely run out elsewhere. */
-    public static long surelyOverMs(double leaseMs) {
-        return (long) Math.ceil(leaseMs * (1 + DRIFT)) + 100;
+    public static long leaseSafelyExpiredMs(double leaseMs) {
+        return (long) Math.ceil(leaseMs * (1 + DRIFT)) + EXPIRY_MARGIN_MS;
     }
 
     /**
@@ -98,14 +126,15 @@
      * its report was sent, must be over within the time that a cancellation has, with a report period to spare.
      * Where the settings leave no room for that, it is as much as a leader needs to go on at all.
      */
-    public long knowledgeMs(double leaderLeaseS) {
+    public long stalenessBoundMs(double leaderLeaseS) {
         return Math.max(
-                (long) (1000 * leaderLeaseS), (long) (1000 * (cancelS - reportS)) - surelyOverMs(1000 * workerLeaseS));
+                (long) (1000 * leaderLeaseS),
+                (long) (1000 * (cancelTimeoutS - heartbeatPeriodS)) - leaseSafelyExpiredMs(1000 * workerLeaseS));
     }
 
     /** In what time from its confirmation every task of a cancelled job is surely gone, whatever fails. */
-    public long surelyCancelledMs(double leaderLeaseS) {
-        return knowledgeMs(leaderLeaseS) + surelyOverMs(1000 * workerLeaseS);
+    public long cancellationBoundMs(double leaderLeaseS) {
+        return stalenessBoundMs(leaderLeaseS) + leaseSafelyExpiredMs(1000 * workerLeaseS);
     }
 
     /**
@@ -115,8 +144,8 @@
      * which runs from when its last answered report was sent, must fit into the time that a
      * cancellation has, with a report period to spare.
      */
-    public long graceMs(double leaderLeaseS) {
-        double graceS = Math.min(workerLeaseS / 2, cancelS - workerLeaseS - leaderLeaseS - reportS);
+    public long gracePeriodMs(double leaderLeaseS) {
+        double graceS = Math.min(workerLeaseS / 2, cancelTimeoutS - workerLeaseS - leaderLeaseS - heartbeatPeriodS);
         return (long) (1000 * Math.max(0, graceS));
     }
 }
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Records;
-import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Entry;
-import notchpick.protocol.StateApi.Listing;
-import notchpick.protocol.StateApi.Ok;
+import notchpick.model.JobRecord;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Listing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.storage.Records;
 
 /**
  * How jobs ended that are not open any more: read from the state service, those of neighbouring ids by one request,
@@ -21,7 +21,7 @@
     private static final int PAGE = 100;
     private static final int KEPT = 20_000;
 
-    private final StateApi state;
+    private final StateStoreClient state;
     private final Map<String, JobRecord> known = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -31,7 +31,7 @@
         }
     };
 
-    public JobOutcomes(StateApi state) {
+    public JobOutcomes(StateStoreClient state) {
         this.state = state;
     }
 
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -0,0 +1,88 @@
+package notchpick.coordination.leader;
+
+import java.util.ArrayList;
+import java.util.List;
+import notchpick.coordination.leader.allocation.ResourceLeases;
+import notchpick.coordination.leader.scaling.Autoscaler;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.ClusterState;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+import notchpick.scheduling.Consolidation;
+import notchpick.scheduling.Consolidation.Candidate;
+import notchpick.scheduling.JobSpec;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** When nothing waits, drains machines in little use whose tasks can write a checkpoint and move elsewhere. */
+final class Defragmenter {
+    private static final Logger LOG = LoggerFactory.getLogger(Defragmenter.class);
+    private static final double MS_PER_S = 1000.0;
+    /** A task is moved only if it has so many times the time to write a checkpoint still to run. */
+    private static final int MIN_REMAINING_CHECKPOINTS = 10;
+
+    private final TermContext context;
+    private final ClusterState cluster;
+    private final ResourceLeases leases;
+    private final Autoscaler autoscaler;
+
+    Defragmenter(TermContext context, ResourceLeases leases, Autoscaler autoscaler) {
+        this.context = context;
+        this.cluster = context.cluster();
+        this.leases = leases;
+        this.autoscaler = autoscaler;
+    }
+
+    /** Drains as many machines as may be drained at a time. */
+    void run(long now) {
+        if (leases.isAnyHeld() || autoscaler.isProvisioningLate() || isWorkWaiting()) {
+            return;
+        }
+        List<Candidate<Machine>> candidates = new ArrayList<>();
+        List<JobSpec> moving = new ArrayList<>();
+        int draining = 0;
+        double freeCores = 0;
+        for (Machine machine : cluster.machines()) {
+            if (machine.state() == Machine.State.DRAINING
+                    && !machine.assignments().isEmpty()) {
+                draining++;
+                machine.assignments().forEach(assignment -> moving.add(assignment.spec()));
+            } else if (machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                freeCores += machine.room().cores();
+                candidates.add(new Candidate<>(machine, movableTasks(machine, now)));
+            }
+        }
+        double usedRatio = 1 - freeCores / Math.max(1, cluster.capacity().cores());
+        int most = Consolidation.most(candidates.size(), usedRatio);
+        Consolidation.find(candidates, moving, most - draining).forEach(Defragmenter::drain);
+    }
+
+    private boolean isWorkWaiting() {
+        return cluster.jobs().stream().anyMatch(job -> job.isWaiting() && !job.isSuspectedFaulty());
+    }
+
+    private static void drain(Machine machine) {
+        LOG.info(
+                "machine draining: machine={} tasks={} reason=defragmentation",
+                machine.name(),
+                machine.assignments().size());
+        machine.drain();
+        machine.assignments().forEach(TaskAssignment::requestCheckpointAndStop);
+    }
+
+    /** The machine's tasks, or null if one of them can't be moved now, or moving it would not pay. */
+    private List<JobSpec> movableTasks(Machine machine, long now) {
+        List<JobSpec> tasks = new ArrayList<>();
+        for (TaskAssignment assignment : machine.assignments()) {
+            JobSpec spec = assignment.spec();
+            double ranS = (now - assignment.runningSince()) / MS_PER_S;
+            double remainingS = context.runtimes().runS(spec) - ranS;
+            boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
+            if (!assignment.mayBePreempted(now) || !pays || spec.isConstrained()) {
+                return null;
+            }
+            tasks.add(spec);
+        }
+        return tasks;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -0,0 +1,320 @@
+package notchpick.coordination.leader;
+
+import java.util.List;
+import java.util.function.Consumer;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.leader.allocation.ResourceAllocator;
+import notchpick.coordination.leader.allocation.ResourceLeases;
+import notchpick.coordination.leader.allocation.TaskLaunchLog;
+import notchpick.coordination.leader.heartbeat.HeartbeatHandler;
+import notchpick.coordination.leader.heartbeat.MachineHealthMonitor;
+import notchpick.coordination.leader.heartbeat.TaskJournal;
+import notchpick.coordination.leader.jobs.JobTracker;
+import notchpick.coordination.leader.scaling.Autoscaler;
+import notchpick.coordination.leader.term.LeaderAuthority;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.coordination.membership.ElectedTerm;
+import notchpick.model.ClusterState;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.model.MachineTypeCatalog;
+import notchpick.model.TaskAssignment;
+import notchpick.protocol.WorkerProtocol.Heartbeat;
+import notchpick.protocol.peer.Progress;
+import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.MachineType;
+import notchpick.scheduling.RuntimeEstimator;
+import notchpick.storage.FencedWriter;
+import notchpick.storage.FencedWriter.Prepared;
+import notchpick.storage.FencedWriter.Write;
+import notchpick.storage.Records;
+import notchpick.transport.Actor;
+import notchpick.transport.HttpCaller.Response;
+
+/**
+ * Acts for all controllers during one term: the only one that gives workers commands. It composes the parts of a leader,
+ * connects them, and drives them periodically; all of them run in its turn and end with it.
+ */
+public final class Leader extends Actor<Leader.Message> {
+    /** What the leader is told. */
+    public sealed interface Message {}
+
+    /** The leader lease has been renewed. */
+    public record LeaseRenewed(long untilMs) implements Message {}
+
+    /** The term is over. */
+    public record Depose() implements Message {}
+
+    /** The machine types, without which no machine's resources are known. */
+    public record TypesKnown(List<MachineType> types) implements Message {}
+
+    /** @param relayed whether the heartbeat has come through another controller */
+    public record HeartbeatReceived(Heartbeat heartbeat, Consumer<Response> reply, boolean relayed)
+            implements Message {}
+
+    /** Ends the leadership of this controller. */
+    @FunctionalInterface
+    public interface StepDownHandler {
+        /** Another controller should lead, for this reason. */
+        void stepDown(String reason);
+    }
+
+    private static final double MS_PER_S = 1000.0;
+    /** The parts are reviewed so many times in a heartbeat period. */
+    private static final int TICKS_PER_HEARTBEAT = 3;
+    /** Cancellations are read as often as the leader lease is renewed, lest their age shorten the grace period. */
+    private static final int WATCHES_PER_LEASE = 5;
+    /** The leader's writes take this part of the rate; users' submissions and cancellations have the rest. */
+    private static final double WRITE_RATE_RATIO = 0.7;
+
+    private final Deployment deployment;
+    private final StepDownHandler stepDownHandler;
+    private final long commitmentSaveMs;
+    private final TermContext context;
+    private final ClusterState cluster;
+    private final LeaderAuthority authority;
+    private final FencedWriter writer;
+    private final ResourceLeases leases;
+    private final ResourceAllocator allocator;
+    private final Autoscaler autoscaler;
+    private final JobTracker jobs;
+    private final TaskLaunchLog launches;
+    private final MachineHealthMonitor machineHealth;
+    private final AllocationScheduler rounds;
+    private final HeartbeatHandler heartbeats;
+    private final LeaderRecovery recovery;
+    private final ProcessPauseDetector pauses;
+    private final WorkerLeaseMonitor workerLeases;
+    private final ReclaimCheckpointer reclaims;
+    private final Defragmenter defragmenter;
+    private final StepDownPolicy stepDownPolicy;
+    private boolean recoveryBegun;
+
+    public Leader(LeaderEnvironment environment, ElectedTerm term, StepDownHandler stepDownHandler) {
+        super(environment.loop());
+        this.deployment = environment.deployment();
+        this.stepDownHandler = stepDownHandler;
+        this.commitmentSaveMs = (long) (environment.tuning().commitmentSaveS() * MS_PER_S);
+        long leaderLeaseMs = deployment.leaderLeaseMs(environment.tuning());
+        double leaderLeaseS = leaderLeaseMs / MS_PER_S;
+        this.cluster = new ClusterState(this::assignmentEnded);
+        this.context = context(term);
+        this.authority = new LeaderAuthority(loop::now, deployment, leaderLeaseS, term.leaseUntil());
+        this.writer = writer(environment, term);
+        this.autoscaler = new Autoscaler(context, environment.cloud(), writer, this::machineGone, this::reviewScaling);
+        this.leases =
+                new ResourceLeases(context, environment.tuning(), environment.peers(), new ResourceLeaseListener());
+        this.allocator = new ResourceAllocator(context, environment.tuning(), leases);
+        this.rounds = new AllocationScheduler(context, authority, allocator, this::replyToHeartbeats);
+        this.jobs = jobTracker(environment, leaderLeaseMs / WATCHES_PER_LEASE);
+        this.launches = new TaskLaunchLog(context, writer, new LaunchListener());
+        this.machineHealth = new MachineHealthMonitor(context);
+        this.heartbeats = new HeartbeatHandler(context, authority, machineHealth, new Journal(), rounds);
+        this.recovery =
+                new LeaderRecovery(context, environment.stateStore(), writer, jobs, launches, autoscaler, allocator);
+        this.pauses = new ProcessPauseDetector(context, tickMs());
+        this.workerLeases = new WorkerLeaseMonitor(context, deployment.gracePeriodMs(leaderLeaseS));
+        this.reclaims = new ReclaimCheckpointer(context);
+        this.defragmenter = new Defragmenter(context, leases, autoscaler);
+        this.stepDownPolicy = new StepDownPolicy(
+                context, authority, environment.peers(), environment.links(), environment.stateStoreTransport());
+        every(
+                stepDownPolicy.maxUnreadMs(),
+                () -> stepDownPolicy.reasonBeforeRecovery().ifPresent(stepDownHandler::stepDown));
+    }
+
+    private TermContext context(ElectedTerm term) {
+        return new TermContext(
+                term.number(),
+                loop,
+                this::after,
+                deployment,
+                cluster,
+                new MachineTypeCatalog(),
+                new RuntimeEstimator());
+    }
+
+    private FencedWriter writer(LeaderEnvironment environment, ElectedTerm term) {
+        return new FencedWriter(
+                environment.stateStore(),
+                loop,
+                this::after,
+                term.keyVersion(),
+                deployment.writesAtOnce(),
+                WRITE_RATE_RATIO * deployment.stateWriteRps(),
+                () -> stepDownHandler.stepDown("the leader key is gone"));
+    }
+
+    private JobTracker jobTracker(LeaderEnvironment environment, long watchMs) {
+        return new JobTracker(
+                context, environment.stateStore(), writer, authority, watchMs, this::expectedStageS, new JobListener());
+    }
+
+    @Override
+    protected void receive(Message message) {
+        if (message instanceof LeaseRenewed renewed) {
+            authority.leaseRenewed(renewed.untilMs());
+        } else if (message instanceof TypesKnown known) {
+            context.machineTypes().update(known.types());
+            if (!recoveryBegun) {
+                recoveryBegun = true;
+                recovery.begin(this::recovered);
+            }
+        } else if (message instanceof HeartbeatReceived received) {
+            stepDownPolicy.heartbeatReceived(received.heartbeat(), received.relayed());
+            heartbeats.receive(received.heartbeat(), received.reply());
+        } else if (message instanceof Depose) {
+            heartbeats.refuseAll();
+            stop();
+        }
+    }
+
+    private void recovered(long openJobsRevision) {
+        authority.recoveryCompleted();
+        log.info(
+                "recovery completed: term={} jobs={} machines={}",
+                context.number(),
+                cluster.jobs().size(),
+                cluster.machines().size());
+        jobs.watch(openJobsRevision);
+        autoscaler.refreshInventory();
+        every(context.heartbeatPeriodMs(), autoscaler::refreshInventory);
+        pauses.ticked();
+        every(tickMs(), this::tick);
+        every(commitmentSaveMs, this::saveCommitments);
+        tick();
+    }
+
+    // ---- periodic work -------------------------------------------------------------------------
+
+    private long tickMs() {
+        return context.heartbeatPeriodMs() / TICKS_PER_HEARTBEAT;
+    }
+
+    private void tick() {
+        long now = context.now();
+        pauses.check();
+        pauses.ticked();
+        for (Machine machine : cluster.copyOfMachines()) {
+            workerLeases.review(machine, now);
+            reclaims.review(machine);
+            machineHealth.review(machine, now);
+        }
+        stepDownPolicy.reason(pauses.awakeSince()).ifPresent(stepDownHandler::stepDown);
+        if (authority.holdsLease()) {
+            launches.compact();
+            jobs.compact();
+            reviewScaling();
+            defragmenter.run(now);
+            rounds.request();
+        }
+    }
+
+    private void reviewScaling() {
+        if (authority.holdsLease()) {
+            pauses.check();
+            autoscaler.review(pauses.awakeSince());
+        }
+    }
+
+    private void saveCommitments() {
+        writer.write(Records.COMMITMENTS, () -> {
+            var value = Records.commitments(allocator.commitments(), deployment.valueBytes());
+            return new Prepared(List.of(Write.put(Records.COMMITMENTS, value)), () -> {}, () -> {});
+        });
+    }
+
+    // ---- connections between the parts ---------------------------------------------------------
+
+    private void assignmentEnded(TaskAssignment assignment) {
+        launches.drop(assignment);
+    }
+
+    private void replyToHeartbeats() {
+        heartbeats.replyToReady();
+    }
+
+    private void machineGone(Machine machine) {
+        cluster.unassignAll(machine);
+        heartbeats.refuse(machine);
+        rounds.request();
+    }
+
+    /** A job's run time, the wait for a heartbeat that its launch can go out with, and the fetch of its image. */
+    private double expectedStageS(JobSpec spec) {
+        return context.runtimes().runS(spec)
+                + deployment.heartbeatPeriodS() / 2
+                + context.machineTypes().fetchS(spec.imageGb());
+    }
+
+    private final class ResourceLeaseListener implements ResourceLeases.Listener {
+        @Override
+        public void taskPlaced(TaskAssignment assignment) {
+            launches.record(assignment);
+        }
+
+        @Override
+        public void resourcesReturned() {
+            rounds.request();
+        }
+    }
+
+    private final class JobListener implements JobTracker.Listener {
+        @Override
+        public void jobsChanged() {
+            rounds.request();
+        }
+
+        @Override
+        public void completionsRecorded() {
+            heartbeats.replyToReady();
+        }
+    }
+
+    private final class LaunchListener implements TaskLaunchLog.Listener {
+        @Override
+        public void launchesRecorded(Machine machine) {
+            heartbeats.reply(machine);
+        }
+
+        @Override
+        public void jobsFoundEnded(List<String> ids) {
+            jobs.foundEnded(ids);
+        }
+    }
+
+    private final class Journal implements TaskJournal {
+        @Override
+        public void taskCompleted(Job job, int task) {
+            jobs.taskCompleted(job, task);
+        }
+
+        @Override
+        public void taskAdopted(TaskAssignment assignment) {
+            launches.record(assignment);
+        }
+    }
+
+    // ---- progress, for display -----------------------------------------------------------------
+
+    /** The counts of open jobs that have made progress. */
+    public List<Progress> progress() {
+        if (!authority.hasRecovered()) {
+            return List.of();
+        }
+        return cluster.jobs().stream()
+                .filter(job -> job.runningTasks() > 0 || job.doneTasks() > 0)
+                .map(Leader::progress)
+                .toList();
+    }
+
+    /** The counts of one job; null if it is not open, or not known yet. */
+    public Progress progress(String id) {
+        Job job = authority.hasRecovered() ? cluster.job(id) : null;
+        return job == null ? null : progress(job);
+    }
+
+    private static Progress progress(Job job) {
+        return new Progress(job.id(), job.doneTasks(), job.runningTasks());
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
@@ -0,0 +1,21 @@
+package notchpick.coordination.leader;
+
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Tuning;
+import notchpick.coordination.membership.FailoverStateStoreTransport;
+import notchpick.coordination.membership.LinkMonitor;
+import notchpick.coordination.membership.PeerMembership;
+import notchpick.protocol.CloudClient;
+import notchpick.protocol.StateStoreClient;
+import notchpick.transport.EventLoop;
+
+/** What a leader uses of its controller, from term to term. */
+public record LeaderEnvironment(
+        EventLoop loop,
+        Deployment deployment,
+        Tuning tuning,
+        StateStoreClient stateStore,
+        CloudClient cloud,
+        PeerMembership peers,
+        LinkMonitor links,
+        FailoverStateStoreTransport stateStoreTransport) {}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -0,0 +1,118 @@
+package notchpick.coordination.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+import java.util.function.ObjLongConsumer;
+import notchpick.coordination.leader.allocation.ResourceAllocator;
+import notchpick.coordination.leader.allocation.TaskLaunchLog;
+import notchpick.coordination.leader.jobs.JobTracker;
+import notchpick.coordination.leader.scaling.Autoscaler;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.protocol.Json;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Listing;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.storage.FencedWriter;
+import notchpick.storage.Records;
+
+/**
+ * Reads what a former leader left, one kind of records after the other. Jobs come first: what the others then tell of
+ * is a job that is open, or one that has ended for good.
+ */
+final class LeaderRecovery {
+    private static final long RETRY_MS = 200;
+
+    private final TermContext context;
+    private final StateStoreClient stateStore;
+    private final FencedWriter writer;
+    private final JobTracker jobs;
+    private final TaskLaunchLog launches;
+    private final Autoscaler autoscaler;
+    private final ResourceAllocator allocator;
+
+    LeaderRecovery(
+            TermContext context,
+            StateStoreClient stateStore,
+            FencedWriter writer,
+            JobTracker jobs,
+            TaskLaunchLog launches,
+            Autoscaler autoscaler,
+            ResourceAllocator allocator) {
+        this.context = context;
+        this.stateStore = stateStore;
+        this.writer = writer;
+        this.jobs = jobs;
+        this.launches = launches;
+        this.autoscaler = autoscaler;
+        this.allocator = allocator;
+    }
+
+    /** @param recovered is given the revision from which changes of open jobs must be watched, once all is read */
+    void begin(LongConsumer recovered) {
+        list(Records.OPEN, (open, sentAt) -> {
+            jobs.loadOpenJobs(open, sentAt);
+            loadCompletions(() -> recovered.accept(open.revision()));
+        });
+    }
+
+    private void loadCompletions(Runnable then) {
+        list(Records.DONE_TASKS, (completions, sentAt) -> {
+            jobs.loadCompletions(completions);
+            loadLaunches(then);
+        });
+    }
+
+    private void loadLaunches(Runnable then) {
+        list(Records.STARTS, (recorded, sentAt) -> {
+            launches.load(recorded);
+            loadReleased(then);
+        });
+    }
+
+    private void loadReleased(Runnable then) {
+        get(Records.RELEASED, released -> {
+            autoscaler.loadReleased(Records.released(released));
+            loadCommitments(then);
+        });
+    }
+
+    private void loadCommitments(Runnable then) {
+        get(Records.COMMITMENTS, commitments -> {
+            allocator.loadCommitments(Records.commitments(commitments));
+            then.run();
+        });
+    }
+
+    /** @param then is given the entries, and when they were requested */
+    private void list(String prefix, ObjLongConsumer<Listing> then) {
+        long sentAt = context.now();
+        stateStore.listAll(
+                prefix,
+                result -> context.timer().after(0, () -> {
+                    if (result instanceof Ok<Listing> ok) {
+                        then.accept(ok.value(), sentAt);
+                    } else {
+                        context.timer().after(RETRY_MS, () -> list(prefix, then));
+                    }
+                }));
+    }
+
+    /** @param then is given the value, or an empty object where there is no such key */
+    private void get(String key, Consumer<JsonNode> then) {
+        stateStore.get(
+                key,
+                result -> context.timer().after(0, () -> {
+                    if (result instanceof Ok<Entry> ok) {
+                        writer.known(key, ok.value().version());
+                        then.accept(ok.value().value());
+                    } else if (result instanceof Missing<Entry>) {
+                        then.accept(Json.object());
+                    } else {
+                        context.timer().after(RETRY_MS, () -> get(key, then));
+                    }
+                }));
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
@@ -0,0 +1,47 @@
+package notchpick.coordination.leader;
+
+import notchpick.coordination.leader.term.TermContext;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Detects that this process stood still. What others sent meanwhile is yet to be read then: their silence from before
+ * says nothing.
+ */
+final class ProcessPauseDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
+    /** A tick that comes later than so many of its periods shows a pause. */
+    private static final int LATE_TICKS = 2;
+
+    private final TermContext context;
+    private final long tickMs;
+    private long tickedAt;
+    private long awakeSince;
+
+    /** @param tickMs the period in which {@link #ticked} is called */
+    ProcessPauseDetector(TermContext context, long tickMs) {
+        this.context = context;
+        this.tickMs = tickMs;
+        this.awakeSince = context.now();
+    }
+
+    /** The period begins anew. */
+    void ticked() {
+        tickedAt = context.now();
+    }
+
+    /** Looks whether the process has stood still since the last tick. */
+    void check() {
+        long now = context.now();
+        long sinceTickMs = now - tickedAt;
+        if (sinceTickMs > tickMs * LATE_TICKS) {
+            LOG.warn("process pause detected: term={} pausedMs={}", context.number(), sinceTickMs);
+            awakeSince = now;
+        }
+    }
+
+    /** The end of the last pause; silence of others from before does not count. */
+    long awakeSince() {
+        return awakeSince;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/ReclaimCheckpointer.java
@@ -0,0 +1,33 @@
+package notchpick.coordination.leader;
+
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+
+/** Has tasks write a checkpoint before the cloud reclaims their spot machine. */
+final class ReclaimCheckpointer {
+    /** The command reaches the worker within so many heartbeat periods. */
+    private static final int MARGIN_PERIODS = 2;
+
+    private final double marginS;
+
+    ReclaimCheckpointer(TermContext context) {
+        this.marginS = MARGIN_PERIODS * context.deployment().heartbeatPeriodS();
+    }
+
+    /** Stops the machine's tasks with a checkpoint, each as late as it has time for. */
+    void review(Machine machine) {
+        if (machine.reclaimNoticeS() == null) {
+            return;
+        }
+        for (TaskAssignment assignment : machine.assignments()) {
+            double writeS = assignment.spec().checkpointWriteS();
+            if (assignment.spec().checkpointIntervalS() > 0
+                    && assignment.isRunning()
+                    && !assignment.isStopRequested()
+                    && machine.reclaimNoticeS() < writeS + marginS) {
+                assignment.requestCheckpointAndStop();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
@@ -0,0 +1,40 @@
+package notchpick.coordination.leader;
+
+import notchpick.coordination.Deployment;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.Machine;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Frees the tasks of machines whose worker lease has surely expired. */
+final class WorkerLeaseMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseMonitor.class);
+
+    private final TermContext context;
+    private final long gracePeriodMs;
+    private final long leaseSafelyExpiredMs;
+
+    /** @param gracePeriodMs how long a former leader may have renewed worker leases after its own lease expired */
+    WorkerLeaseMonitor(TermContext context, long gracePeriodMs) {
+        this.context = context;
+        this.gracePeriodMs = gracePeriodMs;
+        this.leaseSafelyExpiredMs =
+                Deployment.leaseSafelyExpiredMs(context.deployment().workerLeaseMs());
+    }
+
+    /** Frees the machine's tasks if its worker has surely killed them. */
+    void review(Machine machine, long now) {
+        // Until the machine is reconciled, a former leader may have renewed its lease during its grace period.
+        long renewedAt = machine.lastHeartbeatAt() + (machine.isReconciled() ? 0 : gracePeriodMs);
+        if (machine.state() == Machine.State.PROVISIONING || now - renewedAt <= leaseSafelyExpiredMs) {
+            return;
+        }
+        machine.assignments()
+                .forEach(assignment -> LOG.info(
+                        "task lost: task={} machine={} reason=\"worker lease expired\"",
+                        assignment.taskName(),
+                        machine.name()));
+        context.cluster().unassignAll(machine);
+        machine.setReconciled(false);
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -0,0 +1,87 @@
+package notchpick.coordination.leader.allocation;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.protocol.peer.Grant;
+import notchpick.protocol.peer.Room;
+import notchpick.protocol.peer.Want;
+import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Resources;
+
+/** Makes the message that tells a resource lease to its holder. */
+final class GrantEncoder {
+    private final TermContext context;
+    private final long leaseMs;
+
+    /** @param leaseMs how long a resource lease lasts */
+    GrantEncoder(TermContext context, long leaseMs) {
+        this.context = context;
+        this.leaseMs = leaseMs;
+    }
+
+    Grant encode(ResourceLease lease) {
+        return new Grant(context.number(), lease.number(), lease.team(), leaseMs, leasedMachines(lease), tasks(lease));
+    }
+
+    private static List<Room> leasedMachines(ResourceLease lease) {
+        Set<String> images = new HashSet<>();
+        lease.tasks().keySet().forEach(job -> images.add(job.spec().image()));
+        List<Room> machines = new ArrayList<>();
+        lease.resources().forEach((machine, leased) -> machines.add(leasedMachine(machine, leased, images)));
+        return machines;
+    }
+
+    private static Room leasedMachine(Machine machine, Resources leased, Set<String> images) {
+        return new Room(
+                machine.name(),
+                machine.type(),
+                machine.zone(),
+                machine.spot(),
+                leased.cores(),
+                leased.gpus(),
+                leased.ram(),
+                images.stream().filter(machine.images()::contains).toList());
+    }
+
+    private List<Want> tasks(ResourceLease lease) {
+        List<Want> wants = new ArrayList<>();
+        lease.tasks().forEach((job, tasks) -> wants.add(tasks(lease, job, tasks)));
+        return wants;
+    }
+
+    private Want tasks(ResourceLease lease, Job job, BitSet tasks) {
+        JobSpec spec = job.spec();
+        String zone = spec.oneZone() ? lease.machines().iterator().next().zone() : spec.zone();
+        return new Want(
+                spec.id(),
+                spec.demand().cores(),
+                spec.demand().gpus(),
+                spec.demand().ram(),
+                spec.image(),
+                spec.types(),
+                zone,
+                spec.spot(),
+                remainingByZone(spec),
+                tasks.stream().boxed().toList());
+    }
+
+    /** How many more tasks of a spread job each zone takes; empty if the job need not be spread. */
+    private Map<String, Integer> remainingByZone(JobSpec spec) {
+        Map<String, Integer> remaining = new HashMap<>();
+        if (spec.spread()) {
+            Map<String, Integer> placed = context.cluster().tasksByZone(spec.id());
+            for (String zone : context.deployment().zones()) {
+                remaining.put(zone, spec.zoneLimit() - placed.getOrDefault(zone, 0));
+            }
+        }
+        return remaining;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -0,0 +1,128 @@
+package notchpick.coordination.leader.allocation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Tuning;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.ClusterState;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.scheduling.JobOrder;
+import notchpick.scheduling.JobOrder.Waiting;
+import notchpick.scheduling.PlacementIndex;
+import notchpick.scheduling.Resources;
+
+/** Allocates resources to teams by Stateful Dominant Resource Fairness, with quotas, urgency and preemption. */
+public final class ResourceAllocator {
+    private static final double MS_PER_S = 1000;
+
+    private final TermContext context;
+    private final Deployment deployment;
+    private final ClusterState cluster;
+    private final ResourceLeases leases;
+    private final CommitmentTracker commitments;
+    private final NodeSelector nodes;
+    private final PreemptionPlanner preemption;
+    private final double maxSkippedMs;
+
+    public ResourceAllocator(TermContext context, Tuning tuning, ResourceLeases leases) {
+        this.context = context;
+        this.deployment = context.deployment();
+        this.cluster = context.cluster();
+        this.leases = leases;
+        this.commitments = new CommitmentTracker(context, tuning.commitmentDecayS());
+        this.nodes = new NodeSelector(context);
+        this.preemption = new PreemptionPlanner(context);
+        this.maxSkippedMs = tuning.maxSkippedS() * MS_PER_S;
+    }
+
+    /** The decayed overuse of each team. */
+    public Map<String, Resources> commitments() {
+        return commitments.all();
+    }
+
+    /** Takes in the commitments that a former leader saved. */
+    public void loadCommitments(Map<String, Resources> saved) {
+        commitments.load(saved);
+    }
+
+    /** Runs one allocation round. */
+    public void runRound() {
+        long now = context.now();
+        Resources capacity = cluster.capacity();
+        Map<String, List<Job>> waiting = new HashMap<>();
+        Set<String> activeTeams = new HashSet<>();
+        for (Job job : cluster.jobs()) {
+            if (job.isBlocked()) {
+                continue;
+            }
+            String team = job.spec().team();
+            activeTeams.add(team);
+            if (job.isWaiting() && !job.isBackingOff(now)) {
+                waiting.computeIfAbsent(team, t -> new ArrayList<>()).add(job);
+            }
+        }
+        commitments.update(activeTeams, capacity);
+        waiting.keySet().removeIf(leases::isLeasedTo);
+        if (waiting.isEmpty()) {
+            return;
+        }
+        List<Machine> schedulable = schedulableMachines(now);
+        boolean isPreemptionDue = preemption.isDue(now);
+        if (schedulable.isEmpty() && !isPreemptionDue) {
+            return;
+        }
+        PlacementIndex<Machine> index = new PlacementIndex<>(schedulable);
+        List<TeamTurn> turns = new ArrayList<>();
+        waiting.forEach((team, jobs) -> turns.add(turn(team, jobs, capacity, activeTeams.size())));
+        new AllocationRound(context, commitments, nodes, new BackfillReservations(maxSkippedMs), index, capacity)
+                .run(turns);
+        turns.forEach(turn -> leases.grant(turn.lease()));
+        if (isPreemptionDue) {
+            preemption.preemptFor(turns, now);
+        }
+    }
+
+    private List<Machine> schedulableMachines(long now) {
+        List<Machine> schedulable = new ArrayList<>();
+        for (Machine machine : cluster.machines()) {
+            if (machine.room().cores() > Resources.SLACK && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                schedulable.add(machine);
+            }
+        }
+        return schedulable;
+    }
+
+    private TeamTurn turn(String team, List<Job> jobs, Resources capacity, int activeTeams) {
+        List<Waiting<Job>> waiting = new ArrayList<>();
+        for (Job job : jobs) {
+            double runS = context.runtimes().runS(job.spec());
+            double remainingS =
+                    job.unfinishedTasks() * runS * job.spec().demand().cores();
+            waiting.add(new Waiting<>(job, job.spec(), remainingS, runS));
+        }
+        List<Job> ordered = new ArrayList<>();
+        double cores = expectedCores(team, capacity, activeTeams);
+        JobOrder.sorted(waiting, context.loop().wallTime(), deployment.objectives(), cores)
+                .forEach(next -> ordered.add(next.job()));
+        return new TeamTurn(team, deployment.quota(team), ordered, leases.open(team), cluster.usage(team));
+    }
+
+    /** About what a team can count on: its guarantee, an equal share, or what it has now. */
+    private double expectedCores(String team, Resources capacity, int activeTeams) {
+        double equalShare = capacity.cores() / Math.max(1, activeTeams);
+        double cores = Math.max(equalShare, cluster.usage(team).cores());
+        Quota quota = deployment.quota(team);
+        if (quota == null) {
+            return cores;
+        }
+        cores = Math.max(cores, quota.guaranteed().cores());
+        return quota.maximum().cores() > 0 ? Math.min(cores, quota.maximum().cores()) : cores;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -0,0 +1,174 @@
+package notchpick.coordination.leader.allocation;
+
+import java.util.HashMap;
+import java.util.Map;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Tuning;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.coordination.membership.PeerMembership;
+import notchpick.model.ClusterState;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+import notchpick.protocol.peer.Grant;
+import notchpick.protocol.peer.Placed;
+import notchpick.protocol.peer.Placements;
+import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Resources;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Leases granted resources to the controllers that place tasks, and takes their placements back. A placement counts
+ * only under a lease that has not expired, from its holder, and only as far as the lease covers it.
+ */
+public final class ResourceLeases {
+    /** Is told what becomes of leased resources. */
+    public interface Listener {
+        /** A task has been placed. */
+        void taskPlaced(TaskAssignment assignment);
+
+        /** Leased resources are free again, or the team takes part in allocation again. */
+        void resourcesReturned();
+    }
+
+    private static final Logger LOG = LoggerFactory.getLogger(ResourceLeases.class);
+    /** Lease numbers carry the term above this many bits, so that they rise over all terms. */
+    private static final int LEASE_BITS = 24;
+
+    private final TermContext context;
+    private final Deployment deployment;
+    private final ClusterState cluster;
+    private final PeerMembership peers;
+    private final Listener listener;
+    private final long leaseMs;
+    private final LeaseHolderSelector holders;
+    private final GrantEncoder encoder;
+    private final Map<Long, ResourceLease> leases = new HashMap<>();
+    private long lastNumber;
+
+    public ResourceLeases(TermContext context, Tuning tuning, PeerMembership peers, Listener listener) {
+        this.context = context;
+        this.deployment = context.deployment();
+        this.cluster = context.cluster();
+        this.peers = peers;
+        this.listener = listener;
+        this.leaseMs = tuning.resourceLeaseMs();
+        this.holders = new LeaseHolderSelector(context, peers::live);
+        this.encoder = new GrantEncoder(context, leaseMs);
+        this.lastNumber = context.number() << LEASE_BITS;
+    }
+
+    /** A lease that covers nothing yet, and is not held before {@link #grant}. */
+    ResourceLease open(String team) {
+        return new ResourceLease(++lastNumber, team, holders.holder(team));
+    }
+
+    boolean isLeasedTo(String team) {
+        return leases.values().stream().anyMatch(lease -> lease.team().equals(team));
+    }
+
+    /** Whether any lease is held. */
+    public boolean isAnyHeld() {
+        return !leases.isEmpty();
+    }
+
+    /** Grants the lease to its holder, unless it covers nothing. */
+    void grant(ResourceLease lease) {
+        if (lease.isEmpty()) {
+            return;
+        }
+        leases.put(lease.number(), lease);
+        Grant grant = encoder.encode(lease);
+        context.timer().after(leaseMs, () -> expire(lease));
+        if (lease.holder().equals(deployment.node())) {
+            placed(TaskPlacer.place(grant, lease.holder()));
+            return;
+        }
+        peers.ask(lease.holder(), grant, leaseMs, reply -> {
+            if (reply instanceof Placements placements) {
+                context.timer().after(0, () -> placed(placements));
+            }
+        });
+    }
+
+    /** The holder has not answered in time: for a while, others place the tasks of its teams. */
+    private void expire(ResourceLease lease) {
+        if (leases.containsKey(lease.number())) {
+            LOG.info(
+                    "resource lease expired: lease={} team={} holder={}", lease.number(), lease.team(), lease.holder());
+            holders.leaseExpired(lease.holder());
+            end(lease);
+            listener.resourcesReturned();
+        }
+    }
+
+    private void end(ResourceLease lease) {
+        leases.remove(lease.number());
+        lease.returnAll();
+    }
+
+    /** Takes what a holder has placed, as far as its lease is current and covers it. */
+    void placed(Placements placements) {
+        ResourceLease lease = leases.get(placements.getLease());
+        if (lease == null
+                || placements.getTerm() != context.number()
+                || !lease.holder().equals(placements.getNode())) {
+            LOG.info(
+                    "placements refused: lease={} holder={} term={} reason=\"no such lease\"",
+                    placements.getLease(),
+                    placements.getNode(),
+                    placements.getTerm());
+            return;
+        }
+        end(lease);
+        int accepted = accept(lease, placements);
+        int refused = placements.getPlaced().size() - accepted;
+        if (refused > 0) {
+            LOG.info("placements refused: lease={} count={} accepted={}", lease.number(), refused, accepted);
+        }
+        // A team whose lease is held elsewhere takes no part in rounds; and what was not placed is free again.
+        if (!lease.holder().equals(deployment.node()) || accepted < lease.taskCount()) {
+            listener.resourcesReturned();
+        }
+    }
+
+    private int accept(ResourceLease lease, Placements placements) {
+        Map<Machine, Resources> remaining = new HashMap<>(lease.resources());
+        long now = context.now();
+        int accepted = 0;
+        for (Placed placed : placements.getPlaced()) {
+            Job job = cluster.job(placed.getJob());
+            Machine machine = cluster.machine(placed.getMachine());
+            int task = placed.getTask();
+            if (job == null
+                    || machine == null
+                    || !lease.covers(job, task)
+                    || !remaining.containsKey(machine)
+                    || !job.isTaskPending(task)
+                    || !job.spec().demand().fitsIn(remaining.get(machine))
+                    || !isAdmissible(job, machine, now)) {
+                continue;
+            }
+            remaining.merge(machine, job.spec().demand(), Resources::minus);
+            listener.taskPlaced(
+                    cluster.assign(job.spec(), task, machine, lease.number(), TaskAssignment.Phase.PLANNED));
+            accepted++;
+        }
+        return accepted;
+    }
+
+    /** Checks all that the rules ask of a launch, at the moment of the decision. */
+    private boolean isAdmissible(Job job, Machine machine, long now) {
+        JobSpec spec = job.spec();
+        Quota quota = deployment.quota(spec.team());
+        return !job.isBlocked()
+                && machine.isSchedulable(now, context.heartbeatPeriodMs())
+                && spec.demand().fitsIn(machine.room())
+                && spec.allows(machine.type(), machine.zone(), machine.spot())
+                && (!spec.isConstrained() || spec.allowsAmongFellows(machine.zone(), cluster.tasksByZone(spec.id())))
+                && quota != null
+                && quota.allows(cluster.usage(spec.team()).plus(spec.demand()));
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -0,0 +1,164 @@
+package notchpick.coordination.leader.jobs;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Set;
+import notchpick.coordination.JobOutcomes;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.ClusterState;
+import notchpick.model.DependencyGraph;
+import notchpick.model.Job;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
+import notchpick.scheduling.CriticalPath;
+import notchpick.scheduling.JobSpec;
+import notchpick.storage.FencedWriter;
+import notchpick.storage.FencedWriter.Prepared;
+import notchpick.storage.FencedWriter.Write;
+import notchpick.storage.Records;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Tracks job dependencies: blocks jobs until all that they depend on is durably done, has dependencies inherit the
+ * priority and deadline of their dependents, and cancels what depends on a cancelled job.
+ */
+final class DependencyTracker {
+    /** Is told what becomes of jobs with dependencies. */
+    interface Listener {
+        /** The dependencies of jobs are satisfied. */
+        void jobsReady();
+
+        /** The cancellation of these jobs, for that of a dependency, is durable. */
+        void cancelledWithDependencies(Collection<String> ids);
+    }
+
+    private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
+    private static final long RETRY_MS = 200;
+    /** Cascading cancellations take this part of a transaction, as users are told of them without it. */
+    private static final int CASCADE_PART = 4;
+
+    private final TermContext context;
+    private final ClusterState cluster;
+    private final FencedWriter writer;
+    private final JobOutcomes outcomes;
+    private final JobTracker.StageEstimator stages;
+    private final Listener listener;
+    private final int maxCascadeJobs;
+    private final DependencyGraph graph;
+    private final CriticalPath criticalPath = new CriticalPath();
+    private boolean resolving;
+
+    DependencyTracker(
+            TermContext context,
+            FencedWriter writer,
+            JobOutcomes outcomes,
+            JobTracker.StageEstimator stages,
+            Listener listener) {
+        this.context = context;
+        this.cluster = context.cluster();
+        this.writer = writer;
+        this.outcomes = outcomes;
+        this.stages = stages;
+        this.listener = listener;
+        this.maxCascadeJobs = Math.max(1, context.deployment().writesAtOnce() / CASCADE_PART);
+        this.graph = new DependencyGraph(cluster::isOpen);
+    }
+
+    /** A job has come; {@link #resolveEnded} follows when all that came with it are known. */
+    void opened(Job job) {
+        JobSpec spec = job.spec();
+        graph.opened(spec.id(), spec.dependencies());
+        job.setBlocked(graph.isBlocked(spec.id()));
+        updatePriorities(criticalPath.add(spec, stages.stageS(spec)));
+    }
+
+    /** A job has ended; {@link #resolveEnded} finds out how, should others depend on it. */
+    void closed(String id) {
+        updatePriorities(criticalPath.remove(id));
+        graph.closed(id);
+    }
+
+    /** It is known, and durable, how a job has ended. */
+    void ended(String id, JobRecord record) {
+        boolean anyReady = false;
+        for (String ready : graph.resolved(id, record)) {
+            Job job = cluster.job(ready);
+            job.setBlocked(false);
+            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAt(ready));
+            cluster.respec(job, job.spec().withReadyAt(readyAt));
+            LOG.info("dependencies satisfied: job={} last={}", ready, id);
+            anyReady = true;
+        }
+        if (anyReady) {
+            listener.jobsReady();
+        }
+        if (record.status() == JobStatus.CANCELLED) {
+            cascade();
+        }
+    }
+
+    /** Reads how the dependencies ended of which it is only known that they are not open any more. */
+    void resolveEnded() {
+        if (resolving || graph.unresolved().isEmpty()) {
+            return;
+        }
+        resolving = true;
+        outcomes.read(
+                Set.copyOf(graph.unresolved()),
+                found -> context.timer().after(0, () -> {
+                    resolving = false;
+                    if (found != null) {
+                        found.forEach(this::ended);
+                    }
+                    if (!graph.unresolved().isEmpty()) {
+                        context.timer().after(RETRY_MS, this::resolveEnded);
+                    }
+                }));
+    }
+
+    private void updatePriorities(Collection<String> changed) {
+        for (String id : changed) {
+            Job job = cluster.job(id);
+            if (job != null) {
+                cluster.respec(job, criticalPath.counting(job.spec()));
+            }
+        }
+    }
+
+    private void cascade() {
+        // What will never run must not raise the priority of its dependencies.
+        graph.doomed().forEach(id -> updatePriorities(criticalPath.remove(id)));
+        if (!graph.doomed().isEmpty()) {
+            writer.write("cascade", this::prepareCascade);
+        }
+    }
+
+    /** A few at a time: that they are cancelled follows from what is stored, so other writes may go first. */
+    private Prepared prepareCascade() {
+        List<String> cancelled = new ArrayList<>();
+        List<Write> writes = new ArrayList<>();
+        for (String id : graph.doomed()) {
+            Job job = cluster.job(id);
+            if (job != null && cancelled.size() < maxCascadeJobs) {
+                cancelled.add(id);
+                JobRecord record =
+                        JobRecord.open(job.spec()).cancelled(context.loop().wallTime());
+                writes.add(Write.put(Records.JOB + id, Records.job(record)).unguarded());
+                writes.add(Write.delete(Records.OPEN + id).at(job.version()));
+            }
+        }
+        if (cancelled.isEmpty()) {
+            return null;
+        }
+        return new Prepared(
+                writes,
+                () -> {
+                    LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
+                    listener.cancelledWithDependencies(cancelled);
+                    cascade();
+                },
+                () -> context.timer().after(RETRY_MS, this::cascade));
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -0,0 +1,75 @@
+package notchpick.coordination.leader.scaling;
+
+import java.util.List;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.ClusterState;
+import notchpick.model.Machine;
+import notchpick.protocol.CloudClient;
+import notchpick.protocol.CloudClient.Listed;
+import notchpick.scheduling.FleetPlanner.Pool;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Lists the rented machines: unknown ones are taken on, failed ones released. */
+final class CloudInventory {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
+    private static final double MS_PER_S = 1000;
+
+    private final TermContext context;
+    private final ClusterState cluster;
+    private final CloudClient cloud;
+    private boolean complete;
+
+    CloudInventory(TermContext context, CloudClient cloud) {
+        this.context = context;
+        this.cluster = context.cluster();
+        this.cloud = cloud;
+    }
+
+    /** Whether the whole list has been read during this term. */
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Reads the whole list. */
+    void refresh() {
+        readPage(null);
+    }
+
+    private void readPage(String after) {
+        cloud.list(
+                after,
+                page -> context.timer().after(0, () -> {
+                    if (page == null) {
+                        return;
+                    }
+                    List<Listed> machines = page.machines();
+                    machines.forEach(this::listed);
+                    if (page.more() && !machines.isEmpty()) {
+                        readPage(machines.get(machines.size() - 1).machine());
+                    } else {
+                        complete = true;
+                    }
+                }));
+    }
+
+    private void listed(Listed listed) {
+        if (cluster.isRemoved(listed.machine())) {
+            return;
+        }
+        Machine machine = cluster.machineOrAdd(listed.machine(), name -> unknownMachine(listed));
+        if (listed.state() == CloudClient.ListedState.FAILED && machine.state() != Machine.State.RELEASED) {
+            LOG.warn("machine failed: machine={} type={} zone={}", machine.name(), machine.type(), machine.zone());
+            machine.release();
+        }
+    }
+
+    private Machine unknownMachine(Listed listed) {
+        long now = context.now();
+        Pool pool = new Pool(listed.type(), listed.zone(), listed.spot());
+        Machine machine =
+                new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
+        machine.setProvisionedAt(now - (long) (listed.ageS() * MS_PER_S));
+        return machine;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -0,0 +1,107 @@
+package notchpick.coordination.leader.scaling;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.Machine;
+import notchpick.protocol.CloudClient;
+import notchpick.protocol.CloudClient.Rented;
+import notchpick.scheduling.FleetPlanner.Pool;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Scales out: rents machines from the cloud, one request at a time for each pool. */
+final class MachineRenter {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
+    private static final int MAX_TRIES = 3;
+    private static final long RETRY_MS = 1000;
+    private static final double MS_PER_S = 1000;
+    /** A pool that has been refused is not asked for again for this part of its boot time. */
+    private static final double REFUSAL_BOOT_RATIO = 0.7;
+
+    private final TermContext context;
+    private final CloudClient cloud;
+    private final Runnable refused;
+    private final String requestPrefix;
+    private final Map<Pool, Long> refusedUntil = new HashMap<>();
+    private final Set<Pool> requested = new HashSet<>();
+    private long lastRequest;
+
+    /** @param refused is run when the cloud has given less than was asked for */
+    MachineRenter(TermContext context, CloudClient cloud, Runnable refused) {
+        this.context = context;
+        this.cloud = cloud;
+        this.refused = refused;
+        // The term belongs to one controller and one of its incarnations, so the names are never used again.
+        this.requestPrefix = context.deployment().node() + "-" + context.number() + "-";
+    }
+
+    /** Whether the cloud has lately given less of the pool than was asked for. */
+    boolean wasRefused(Pool pool) {
+        return refusedUntil.getOrDefault(pool, 0L) > context.now();
+    }
+
+    /** Rents machines of the pool, unless a request for it is still open. */
+    void rent(Pool pool, int count) {
+        if (requested.add(pool)) {
+            rentNext(pool, count);
+        }
+    }
+
+    private void rentNext(Pool pool, int count) {
+        rent(requestPrefix + ++lastRequest, pool, count, MAX_TRIES);
+    }
+
+    private void rent(String request, Pool pool, int count, int tries) {
+        int batch = Math.min(count, CloudClient.MAX_RENT);
+        cloud.rent(
+                request,
+                pool.type(),
+                pool.zone(),
+                pool.spot(),
+                batch,
+                result -> context.timer().after(0, () -> {
+                    if (result != null) {
+                        rented(pool, count, batch, result);
+                    } else if (tries > 1) {
+                        // Idempotent by the same name: if the first request did rent, this tells what.
+                        context.timer().after(RETRY_MS, () -> rent(request, pool, count, tries - 1));
+                    } else {
+                        requested.remove(pool);
+                    }
+                }));
+    }
+
+    private void rented(Pool pool, int count, int batch, Rented result) {
+        long now = context.now();
+        LOG.info(
+                "machines rented: count={} requested={} type={} zone={} spot={}",
+                result.machines().size(),
+                batch,
+                pool.type(),
+                pool.zone(),
+                pool.spot());
+        for (String name : result.machines()) {
+            context.cluster()
+                    .machineOrAdd(
+                            name,
+                            n -> new Machine(n, pool, context.machineTypes().size(pool.type()), now));
+        }
+        if (result.refused() || result.machines().size() < batch) {
+            double bootMs = context.machineTypes().bootMs(pool.type());
+            refusedUntil.put(pool, now + (long) (bootMs * REFUSAL_BOOT_RATIO));
+            requested.remove(pool);
+            // What the cloud does not give is to be had elsewhere, and boots no sooner for waiting.
+            refused.run();
+        } else if (count > batch) {
+            // All pools together stay within the rate that the cloud takes.
+            long delayMs =
+                    (long) (MS_PER_S * requested.size() / context.deployment().cloudRps());
+            context.timer().after(delayMs, () -> rentNext(pool, count - batch));
+        } else {
+            requested.remove(pool);
+        }
+    }
+}
--- a/src/main/java/notchpick/coordination/leading/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -1,4 +1,4 @@
-package notchpick.coordination.leading;
+package notchpick.coordination.leader.scaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,37 +7,35 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.ToDoubleFunction;
-import notchpick.bookkeeping.ClusterState;
-import notchpick.bookkeeping.Machine;
-import notchpick.bookkeeping.Machine.Life;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.model.ClusterState;
+import notchpick.model.Machine;
+import notchpick.model.MachineTypeCatalog;
+import notchpick.scheduling.FleetPlanner.Pool;
 
 /**
- * Tells a machine that never comes up from an hour in which all come late. The first is given up and
- * replaced; to do so with the others would be a treadmill: each is paid for and given up shortly before
- * it would have come, and nothing ever comes up.
+ * Distinguishes a machine that never comes up from a time in which all come up late. The first is given up and
+ * replaced. Doing so with the others would be in vain: each would be paid for and given up shortly before it comes up.
  */
 final class ProvisioningMonitor {
     /** A machine that comes at all is usually up after 1.5 boot times. */
-    private static final double OVERDUE_BOOTS = 2.5;
+    private static final double OVERDUE_BOOT_TIMES = 2.5;
 
-    private static final int OVERDUE_REPORTS = 3;
+    private static final int OVERDUE_HEARTBEAT_PERIODS = 3;
     /** While all are late, this part of a pool is replaced at a time: should none of them ever come, these will. */
-    private static final double REPLACED_PART = 0.25;
+    private static final double REPLACED_RATIO = 0.25;
 
     private final ClusterState cluster;
-    private final ToDoubleFunction<String> nominalMs;
-    private final double reportMs;
+    private final MachineTypeCatalog types;
+    private final long heartbeatPeriodMs;
     private final Map<Pool, Long> replacedAt = new HashMap<>();
     /** Pools in which all are late, with the age of the oldest that is awaited. */
     private final Map<Pool, Long> late = new HashMap<>();
 
-    /** @param nominalMs how long machines of a type usually take to boot */
-    ProvisioningMonitor(ClusterState cluster, ToDoubleFunction<String> nominalMs, double reportMs) {
-        this.cluster = cluster;
-        this.nominalMs = nominalMs;
-        this.reportMs = reportMs;
+    ProvisioningMonitor(TermContext context) {
+        this.cluster = context.cluster();
+        this.types = context.machineTypes();
+        this.heartbeatPeriodMs = context.heartbeatPeriodMs();
     }
 
     /** Whether all that is awaited from there is late; another pool may be sound. */
@@ -46,13 +44,13 @@
     }
 
     /** Whether what is returned now could not soon be had again. */
-    boolean areLate() {
+    boolean isAnyLate() {
         return !late.isEmpty();
     }
 
     /** How long a machine of the type takes to come up at present, as far as that is known. */
-    double expectedMs(String type) {
-        double expected = nominalMs.applyAsDouble(type);
+    double expectedBootMs(String type) {
+        double expected = types.bootMs(type);
         for (Map.Entry<Pool, Long> entry : late.entrySet()) {
             if (entry.getKey().type().equals(type)) {
                 expected = Math.max(expected, entry.getValue());
@@ -65,11 +63,13 @@
     Set<Machine> review(long now) {
         late.clear();
         Map<Pool, List<Machine>> overdue = new HashMap<>();
-        for (Machine machine : cluster.machines.values()) {
-            if (machine.life == Life.BOOTING
-                    && now - machine.knownSince
-                            > OVERDUE_BOOTS * nominalMs.applyAsDouble(machine.type()) + OVERDUE_REPORTS * reportMs) {
-                overdue.computeIfAbsent(machine.pool, pool -> new ArrayList<>()).add(machine);
+        for (Machine machine : cluster.machines()) {
+            if (machine.state() == Machine.State.PROVISIONING
+                    && now - machine.provisionedAt()
+                            > OVERDUE_BOOT_TIMES * types.bootMs(machine.type())
+                                    + OVERDUE_HEARTBEAT_PERIODS * heartbeatPeriodMs) {
+                overdue.computeIfAbsent(machine.pool(), pool -> new ArrayList<>())
+                        .add(machine);
             }
         }
         Set<Machine> givenUp = new HashSet<>();
@@ -84,12 +84,12 @@
             (othersCame(machine, overdue) ? faulty : awaited).add(machine);
         }
         if (!awaited.isEmpty()) {
-            awaited.sort(Comparator.comparingLong(machine -> machine.knownSince));
-            late.put(pool, now - awaited.get(0).knownSince);
+            awaited.sort(Comparator.comparingLong(machine -> machine.provisionedAt()));
+            late.put(pool, now - awaited.get(0).provisionedAt());
             Long last = replacedAt.get(pool);
-            if (last == null || now - last >= OVERDUE_BOOTS * nominalMs.applyAsDouble(pool.type())) {
+            if (last == null || now - last >= OVERDUE_BOOT_TIMES * types.bootMs(pool.type())) {
                 replacedAt.put(pool, now);
-                faulty.addAll(awaited.subList(0, (int) Math.ceil(awaited.size() * REPLACED_PART)));
+                faulty.addAll(awaited.subList(0, (int) Math.ceil(awaited.size() * REPLACED_RATIO)));
             }
         }
         return faulty;
@@ -98,13 +98,12 @@
     /** Whether of its pool as many as are overdue came up that were rented with it, or any that was much later. */
     private boolean othersCame(Machine machine, List<Machine> overdue) {
         int came = 0;
-        for (Machine other : cluster.machines.values()) {
-            boolean isUp = other.life == Life.UP || other.life == Life.LEAVING;
-            if (isUp && other.pool.equals(machine.pool)) {
-                if (other.knownSince - machine.knownSince > nominalMs.applyAsDouble(machine.type())) {
+        for (Machine other : cluster.machines()) {
+            if (other.isInService() && other.pool().equals(machine.pool())) {
+                if (other.provisionedAt() - machine.provisionedAt() > types.bootMs(machine.type())) {
                     return true;
                 }
-                came += other.knownSince >= machine.knownSince - reportMs ? 1 : 0;
+                came += other.provisionedAt() >= machine.provisionedAt() - heartbeatPeriodMs ? 1 : 0;
             }
         }
         return came >= overdue.size();
--- a/src/main/java/notchpick/coordination/membership/ElectionPriority.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionPriority.java
@@ -8,14 +8,18 @@
     /** A leader that relies on others for so many worker leases lets one lead that need not. */
     public static final int LEANING_LEASES = 2;
 
-    private final Links links;
-    private final Peers peers;
-    private final FailoverStateTransport routes;
+    private final LinkMonitor links;
+    private final PeerMembership peers;
+    private final FailoverStateStoreTransport routes;
     private final long reportMs;
     private final long leaderLeaseMs;
 
     public ElectionPriority(
-            Links links, Peers peers, FailoverStateTransport routes, long reportMs, long leaderLeaseMs) {
+            LinkMonitor links,
+            PeerMembership peers,
+            FailoverStateStoreTransport routes,
+            long reportMs,
+            long leaderLeaseMs) {
         this.links = links;
         this.peers = peers;
         this.routes = routes;
--- a/src/main/java/notchpick/coordination/membership/FailoverStateTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -7,15 +7,15 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import notchpick.protocol.PeerWire;
-import notchpick.protocol.StateTransport;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.StateStoreTransport;
 import notchpick.protocol.peer.Outcome;
 import notchpick.protocol.peer.StateCall;
 import notchpick.transport.Actor;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /**
  * Sends requests to the state service by this controller's own link, and by way of a peer when that one is cut or
@@ -23,7 +23,7 @@
  * once. One that stays silent may have been: it is given up as lost as soon as a hasty request, which may be sent
  * twice, has come back by another way. Whoever sent it bears that it is carried out late, as always.
  */
-public final class FailoverStateTransport extends Actor<Void> implements StateTransport {
+public final class FailoverStateStoreTransport extends Actor<Void> implements StateStoreTransport {
     private static final int TURNED_AWAY = 503;
     /** A hasty request that is silent for so long, as a part of the leader's lease, is sent by another way as well. */
     private static final double HEDGE_RATIO = 0.08;
@@ -34,11 +34,11 @@
 
     /** One request until its sender has been answered. */
     private static final class Sent {
-        private final Call call;
+        private final Request call;
         private final long at;
         private final long until;
         private final boolean hasty;
-        private final Consumer<Answer> then;
+        private final Consumer<Response> then;
         /** The peers it has gone by. */
         private final Set<String> tried = new HashSet<>();
         /** The way it has gone by last: a peer, or null for the own link. */
@@ -49,7 +49,7 @@
         private boolean peerAnswered;
         private boolean over;
 
-        Sent(Call call, long at, long timeoutMs, boolean hasty, Consumer<Answer> then) {
+        Sent(Request call, long at, long timeoutMs, boolean hasty, Consumer<Response> then) {
             this.call = call;
             this.at = at;
             this.until = at + timeoutMs;
@@ -58,9 +58,9 @@
         }
     }
 
-    private final Caller caller;
-    private final Links links;
-    private final Peers peers;
+    private final HttpCaller caller;
+    private final LinkMonitor links;
+    private final PeerMembership peers;
     private final long hedgeMs;
     private final long backOffMs;
     private final long settleMs;
@@ -76,7 +76,8 @@
 
     private long noPeerUntil = Long.MIN_VALUE;
 
-    public FailoverStateTransport(EventLoop loop, Caller caller, Links links, Peers peers, long leaderLeaseMs) {
+    public FailoverStateStoreTransport(
+            EventLoop loop, HttpCaller caller, LinkMonitor links, PeerMembership peers, long leaderLeaseMs) {
         super(loop);
         this.caller = caller;
         this.links = links;
@@ -97,15 +98,15 @@
     }
 
     /** How long requests have gone by a peer; 0: they don't. */
-    public long detourMs() {
+    public long relayedForMs() {
         return by == null ? 0 : loop.now() - bySince;
     }
 
     @Override
-    public void sendHere(Call call, long timeoutMs, Consumer<Answer> then) {
+    public void sendHere(Request call, long timeoutMs, Consumer<Response> then) {
         if (by != null) {
             // Whoever asks must look for another: one hop is all there is.
-            then.accept(new Answer(TURNED_AWAY, new byte[0]));
+            then.accept(new Response(TURNED_AWAY, new byte[0]));
             return;
         }
         long sentAt = loop.now();
@@ -116,7 +117,7 @@
     }
 
     @Override
-    public void send(Call call, long timeoutMs, boolean hasty, Consumer<Answer> then) {
+    public void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then) {
         Sent sent = new Sent(call, loop.now(), timeoutMs, hasty, then);
         open.add(sent);
         if (by == null) {
@@ -133,7 +134,7 @@
         }
     }
 
-    private void end(Sent sent, Answer answer) {
+    private void end(Sent sent, Response answer) {
         if (!sent.over) {
             sent.over = true;
             open.remove(sent);
@@ -142,7 +143,7 @@
     }
 
     /** One copy has come to nothing; the last of them is the request's end, unless there is another way. */
-    private void failed(Sent sent, Answer answer) {
+    private void failed(Sent sent, Response answer) {
         sent.out--;
         boolean mayGoAgain = sent.hasty || answer.isUnsent() || answer.status() == TURNED_AWAY;
         if (!sent.over && !(mayGoAgain && detour(sent)) && sent.out == 0) {
@@ -150,7 +151,7 @@
         }
     }
 
-    private static boolean isServed(Answer answer) {
+    private static boolean isServed(Response answer) {
         return !answer.isNone() && answer.status() != TURNED_AWAY;
     }
 
@@ -218,9 +219,9 @@
     }
 
     private void answered(String node, Sent sent, Object reply) {
-        Answer answer = reply instanceof Outcome outcome
-                ? new Answer(outcome.getStatus(), PeerWire.content(outcome.getContent()))
-                : Answer.NONE;
+        Response answer = reply instanceof Outcome outcome
+                ? new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent()))
+                : Response.NONE;
         if (isServed(answer)) {
             sent.peerAnswered = true;
             boolean first = !sent.over;
@@ -249,7 +250,7 @@
         answersSince = 0;
         for (Sent sent : List.copyOf(open)) {
             if (!Objects.equals(sent.by, to) && !sent.hasty) {
-                end(sent, Answer.NONE);
+                end(sent, Response.NONE);
             }
         }
     }
--- a/src/main/java/notchpick/coordination/membership/ReportRoutes.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -11,20 +11,20 @@
 import java.util.Queue;
 import java.util.function.Consumer;
 import notchpick.coordination.Deployment;
-import notchpick.protocol.InvalidMessage;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
-import notchpick.protocol.PeerWire;
-import notchpick.protocol.UserWire;
-import notchpick.protocol.WorkerWire;
-import notchpick.protocol.WorkerWire.Report;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.UserProtocol;
+import notchpick.protocol.WorkerProtocol;
+import notchpick.protocol.WorkerProtocol.Heartbeat;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.Outcome;
 import notchpick.protocol.peer.Outcomes;
 import notchpick.protocol.peer.ReportBatch;
 import notchpick.transport.Actor;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /**
  * Where a controller that does not lead sends the workers that come to it. As long as a worker can be expected to
@@ -32,7 +32,7 @@
  * passed on to the leader, and the leader's answer back, within the time that the worker waits. A report goes over
  * one controller at the most.
  */
-public final class ReportRoutes extends Actor<ReportRoutes.Message> {
+public final class HeartbeatRouter extends Actor<HeartbeatRouter.Message> {
     /** What this actor is told. */
     public sealed interface Message {}
 
@@ -40,10 +40,10 @@
     public record Begin() implements Message {}
 
     /** A worker's report, and when it came. */
-    public record Came(Call call, Consumer<Answer> reply, long at) implements Message {}
+    public record Came(Request call, Consumer<Response> reply, long at) implements Message {}
 
     private static final int TURNED_AWAY = 503;
-    private static final Answer TRY_ANOTHER = new Answer(TURNED_AWAY, new byte[0]);
+    private static final Response TRY_ANOTHER = new Response(TURNED_AWAY, new byte[0]);
     /** So many reports wait to be passed on; one more takes the place of the oldest. */
     private static final int MOST_WAITING = 1000;
 
@@ -81,9 +81,9 @@
     private record Waiting(Came came, Visit visit) {}
 
     private final Deployment deployment;
-    private final Elector elector;
-    private final Peers peers;
-    private final Links links;
+    private final LeaderElection elector;
+    private final PeerMembership peers;
+    private final LinkMonitor links;
     private final long reportMs;
     private final long leaseMs;
     private final long batchMs;
@@ -101,14 +101,15 @@
     /** How many it passed on in the last whole report period. */
     private long passedLately;
 
-    public ReportRoutes(EventLoop loop, Deployment deployment, Elector elector, Peers peers, Links links) {
+    public HeartbeatRouter(
+            EventLoop loop, Deployment deployment, LeaderElection elector, PeerMembership peers, LinkMonitor links) {
         super(loop);
         this.deployment = deployment;
         this.elector = elector;
         this.peers = peers;
         this.links = links;
-        this.reportMs = (long) (deployment.reportS() * 1000);
-        this.leaseMs = (long) (deployment.workerLeaseS() * 1000);
+        this.reportMs = deployment.heartbeatPeriodMs();
+        this.leaseMs = deployment.workerLeaseMs();
         this.batchMs = (long) (reportMs * BATCH_RATIO);
     }
 
@@ -123,9 +124,9 @@
             every(reportMs, this::forget);
         } else if (message instanceof Came came) {
             try {
-                route(came, WorkerWire.report(Json.object(came.call().body())));
-            } catch (InvalidMessage e) {
-                came.reply().accept(new Answer(400, Json.bytes(UserWire.error(e.getMessage()))));
+                route(came, WorkerProtocol.heartbeat(Json.object(came.call().body())));
+            } catch (InvalidMessageException e) {
+                came.reply().accept(new Response(400, Json.bytes(UserProtocol.error(e.getMessage()))));
             }
         }
     }
@@ -148,7 +149,7 @@
         passed = 0;
     }
 
-    private void route(Came came, Report report) {
+    private void route(Came came, Heartbeat report) {
         String leader = elector.leader();
         long term = elector.term();
         if (leader == null || leader.equals(deployment.node())) {
@@ -168,7 +169,7 @@
         visit.sequence = report.sequence();
         boolean cameBack = isRecent(visit.sentHomeAt, leaseMs);
         // Who knows this term's token was answered by its leader, and leaves it only when that fails.
-        if (report.token() < term && !cameBack && !isGuest(visit)) {
+        if (report.fencingToken() < term && !cameBack && !isGuest(visit)) {
             sendHome(came, visit, leader);
             return;
         }
@@ -216,7 +217,7 @@
     }
 
     private static void redirect(Came came, String to) {
-        came.reply().accept(new Answer(421, Json.bytes(WorkerWire.redirect(to))));
+        came.reply().accept(new Response(421, Json.bytes(WorkerProtocol.redirect(to))));
     }
 
     /** Whether a peer says that workers of this zone have lately got answers from it. */
@@ -235,7 +236,7 @@
     }
 
     /** Who passes this worker's reports on, by its name, so that they share the work; null: nobody here knows a way. */
-    private static String keeper(Report report, List<String> able) {
+    private static String keeper(Heartbeat report, List<String> able) {
         return able.isEmpty() ? null : able.get(Math.floorMod(report.machine().hashCode(), able.size()));
     }
 
@@ -244,7 +245,7 @@
      * to come to it. When there is much to pass on, now and then one that would be its to keep goes and sees; if it
      * gets through, others follow. Null: nobody is to be tried now.
      */
-    private String helper(String leader, Report report, List<String> able, Visit visit) {
+    private String helper(String leader, Heartbeat report, List<String> able, Visit visit) {
         if (passedLately < BATCH || able.isEmpty() || isRecent(visit.sentOnAt, leaseMs)) {
             return null;
         }
@@ -306,11 +307,11 @@
         while (!waiting.isEmpty() && batchesOut < MOST_BATCHES) {
             List<Waiting> batch = new ArrayList<>();
             int bytes = 0;
-            long restMs = WorkerWire.PATIENCE_MS;
+            long restMs = WorkerProtocol.PATIENCE_MS;
             while (!waiting.isEmpty() && batch.size() < BATCH && bytes < BATCH_BYTES) {
                 Waiting next = waiting.poll();
-                long left = (long) (next.came().at() + WorkerWire.PATIENCE_MS * (1 - REPLY_RATIO) - loop.now());
-                if (left < WorkerWire.PATIENCE_MS / 4 || leader == null || !peers.canPass(leader)) {
+                long left = (long) (next.came().at() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_RATIO) - loop.now());
+                if (left < WorkerProtocol.PATIENCE_MS / 4 || leader == null || !peers.canPass(leader)) {
                     // It could not be answered in time; the next controller may do better.
                     next.came().reply().accept(TRY_ANOTHER);
                 } else {
@@ -352,6 +353,6 @@
         if (outcome.getStatus() == 200) {
             one.visit().passedAt = loop.now();
         }
-        one.came().reply().accept(new Answer(outcome.getStatus(), PeerWire.content(outcome.getContent())));
+        one.came().reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/Elector.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -2,16 +2,16 @@
 
 import java.util.Random;
 import java.util.function.LongSupplier;
-import notchpick.bookkeeping.Records;
 import notchpick.coordination.Deployment;
 import notchpick.protocol.Json;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Changes;
-import notchpick.protocol.StateApi.Conflict;
-import notchpick.protocol.StateApi.Entry;
-import notchpick.protocol.StateApi.Missing;
-import notchpick.protocol.StateApi.Ok;
-import notchpick.protocol.StateApi.Transaction;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Changes;
+import notchpick.protocol.StateStoreClient.Conflict;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.storage.Records;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
@@ -19,7 +19,7 @@
  * Stands for leadership and keeps it. The leadership key hangs on a lease of the state service; the
  * term rises with every election in the same transaction.
  */
-public final class Elector extends Actor<Elector.Message> {
+public final class LeaderElection extends Actor<LeaderElection.Message> {
     /** What the elector is told. */
     public sealed interface Message {}
 
@@ -27,17 +27,20 @@
     public record Begin() implements Message {}
 
     /** The leader can't do its work, or must not go on; somebody else should lead. */
-    public record GiveWay(String why) implements Message {}
+    public record StepDown(String why) implements Message {}
 
     /** Some controller knows of this term. */
     public record TermSeen(long term, String leader) implements Message {}
 
     /** What the elector tells. */
     public interface Listener {
-        void elected(long term, long version, long claimUntil);
+        /** This controller leads from now on. */
+        void elected(ElectedTerm term);
 
-        void claimRenewed(long claimUntil);
+        /** The leader lease is surely held until then. */
+        void leaseRenewed(long leaseUntilMs);
 
+        /** This controller does not lead any more. */
         void deposed();
     }
 
@@ -45,7 +48,7 @@
     private static final int CROWD_PART = 4;
 
     private final String node;
-    private final StateApi state;
+    private final StateStoreClient state;
     private final Random random;
     private final Listener listener;
     private final long leaseMs;
@@ -66,10 +69,10 @@
     private long looks;
 
     /** @param handicapMs how long to leave the field to those that are better connected */
-    public Elector(
+    public LeaderElection(
             EventLoop loop,
             String node,
-            StateApi state,
+            StateStoreClient state,
             Random random,
             long leaseMs,
             LongSupplier handicapMs,
@@ -102,9 +105,9 @@
     protected void receive(Message message) {
         if (message instanceof Begin) {
             look();
-        } else if (message instanceof GiveWay giveWay) {
+        } else if (message instanceof StepDown stepDown) {
             if (leading) {
-                log.info("gives way: {}", giveWay.why());
+                log.info("gives way: {}", stepDown.why());
                 standAsideUntil = loop.now() + 4 * leaseMs;
                 resign();
             }
@@ -248,7 +251,8 @@
                     term = newTerm;
                     leader = node;
                     log.info("leads term {}", term);
-                    listener.elected(term, version.value(), sentAt + Deployment.surelyHeldMs(leaseMs));
+                    listener.elected(
+                            new ElectedTerm(term, version.value(), sentAt + Deployment.leaseSafelyHeldMs(leaseMs)));
                     renewLater(tenure);
                 } else {
                     // Without an answer the key may appear yet; then it goes with this lease.
@@ -277,7 +281,7 @@
                 return;
             }
             if (result instanceof Ok<Boolean>) {
-                listener.claimRenewed(sentAt + Deployment.surelyHeldMs(leaseMs));
+                listener.leaseRenewed(sentAt + Deployment.leaseSafelyHeldMs(leaseMs));
             } else if (result instanceof Missing<Boolean>) {
                 log.info("lost the lease of term {}", term);
                 leading = false;
--- a/src/main/java/notchpick/coordination/membership/Link.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -1,9 +1,9 @@
 package notchpick.coordination.membership;
 
-import notchpick.transport.Caller.Answer;
+import notchpick.transport.HttpCaller.Response;
 
 /** One link of this controller, judged by the traffic that flows over it anyway. */
-final class Link {
+final class LinkHealth {
     /** The words of the wire, but not its classes: these are made from a schema, which a start can't wait for. */
     enum Condition {
         UNKNOWN,
@@ -27,12 +27,12 @@
     private double perS;
 
     /** @param periodMs what the rate of signs is counted over */
-    Link(long periodMs) {
+    LinkHealth(long periodMs) {
         this.periodMs = periodMs;
     }
 
     /** A call over this link came to an end. */
-    void ended(Answer answer, long sentAt, long now) {
+    void ended(Response answer, long sentAt, long now) {
         if (answer.isUnsent()) {
             condition = Condition.REFUSED;
         } else if (answer.isNone()) {
--- a/src/main/java/notchpick/coordination/membership/Links.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -9,35 +9,35 @@
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.LinkRow;
-import notchpick.transport.Caller.Answer;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Response;
 
 /**
  * The links of this controller, as it sees them itself. These are opinions: they say whom to ask and by which way,
  * never that a task, a room or a term is free.
  */
-public final class Links {
+public final class LinkMonitor {
     private final EventLoop loop;
     private final long periodMs;
-    private final Link state;
-    private final Link users;
-    private final Map<String, Link> peers = new HashMap<>();
+    private final LinkHealth state;
+    private final LinkHealth users;
+    private final Map<String, LinkHealth> peers = new HashMap<>();
     /** Of workers that report here themselves and get the answers, by their zone. */
-    private final Map<String, Link> workers = new TreeMap<>();
+    private final Map<String, LinkHealth> workers = new TreeMap<>();
 
-    public Links(EventLoop loop, Deployment deployment) {
+    public LinkMonitor(EventLoop loop, Deployment deployment) {
         this.loop = loop;
-        this.periodMs = (long) (deployment.reportS() * 1000);
-        this.state = new Link(periodMs);
-        this.users = new Link(periodMs);
-        deployment.peers().forEach(peer -> peers.put(peer.node(), new Link(periodMs)));
+        this.periodMs = deployment.heartbeatPeriodMs();
+        this.state = new LinkHealth(periodMs);
+        this.users = new LinkHealth(periodMs);
+        deployment.peers().forEach(peer -> peers.put(peer.node(), new LinkHealth(periodMs)));
     }
 
-    void stateEnded(Answer answer, long sentAt) {
+    void stateEnded(Response answer, long sentAt) {
         state.ended(answer, sentAt, loop.now());
     }
 
-    void peerEnded(String node, Answer answer, long sentAt) {
+    void peerEnded(String node, Response answer, long sentAt) {
         peers.get(node).ended(answer, sentAt, loop.now());
     }
 
@@ -51,13 +51,13 @@
      * answered. That a report comes in says nothing of the way back.
      */
     public void workerHeard(String zone) {
-        workers.computeIfAbsent(zone, z -> new Link(periodMs)).heard(loop.now());
+        workers.computeIfAbsent(zone, z -> new LinkHealth(periodMs)).heard(loop.now());
     }
 
     /** Whether a peer has answered within this time, and the last call to it was answered too. */
     boolean answers(String node, long withinMs) {
-        Link link = peers.get(node);
-        return link != null && link.condition() == Link.Condition.UP && link.isFresh(loop.now(), withinMs);
+        LinkHealth link = peers.get(node);
+        return link != null && link.condition() == LinkHealth.Condition.UP && link.isFresh(loop.now(), withinMs);
     }
 
     /** Since any worker last got an answer from here; -1: none ever. */
@@ -79,7 +79,7 @@
         return rows;
     }
 
-    private LinkRow row(LinkKind kind, String name, Link link) {
+    private LinkRow row(LinkKind kind, String name, LinkHealth link) {
         long now = loop.now();
         return new LinkRow(
                 kind,
--- a/src/main/java/notchpick/coordination/membership/Peers.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import notchpick.coordination.Deployment;
-import notchpick.protocol.PeerWire;
+import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.LinkRow;
@@ -17,13 +17,13 @@
 import notchpick.protocol.peer.Relay;
 import notchpick.protocol.peer.Relayed;
 import notchpick.transport.Actor;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** Exchanges signs of life with the other controllers and keeps what they last said. */
-public final class Peers extends Actor<Peers.Message> {
+public final class PeerMembership extends Actor<PeerMembership.Message> {
     /** What this actor is told. */
     public sealed interface Message {}
 
@@ -46,10 +46,10 @@
     private static final int PULSES_FOR_LINKS = 4;
 
     private final Deployment deployment;
-    private final Caller caller;
+    private final HttpCaller caller;
     private final Supplier<Pulse> own;
     private final Consumer<Pulse> heard;
-    private final Links links;
+    private final LinkMonitor links;
     private final Supplier<LinkTable> ownLinks;
     private final long periodMs;
     private final Map<String, Told> told = new HashMap<>();
@@ -66,13 +66,13 @@
      * @param heard hears those of others
      * @param ownLinks what this controller tells of its links
      */
-    public Peers(
+    public PeerMembership(
             EventLoop loop,
             Deployment deployment,
-            Caller caller,
+            HttpCaller caller,
             Supplier<Pulse> own,
             Consumer<Pulse> heard,
-            Links links,
+            LinkMonitor links,
             Supplier<LinkTable> ownLinks) {
         super(loop);
         this.deployment = deployment;
@@ -81,7 +81,7 @@
         this.heard = heard;
         this.links = links;
         this.ownLinks = ownLinks;
-        this.periodMs = (long) (deployment.reportS() * 1000 / 4);
+        this.periodMs = deployment.heartbeatPeriodMs() / 4;
     }
 
     @Override
@@ -164,10 +164,10 @@
         long now = loop.now();
         lagMs = pulsedAt == 0 ? 0 : Math.max(0, now - pulsedAt - periodMs);
         pulsedAt = now;
-        byte[] body = PeerWire.bytes(own.get());
+        byte[] body = PeerProtocol.bytes(own.get());
         for (Deployment.Peer peer : deployment.peers()) {
             call(peer.node(), peer.address(), body, 2 * periodMs, here(answer -> {
-                if (answer.status() == 200 && PeerWire.body(answer.body()) instanceof Pulse pulse) {
+                if (answer.status() == 200 && PeerProtocol.body(answer.body()) instanceof Pulse pulse) {
                     hear(pulse);
                 }
             }));
@@ -237,30 +237,30 @@
         call(
                 node,
                 address(node),
-                PeerWire.bytes(message),
+                PeerProtocol.bytes(message),
                 timeoutMs,
-                here(answer -> then.accept(answer.status() == 200 ? PeerWire.body(answer.body()) : null)));
+                here(answer -> then.accept(answer.status() == 200 ? PeerProtocol.body(answer.body()) : null)));
     }
 
-    private void call(String node, String address, byte[] body, long timeoutMs, Consumer<Answer> then) {
+    private void call(String node, String address, byte[] body, long timeoutMs, Consumer<Response> then) {
         long sentAt = loop.now();
-        caller.call(new Call(address, "POST", PeerWire.PATH, body), timeoutMs, answer -> {
+        caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, answer -> {
             links.peerEnded(node, answer, sentAt);
             then.accept(answer);
         });
     }
 
     /** Passes a user's request on to a peer. */
-    public void relay(String node, Call call, long timeoutMs, Consumer<Answer> then) {
+    public void relay(String node, Request call, long timeoutMs, Consumer<Response> then) {
         String content = call.body() == null ? "" : new String(call.body(), java.nio.charset.StandardCharsets.UTF_8);
         ask(node, new Relay(call.method(), call.path(), content), timeoutMs, reply -> {
             if (reply instanceof Relayed relayed) {
-                then.accept(new Answer(
+                then.accept(new Response(
                         relayed.getStatus(),
                         relayed.getContent().getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         relayed.getStatus() == 503 ? 1 : 0));
             } else {
-                then.accept(Answer.NONE);
+                then.accept(Response.NONE);
             }
         });
     }
--- a/src/main/java/notchpick/coordination/users/Prerequisites.java
+++ b/src/main/java/notchpick/coordination/userapi/DependencyValidator.java
@@ -1,19 +1,19 @@
-package notchpick.coordination.users;
+package notchpick.coordination.userapi;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Records.Fate;
-import notchpick.bookkeeping.Records.JobRecord;
 import notchpick.coordination.JobOutcomes;
-import notchpick.coordination.users.OpenJobCache.Told;
+import notchpick.coordination.userapi.OpenJobCache.Told;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
 import notchpick.scheduling.JobSpec;
 
 /** Looks at the jobs that a submission names: each must have been accepted, by whatever controller. */
-final class Prerequisites {
+final class DependencyValidator {
     private final OpenJobCache open;
-    private final JobOutcomes fates;
+    private final JobOutcomes outcomes;
 
     /**
      * What the look came to.
@@ -24,26 +24,26 @@
      */
     record Verdict(boolean readable, String obstacle, boolean doomed) {}
 
-    Prerequisites(OpenJobCache open, JobOutcomes fates) {
+    DependencyValidator(OpenJobCache open, JobOutcomes outcomes) {
         this.open = open;
-        this.fates = fates;
+        this.outcomes = outcomes;
     }
 
     /** Open jobs are looked at first: what is not among them is over, and says so, or there is none. */
     void check(JobSpec spec, Consumer<Verdict> then) {
-        if (spec.needs().isEmpty()) {
+        if (spec.dependencies().isEmpty()) {
             then.accept(new Verdict(true, null, false));
             return;
         }
         List<Told> answers = new ArrayList<>();
         List<String> ended = new ArrayList<>();
-        for (String need : spec.needs()) {
+        for (String need : spec.dependencies()) {
             open.ask(need, told -> {
                 answers.add(told);
                 if (told.known() && told.open() == null) {
                     ended.add(need);
                 }
-                if (answers.size() == spec.needs().size()) {
+                if (answers.size() == spec.dependencies().size()) {
                     ends(answers, ended, then);
                 }
             });
@@ -55,7 +55,7 @@
             then.accept(new Verdict(false, null, false));
             return;
         }
-        fates.read(
+        outcomes.read(
                 ended,
                 found -> then.accept(found == null ? new Verdict(false, null, false) : verdict(answers, ended, found)));
     }
@@ -78,7 +78,7 @@
             if (record.service()) {
                 return new Verdict(true, "it waits on a service, which is never done", false);
             }
-            doomed |= record.fate() == Fate.CANCELLED;
+            doomed |= record.status() == JobStatus.CANCELLED;
         }
         return new Verdict(true, null, doomed);
     }
--- a/src/main/java/notchpick/coordination/users/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -1,4 +1,4 @@
-package notchpick.coordination.users;
+package notchpick.coordination.userapi;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Dependencies;
-import notchpick.bookkeeping.Records;
-import notchpick.bookkeeping.Records.JobRecord;
 import notchpick.coordination.JobOutcomes;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Change;
-import notchpick.protocol.StateApi.Changes;
-import notchpick.protocol.StateApi.Entry;
-import notchpick.protocol.StateApi.Listing;
-import notchpick.protocol.StateApi.Missing;
-import notchpick.protocol.StateApi.Ok;
-import notchpick.protocol.StateApi.Result;
+import notchpick.model.DependencyGraph;
+import notchpick.model.JobRecord;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Change;
+import notchpick.protocol.StateStoreClient.Changes;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Listing;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Result;
 import notchpick.scheduling.JobSpec;
+import notchpick.storage.Records;
 import notchpick.transport.EventLoop;
+import notchpick.transport.Timer;
 
 /**
  * Tells which jobs are open, any number of askers by one request. It keeps a copy, and before it answers
@@ -47,12 +47,12 @@
     private static final double PART_OF_REQUESTS = 0.25;
 
     private final EventLoop loop;
-    private final StateApi state;
-    private final JobOutcomes fates;
-    private final BiConsumer<Long, Runnable> timer;
+    private final StateStoreClient state;
+    private final JobOutcomes outcomes;
+    private final Timer timer;
     private final long gapMs;
     private final Map<String, Open> jobs = new HashMap<>();
-    private final Dependencies dependencies = new Dependencies(jobs::containsKey);
+    private final DependencyGraph dependencies = new DependencyGraph(jobs::containsKey);
     private List<Asker> waiting = new ArrayList<>();
     private long revision = -1;
     private long askedAt;
@@ -62,11 +62,10 @@
     private record Asker(String job, Consumer<Told> then) {}
 
     /** @param requestsPerS what this controller may send in all */
-    OpenJobCache(
-            EventLoop loop, StateApi state, JobOutcomes fates, double requestsPerS, BiConsumer<Long, Runnable> timer) {
+    OpenJobCache(EventLoop loop, StateStoreClient state, JobOutcomes outcomes, double requestsPerS, Timer timer) {
         this.loop = loop;
         this.state = state;
-        this.fates = fates;
+        this.outcomes = outcomes;
         this.timer = timer;
         this.gapMs = (long) Math.ceil(1000 / (requestsPerS * PART_OF_REQUESTS));
         this.askedAt = loop.now() - gapMs;
@@ -131,7 +130,7 @@
         String id = key.substring(Records.OPEN.length());
         JobSpec spec = Records.spec(id, value);
         jobs.put(id, new Open(JobRecord.open(spec), version));
-        dependencies.opened(id, spec.needs());
+        dependencies.opened(id, spec.dependencies());
         return id;
     }
 
@@ -143,7 +142,7 @@
     private void sendLater() {
         due = !waiting.isEmpty();
         if (due) {
-            timer.accept(Math.max(0, askedAt + gapMs - loop.now()), this::send);
+            timer.after(Math.max(0, askedAt + gapMs - loop.now()), this::send);
         }
     }
 
@@ -151,7 +150,7 @@
         List<Asker> held = new ArrayList<>();
         for (Asker asker : asking) {
             if (known
-                    && dependencies.holds(asker.job())
+                    && dependencies.isBlocked(asker.job())
                     && !dependencies.unresolved().isEmpty()) {
                 held.add(asker);
             } else {
@@ -173,7 +172,7 @@
             held.forEach(asker -> tell(asker, false));
             return;
         }
-        fates.read(dependencies.unresolved(), found -> {
+        outcomes.read(dependencies.unresolved(), found -> {
             if (found != null) {
                 found.forEach(dependencies::resolved);
             }
--- a/src/main/java/notchpick/coordination/users/Acceptances.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -1,26 +1,26 @@
-package notchpick.coordination.users;
+package notchpick.coordination.userapi;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Records;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Conflict;
-import notchpick.protocol.StateApi.Ok;
-import notchpick.protocol.StateApi.Refused;
-import notchpick.protocol.StateApi.Result;
-import notchpick.protocol.StateApi.Transaction;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Conflict;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Refused;
+import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.scheduling.JobSpec;
+import notchpick.storage.Records;
+import notchpick.transport.Timer;
 
 /**
  * Writes down the jobs that users submit, before they are told. A few transactions are on their way at a time,
  * and each takes along what came meanwhile, so that a swarm of small jobs needs few requests. Nothing waits
  * for company: where few come, each goes by itself at once.
  */
-final class Acceptances {
+final class SubmissionBatcher {
     /** What becomes of a submission. */
     enum Outcome {
         ACCEPTED,
@@ -36,15 +36,15 @@
 
     private record Submission(JobSpec spec, Consumer<Outcome> then) {}
 
-    private final StateApi state;
+    private final StateStoreClient state;
     private final int most;
-    private final BiConsumer<Long, Runnable> timer;
+    private final Timer timer;
     private final List<Submission> waiting = new ArrayList<>();
     private int onTheirWay;
     private boolean due;
 
     /** @param most so many jobs go into one transaction */
-    Acceptances(StateApi state, int most, BiConsumer<Long, Runnable> timer) {
+    SubmissionBatcher(StateStoreClient state, int most, Timer timer) {
         this.state = state;
         this.most = most;
         this.timer = timer;
@@ -56,7 +56,7 @@
         if (!due && onTheirWay < MOST_ON_THEIR_WAY) {
             due = true;
             // Whatever else has arrived already shall go along.
-            timer.accept(0L, () -> {
+            timer.after(0, () -> {
                 due = false;
                 next();
             });
@@ -94,7 +94,7 @@
                     .guard(Records.OPEN + id, 0)
                     .put(Records.OPEN + id, Records.spec(submission.spec()));
         }
-        state.commit(transaction, result -> timer.accept(0L, () -> committed(batch, result)));
+        state.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
     }
 
     private void committed(List<Submission> batch, Result<Long> result) {
--- a/src/main/java/notchpick/coordination/users/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -1,31 +1,31 @@
-package notchpick.coordination.users;
+package notchpick.coordination.userapi;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import notchpick.bookkeeping.Records;
-import notchpick.bookkeeping.Records.Fate;
-import notchpick.bookkeeping.Records.JobRecord;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.JobOutcomes;
-import notchpick.protocol.InvalidMessage;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Conflict;
-import notchpick.protocol.StateApi.Entry;
-import notchpick.protocol.StateApi.Missing;
-import notchpick.protocol.StateApi.Ok;
-import notchpick.protocol.StateApi.Transaction;
-import notchpick.protocol.UserWire;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Conflict;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.UserProtocol;
 import notchpick.protocol.peer.Progress;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
+import notchpick.storage.Records;
 import notchpick.transport.Actor;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /**
  * Answers users, at every controller alike: what has been accepted, cancelled or done is written to the
@@ -36,7 +36,7 @@
     public sealed interface Message {}
 
     /** A user's request, and where its answer goes. */
-    public record Request(Call call, Consumer<Answer> reply) implements Message {}
+    public record UserRequest(Request call, Consumer<Response> reply) implements Message {}
 
     /** The machine types, by which it is judged whether a job can run. */
     public record TypesKnown(List<MachineType> types) implements Message {}
@@ -44,24 +44,24 @@
     private static final int RETRY_AFTER_S = 1;
 
     private final Deployment deployment;
-    private final StateApi state;
+    private final StateStoreClient state;
     private final Function<String, Progress> progress;
-    private final JobOutcomes fates;
+    private final JobOutcomes outcomes;
     private final OpenJobCache open;
-    private final Prerequisites prerequisites;
-    private final Acceptances acceptances;
+    private final DependencyValidator prerequisites;
+    private final SubmissionBatcher acceptances;
     private List<MachineType> types;
 
     public UserRequestHandler(
-            EventLoop loop, Deployment deployment, StateApi state, Function<String, Progress> progress) {
+            EventLoop loop, Deployment deployment, StateStoreClient state, Function<String, Progress> progress) {
         super(loop);
         this.deployment = deployment;
         this.state = state;
         this.progress = progress;
-        this.fates = new JobOutcomes(state);
-        this.open = new OpenJobCache(loop, state, fates, deployment.requestsPerS(), this::after);
-        this.prerequisites = new Prerequisites(open, fates);
-        this.acceptances = new Acceptances(state, deployment.writesAtOnce(), this::after);
+        this.outcomes = new JobOutcomes(state);
+        this.open = new OpenJobCache(loop, state, outcomes, deployment.requestsPerS(), this::after);
+        this.prerequisites = new DependencyValidator(open, outcomes);
+        this.acceptances = new SubmissionBatcher(state, deployment.writesAtOnce(), this::after);
     }
 
     public boolean ready() {
@@ -72,12 +72,12 @@
     protected void receive(Message message) {
         if (message instanceof TypesKnown known) {
             types = known.types();
-        } else if (message instanceof Request request) {
+        } else if (message instanceof UserRequest request) {
             serve(request.call(), request.reply());
         }
     }
 
-    private void serve(Call call, Consumer<Answer> reply) {
+    private void serve(Request call, Consumer<Response> reply) {
         String path = call.path().split("\\?", 2)[0];
         String[] parts = path.split("/", -1);
         boolean post = call.method().equals("POST");
@@ -104,27 +104,27 @@
         }
     }
 
-    private void submit(byte[] bytes, Consumer<Answer> reply) {
+    private void submit(byte[] bytes, Consumer<Response> reply) {
         ObjectNode body = Json.object(bytes);
         String id;
         try {
             if (body == null) {
-                throw new InvalidMessage("the body must be a JSON object");
+                throw new InvalidMessageException("the body must be a JSON object");
             }
-            id = UserWire.jobId(body);
-        } catch (InvalidMessage e) {
+            id = UserProtocol.jobId(body);
+        } catch (InvalidMessageException e) {
             reply.accept(error(400, e.getMessage()));
             return;
         }
-        JobRecord known = fates.known(id);
+        JobRecord known = outcomes.known(id);
         if (known != null) {
             reply.accept(status(id, known));
             return;
         }
         JobSpec spec;
         try {
-            spec = UserWire.submission(body, loop.wallTime());
-        } catch (InvalidMessage e) {
+            spec = UserProtocol.submission(body, loop.wallTime());
+        } catch (InvalidMessageException e) {
             unlessKnown(id, error(400, e.getMessage()), reply);
             return;
         }
@@ -158,12 +158,12 @@
         });
     }
 
-    private void accept(JobSpec spec, String status, Consumer<Answer> reply) {
+    private void accept(JobSpec spec, String status, Consumer<Response> reply) {
         acceptances.add(spec, outcome -> {
             switch (outcome) {
                 case ACCEPTED -> {
                     log.info("job {} accepted: {} tasks of {}", spec.id(), spec.tasks(), spec.team());
-                    reply.accept(new Answer(201, Json.bytes(UserWire.status(spec.id(), status))));
+                    reply.accept(new Response(201, Json.bytes(UserProtocol.status(spec.id(), status))));
                 }
                 case KNOWN -> poll(spec.id(), reply);
                 case REFUSED -> reply.accept(later("the state service does not answer"));
@@ -173,11 +173,11 @@
 
     /** Why the job can never run, or null. */
     private String obstacle(JobSpec spec) {
-        Deployment.Limit limit = deployment.limit(spec.team());
-        if (limit == null) {
+        Deployment.Quota quota = deployment.quota(spec.team());
+        if (quota == null) {
             return "unknown team";
         }
-        if (!limit.allows(spec.demand().times(spec.isService() ? spec.tasks() : 1))) {
+        if (!quota.allows(spec.demand().times(spec.isService() ? spec.tasks() : 1))) {
             return "more than the team's limit";
         }
         for (MachineType type : types) {
@@ -190,16 +190,16 @@
         return "a task fits no allowed machine type";
     }
 
-    private void unlessKnown(String id, Answer otherwise, Consumer<Answer> reply) {
+    private void unlessKnown(String id, Response otherwise, Consumer<Response> reply) {
         read(id, reply, job -> reply.accept(job == null ? otherwise : status(id, job.record())));
     }
 
-    private void poll(String id, Consumer<Answer> reply) {
-        if (!UserWire.isJobId(id)) {
+    private void poll(String id, Consumer<Response> reply) {
+        if (!UserProtocol.isJobId(id)) {
             reply.accept(error(404, "no such job"));
             return;
         }
-        JobRecord known = fates.known(id);
+        JobRecord known = outcomes.known(id);
         if (known != null) {
             reply.accept(status(id, known));
             return;
@@ -207,8 +207,8 @@
         unlessKnown(id, error(404, "no such job"), reply);
     }
 
-    private void cancel(String id, Consumer<Answer> reply, int tries) {
-        if (!UserWire.isJobId(id)) {
+    private void cancel(String id, Consumer<Response> reply, int tries) {
+        if (!UserProtocol.isJobId(id)) {
             reply.accept(error(404, "no such job"));
             return;
         }
@@ -217,9 +217,10 @@
                 reply.accept(error(404, "no such job"));
                 return;
             }
-            if (job.record().fate() != Fate.OPEN) {
-                reply.accept(new Answer(
-                        200, Json.bytes(UserWire.status(id, word(job.record().fate())))));
+            if (job.record().status() != JobStatus.OPEN) {
+                reply.accept(new Response(
+                        200,
+                        Json.bytes(UserProtocol.status(id, word(job.record().status())))));
                 return;
             }
             JobRecord cancelled = job.record().cancelled(loop.wallTime());
@@ -230,8 +231,8 @@
             state.commit(transaction, here(result -> {
                 if (result instanceof Ok<Long>) {
                     log.info("job {} cancelled", id);
-                    fates.note(id, cancelled);
-                    reply.accept(new Answer(200, Json.bytes(UserWire.status(id, "cancelled"))));
+                    outcomes.note(id, cancelled);
+                    reply.accept(new Response(200, Json.bytes(UserProtocol.status(id, "cancelled"))));
                 } else if (result instanceof Conflict<Long> && tries > 1) {
                     cancel(id, reply, tries - 1);
                 } else {
@@ -248,7 +249,7 @@
      * Reads how a job stands; gives null if there surely is none, answers 503 if it can't be told. Open jobs
      * are looked at first: what is not among them is over, and says so, or there is none.
      */
-    private void read(String id, Consumer<Answer> reply, Consumer<Known> then) {
+    private void read(String id, Consumer<Response> reply, Consumer<Known> then) {
         open.ask(id, told -> {
             if (!told.known()) {
                 reply.accept(later("the state service does not answer"));
@@ -263,7 +264,7 @@
                 state.get(Records.JOB + id, here(ended -> {
                     if (ended instanceof Ok<Entry> ok) {
                         JobRecord record = Records.job(ok.value().value());
-                        fates.note(id, record);
+                        outcomes.note(id, record);
                         then.accept(new Known(record, 0));
                     } else if (ended instanceof Missing<Entry>) {
                         then.accept(null);
@@ -275,26 +276,27 @@
         });
     }
 
-    private Answer status(String id, JobRecord job) {
-        if (job.fate() != Fate.OPEN) {
-            return new Answer(200, Json.bytes(UserWire.status(id, word(job.fate()), job.done(), 0)));
+    private Response status(String id, JobRecord job) {
+        if (job.status() != JobStatus.OPEN) {
+            return new Response(200, Json.bytes(UserProtocol.status(id, word(job.status()), job.done(), 0)));
         }
         Progress shown = progress.apply(id);
         int done = shown == null ? 0 : shown.getDone();
         int running = shown == null ? 0 : shown.getRunning();
-        return new Answer(200, Json.bytes(UserWire.status(id, running > 0 ? "running" : "queued", done, running)));
+        return new Response(
+                200, Json.bytes(UserProtocol.status(id, running > 0 ? "running" : "queued", done, running)));
     }
 
-    private static String word(Fate fate) {
-        return fate == Fate.DONE ? "done" : "cancelled";
+    private static String word(JobStatus fate) {
+        return fate == JobStatus.DONE ? "done" : "cancelled";
     }
 
-    private static Answer error(int status, String message) {
-        JsonNode body = UserWire.error(message);
-        return new Answer(status, Json.bytes(body));
+    private static Response error(int status, String message) {
+        JsonNode body = UserProtocol.error(message);
+        return new Response(status, Json.bytes(body));
     }
 
-    private static Answer later(String message) {
-        return new Answer(503, Json.bytes(UserWire.error(message)), RETRY_AFTER_S);
+    private static Response later(String message) {
+        return new Response(503, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
     }
 }
--- a/src/main/java/notchpick/bookkeeping/Dependencies.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.model;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -10,14 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import notchpick.bookkeeping.Records.Fate;
-import notchpick.bookkeeping.Records.JobRecord;
 
 /**
  * Which open jobs need which others. That a job is not open any more says that it is over but not how: a job that
  * needs it is held until that has been read. Ends are for good, and so is what follows from them.
  */
-public final class Dependencies {
+public final class DependencyGraph {
     private final Predicate<String> isOpen;
     /** Of each open job that needs others: all that it named, and those that are not known to be done. */
     private final Map<String, Needs> needs = new HashMap<>();
@@ -39,7 +37,7 @@
         }
     }
 
-    public Dependencies(Predicate<String> isOpen) {
+    public DependencyGraph(Predicate<String> isOpen) {
         this.isOpen = isOpen;
     }
 
@@ -87,7 +85,7 @@
         Set<String> ready = new LinkedHashSet<>();
         for (String dependent : List.copyOf(dependents.getOrDefault(job, Set.of()))) {
             Needs own = needs.get(dependent);
-            if (record.fate() == Fate.CANCELLED) {
+            if (record.status() == JobStatus.CANCELLED) {
                 doom(dependent);
             } else if (own.unmet.remove(job)) {
                 own.lastEndedAt = Math.max(own.lastEndedAt, record.endedAt());
@@ -110,7 +108,7 @@
     }
 
     /** Whether the job waits for others, or will never run because one of them was cancelled. */
-    public boolean holds(String job) {
+    public boolean isBlocked(String job) {
         Needs own = needs.get(job);
         return own != null && !own.unmet.isEmpty();
     }
--- /dev/null
+++ b/src/main/java/notchpick/model/JobRecord.java
@@ -0,0 +1,25 @@
+package notchpick.model;
+
+import notchpick.scheduling.JobSpec;
+
+/**
+ * The status of a job, and what is kept of it for good once it has ended.
+ *
+ * @param endedAt wall-clock time of its end, in milliseconds; 0 if an earlier version wrote the record
+ */
+public record JobRecord(JobStatus status, int tasks, int done, long endedAt, boolean service) {
+    /** A job that has been accepted and has not ended. */
+    public static JobRecord open(JobSpec spec) {
+        return new JobRecord(JobStatus.OPEN, spec.tasks(), 0, 0, spec.isService());
+    }
+
+    /** A job all of whose tasks have completed. */
+    public static JobRecord done(JobSpec spec, long atMs) {
+        return new JobRecord(JobStatus.DONE, spec.tasks(), spec.tasks(), atMs, spec.isService());
+    }
+
+    /** The same job, cancelled at this time of day. */
+    public JobRecord cancelled(long atMs) {
+        return new JobRecord(JobStatus.CANCELLED, tasks, 0, atMs, service);
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/model/MachineTypeCatalog.java
@@ -0,0 +1,70 @@
+package notchpick.model;
+
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import notchpick.scheduling.MachineType;
+import notchpick.scheduling.Resources;
+
+/** The machine types that the cloud offers, as far as they are known. */
+public final class MachineTypeCatalog {
+    /** A machine of an unknown type is expected to take this long to boot. */
+    private static final double UNKNOWN_BOOT_MS = 60_000;
+
+    private static final double MS_PER_S = 1000;
+
+    private final Map<String, MachineType> types = new LinkedHashMap<>();
+
+    /** Adds types, or replaces what was known of them. */
+    public void update(List<MachineType> known) {
+        known.forEach(type -> types.put(type.name(), type));
+    }
+
+    public Map<String, MachineType> byName() {
+        return Collections.unmodifiableMap(types);
+    }
+
+    public Collection<MachineType> all() {
+        return Collections.unmodifiableCollection(types.values());
+    }
+
+    /** The resources of a machine of this type; none if the type is unknown. */
+    public Resources size(String type) {
+        MachineType known = types.get(type);
+        return known == null ? Resources.NONE : known.size();
+    }
+
+    /** How many GB of images a machine of this type fetches in a second; 0 if the type is unknown. */
+    public double fetchGbPerS(String type) {
+        MachineType known = types.get(type);
+        return known == null ? 0 : known.fetchGbPerS();
+    }
+
+    /** How many seconds an image of this size takes on the slowest type. */
+    public double fetchS(double imageGb) {
+        double slowest = types.values().stream()
+                .mapToDouble(MachineType::fetchGbPerS)
+                .filter(rate -> rate > 0)
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
+        return imageGb / slowest;
+    }
+
+    /** How many milliseconds a machine of this type usually takes to boot. */
+    public double bootMs(String type) {
+        MachineType known = types.get(type);
+        return known == null ? UNKNOWN_BOOT_MS : known.bootS() * MS_PER_S;
+    }
+
+    /** The shortest boot time of all types, in seconds; 0 if none is known. */
+    public double shortestBootS() {
+        return types.values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+    }
+
+    /** The longest boot time of all types, in seconds; 0 if none is known. */
+    public double longestBootS() {
+        return types.values().stream().mapToDouble(MachineType::bootS).max().orElse(0);
+    }
+}
--- a/src/main/java/notchpick/protocol/CloudApi.java
+++ b/src/main/java/notchpick/protocol/CloudClient.java
@@ -7,23 +7,23 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
-import notchpick.scheduling.Amounts;
 import notchpick.scheduling.MachineType;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.scheduling.Resources;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** The cloud's interface. Answers are null where the cloud gave none that can be used. */
-public final class CloudApi {
+public final class CloudClient {
     public static final int MAX_RENT = 50;
     public static final int MAX_RELEASE = 100;
     public static final int LIST_PAGE = 500;
 
-    private final Caller caller;
+    private final HttpCaller caller;
     private final String target;
     private final long timeoutMs;
 
-    public CloudApi(Caller caller, String target, long timeoutMs) {
+    public CloudClient(HttpCaller caller, String target, long timeoutMs) {
         this.caller = caller;
         this.target = target;
         this.timeoutMs = timeoutMs;
@@ -48,7 +48,7 @@
 
     /** Asks for the machine types; gives null if there is no answer. */
     public void types(Consumer<List<MachineType>> then) {
-        caller.call(new Call(target, "GET", "/machine_types", null), timeoutMs, answer -> {
+        caller.call(new Request(target, "GET", "/machine_types", null), timeoutMs, answer -> {
             ObjectNode body = answer.status() == 200 ? Json.object(answer.body()) : null;
             then.accept(body == null ? null : types(body));
         });
@@ -62,7 +62,7 @@
                 List<String> zones = Json.texts(node, "sites");
                 types.add(new MachineType(
                         Json.text(node, "label"),
-                        new Amounts(
+                        new Resources(
                                 Json.amount(node, "cores", 0, 1e9),
                                 Json.absent(node, "gpus") ? 0 : Json.amount(node, "gpus", 0, 1e9),
                                 Json.amount(node, "ramGb", 0, 1e9)),
@@ -73,7 +73,7 @@
                         Json.amount(node, "readyS", 0, 1e9),
                         zones == null ? List.of() : zones));
             }
-        } catch (InvalidMessage e) {
+        } catch (InvalidMessageException e) {
             return null;
         }
         return types.isEmpty() ? null : List.copyOf(types);
@@ -108,7 +108,7 @@
                 .put("site", zone)
                 .put("borrowed", spot)
                 .put("number", count);
-        caller.call(new Call(target, "POST", "/rentals", Json.bytes(body)), timeoutMs, answer -> {
+        caller.call(new Request(target, "POST", "/rentals", Json.bytes(body)), timeoutMs, answer -> {
             ObjectNode result = Json.object(answer.body());
             if (answer.status() == 200 && result != null) {
                 List<String> names = new ArrayList<>();
@@ -130,7 +130,7 @@
         ArrayNode names = body.putArray("boxes");
         machines.forEach(names::add);
         caller.call(
-                new Call(target, "POST", "/rentals/release", Json.bytes(body)),
+                new Request(target, "POST", "/rentals/release", Json.bytes(body)),
                 timeoutMs,
                 answer -> then.accept(answer.status() == 200));
     }
@@ -138,10 +138,10 @@
     /** Asks for one page of the list, after this name; gives null if there is no answer. */
     public void list(String after, Consumer<Page> then) {
         String path = "/rentals?limit=" + LIST_PAGE + (after == null ? "" : "&since=" + after);
-        caller.call(new Call(target, "GET", path, null), timeoutMs, answer -> then.accept(page(answer)));
+        caller.call(new Request(target, "GET", path, null), timeoutMs, answer -> then.accept(page(answer)));
     }
 
-    private static Page page(Answer answer) {
+    private static Page page(Response answer) {
         ObjectNode body = answer.status() == 200 ? Json.object(answer.body()) : null;
         if (body == null) {
             return null;
@@ -162,7 +162,7 @@
                         },
                         node.path("ageS").asDouble()));
             }
-        } catch (InvalidMessage e) {
+        } catch (InvalidMessageException e) {
             return null;
         }
         return new Page(machines, body.path("truncated").asBoolean());
--- a/src/main/java/notchpick/protocol/InvalidMessage.java
+++ b/src/main/java/notchpick/protocol/InvalidMessageException.java
@@ -1,10 +1,10 @@
 package notchpick.protocol;
 
 /** What another party sent does not follow the protocol. */
-public final class InvalidMessage extends Exception {
+public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidMessage(String message) {
+    public InvalidMessageException(String message) {
         super(message, null, false, false);
     }
 }
--- a/src/main/java/notchpick/protocol/Json.java
+++ b/src/main/java/notchpick/protocol/Json.java
@@ -54,45 +54,45 @@
     }
 
     /** A field that must be text. */
-    static String text(JsonNode object, String field) throws InvalidMessage {
+    static String text(JsonNode object, String field) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isTextual() || node.textValue().isEmpty()) {
-            throw new InvalidMessage(field + " must be text");
+            throw new InvalidMessageException(field + " must be text");
         }
         return node.textValue();
     }
 
     /** Reads a decimal number within bounds. */
-    static double amount(JsonNode object, String field, double least, double most) throws InvalidMessage {
+    static double amount(JsonNode object, String field, double least, double most) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isNumber()) {
-            throw new InvalidMessage(field + " must be a number");
+            throw new InvalidMessageException(field + " must be a number");
         }
         double value = node.doubleValue();
         if (!(value >= least && value <= most)) {
-            throw new InvalidMessage(field + " is out of range");
+            throw new InvalidMessageException(field + " is out of range");
         }
         return value;
     }
 
     /** Reads an integer within bounds. */
-    static long count(JsonNode object, String field, long least, long most) throws InvalidMessage {
+    static long count(JsonNode object, String field, long least, long most) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
-            throw new InvalidMessage(field + " must be an integer");
+            throw new InvalidMessageException(field + " must be an integer");
         }
         long value = node.longValue();
         if (value < least || value > most) {
-            throw new InvalidMessage(field + " is out of range");
+            throw new InvalidMessageException(field + " is out of range");
         }
         return value;
     }
 
     /** Reads a boolean. */
-    static boolean flag(JsonNode object, String field) throws InvalidMessage {
+    static boolean flag(JsonNode object, String field) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isBoolean()) {
-            throw new InvalidMessage(field + " must be true or false");
+            throw new InvalidMessageException(field + " must be true or false");
         }
         return node.booleanValue();
     }
@@ -104,18 +104,18 @@
     }
 
     /** A list of texts, which may be empty, or null where it is absent. */
-    static List<String> texts(JsonNode object, String field) throws InvalidMessage {
+    static List<String> texts(JsonNode object, String field) throws InvalidMessageException {
         if (absent(object, field)) {
             return null;
         }
         JsonNode node = object.get(field);
         if (!node.isArray()) {
-            throw new InvalidMessage(field + " must be a list of names");
+            throw new InvalidMessageException(field + " must be a list of names");
         }
         List<String> list = new ArrayList<>();
         for (JsonNode item : node) {
             if (!item.isTextual()) {
-                throw new InvalidMessage(field + " must be a list of names");
+                throw new InvalidMessageException(field + " must be a list of names");
             }
             list.add(item.textValue());
         }
--- a/src/main/java/notchpick/protocol/PeerWire.java
+++ b/src/main/java/notchpick/protocol/PeerProtocol.java
@@ -10,10 +10,10 @@
 import org.apache.avro.specific.SpecificDatumWriter;
 
 /** The controllers' own messages, in Avro's binary form. */
-public final class PeerWire {
+public final class PeerProtocol {
     public static final String PATH = "/peer";
 
-    private PeerWire() {}
+    private PeerProtocol() {}
 
     /** Serializes a message between controllers. */
     public static byte[] bytes(Object body) {
--- a/src/main/java/notchpick/protocol/StateApi.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** The state service's interface, kept within this controller's part of the request budget. */
-public final class StateApi {
+public final class StateStoreClient {
     public static final int LIST_PAGE = 1000;
     /** One lost packet must not make a controller pass for cut off. */
     private static final int FAILURES_TO_DOUBT = 3;
@@ -22,7 +22,7 @@
 
     private static final String HOLDS = "/holds";
 
-    private final StateTransport way;
+    private final StateStoreTransport way;
     private final EventLoop loop;
     private final String target;
     private final long timeoutMs;
@@ -34,7 +34,8 @@
     private int failures;
 
     /** @param requestsPerS this controller's part of what all may send */
-    public StateApi(StateTransport way, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
+    public StateStoreClient(
+            StateStoreTransport way, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
         this.way = way;
         this.loop = loop;
         this.target = target;
@@ -268,7 +269,7 @@
         T read(ObjectNode body);
     }
 
-    private static <T> Result<T> read(Answer answer, Reader<T> reader) {
+    private static <T> Result<T> read(Response answer, Reader<T> reader) {
         switch (answer.status()) {
             case 200, 201 -> {
                 ObjectNode body = Json.object(answer.body());
@@ -298,11 +299,11 @@
      * Carries out what a controller asks for that can't reach the state service itself; it counts against this
      * one's part of the requests.
      */
-    public void pass(String method, String path, byte[] body, long timeout, Consumer<Answer> then) {
+    public void pass(String method, String path, byte[] body, long timeout, Consumer<Response> then) {
         if (takes(path.startsWith(HOLDS))) {
-            way.sendHere(new Call(target, method, path, body), timeout, then);
+            way.sendHere(new Request(target, method, path, body), timeout, then);
         } else {
-            then.accept(new Answer(429, new byte[0]));
+            then.accept(new Response(429, new byte[0]));
         }
     }
 
@@ -316,7 +317,7 @@
         return true;
     }
 
-    private void send(String method, String path, byte[] body, long timeout, boolean urgent, Consumer<Answer> then) {
+    private void send(String method, String path, byte[] body, long timeout, boolean urgent, Consumer<Response> then) {
         send(method, path, body, timeout, urgent, false, then);
     }
 
@@ -327,12 +328,12 @@
             long timeout,
             boolean urgent,
             boolean hasty,
-            Consumer<Answer> then) {
+            Consumer<Response> then) {
         if (!takes(urgent)) {
-            then.accept(new Answer(429, new byte[0]));
+            then.accept(new Response(429, new byte[0]));
             return;
         }
-        way.send(new Call(target, method, path, body), timeout, hasty, answer -> {
+        way.send(new Request(target, method, path, body), timeout, hasty, answer -> {
             if (answer.isNone() || answer.status() == 503) {
                 failures++;
             } else {
--- a/src/main/java/notchpick/protocol/WorkerWire.java
+++ b/src/main/java/notchpick/protocol/WorkerProtocol.java
@@ -7,22 +7,22 @@
 import java.util.List;
 
 /** What workers report and are told. */
-public final class WorkerWire {
+public final class WorkerProtocol {
     /** A worker waits this long for an answer. */
     public static final long PATIENCE_MS = 4000;
 
-    private WorkerWire() {}
+    private WorkerProtocol() {}
 
     /** The state of a task on its worker. */
-    public enum Phase {
+    public enum TaskPhase {
         FETCHING,
         RUNNING,
-        SAVING,
+        CHECKPOINTING,
         EXITED
     }
 
     /** Why a task ended. */
-    public enum Exit {
+    public enum ExitReason {
         DONE,
         STOPPED,
         ERROR,
@@ -32,51 +32,51 @@
     }
 
     /** One task as its worker sees it; exit is null until it has exited. */
-    public record TaskReport(String name, String job, int task, long attempt, Phase phase, Exit exit) {}
+    public record TaskStatus(String name, String job, int task, long attempt, TaskPhase phase, ExitReason exit) {}
 
-    /** @param noticeS null, or seconds until the cloud takes the machine away */
-    public record Report(
+    /** @param reclaimNoticeS null, or seconds until the cloud takes the machine away */
+    public record Heartbeat(
             String machine,
             String address,
             String type,
             String zone,
             boolean spot,
-            long session,
+            long incarnation,
             long sequence,
-            long token,
-            Double noticeS,
-            List<TaskReport> tasks) {}
+            long fencingToken,
+            Double reclaimNoticeS,
+            List<TaskStatus> tasks) {}
 
     /** Something the worker shall do. */
-    public sealed interface Order {
+    public sealed interface TaskCommand {
         /** The task's name. */
         String task();
 
         long attempt();
     }
 
-    /** Start this attempt of the task. */
-    public record Start(String task, long attempt) implements Order {}
+    /** StartTask this attempt of the task. */
+    public record StartTask(String task, long attempt) implements TaskCommand {}
 
-    /** Stop the attempt; with enough time for it, progress is saved first. */
-    public record Stop(String task, long attempt, double graceS) implements Order {}
+    /** StopTask the attempt; with enough time for it, progress is saved first. */
+    public record StopTask(String task, long attempt, double graceS) implements TaskCommand {}
 
     /** Drop the exited attempt from the reports. */
-    public record Forget(String task, long attempt) implements Order {}
+    public record ForgetTask(String task, long attempt) implements TaskCommand {}
 
     /** Reads a worker's report. */
-    public static Report report(ObjectNode body) throws InvalidMessage {
+    public static Heartbeat heartbeat(ObjectNode body) throws InvalidMessageException {
         if (body == null) {
-            throw new InvalidMessage("the body must be a JSON object");
+            throw new InvalidMessageException("the body must be a JSON object");
         }
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         JsonNode pieces = body.get("pieces");
         if (pieces != null && pieces.isArray()) {
             for (JsonNode piece : pieces) {
                 tasks.add(task(piece));
             }
         }
-        return new Report(
+        return new Heartbeat(
                 Json.text(body, "box"),
                 Json.absent(body, "address") ? "" : Json.text(body, "address"),
                 Json.text(body, "boxKind"),
@@ -89,54 +89,54 @@
                 tasks);
     }
 
-    private static TaskReport task(JsonNode piece) throws InvalidMessage {
+    private static TaskStatus task(JsonNode piece) throws InvalidMessageException {
         String name = Json.text(piece, "piece");
         int slash = name.lastIndexOf('/');
         int index;
         try {
             index = Integer.parseInt(name.substring(slash + 1));
         } catch (NumberFormatException e) {
-            throw new InvalidMessage("piece must have the form run-000412/3");
+            throw new InvalidMessageException("piece must have the form run-000412/3");
         }
         if (slash <= 0 || index < 0) {
-            throw new InvalidMessage("piece must have the form run-000412/3");
+            throw new InvalidMessageException("piece must have the form run-000412/3");
         }
-        Phase phase = switch (Json.text(piece, "status")) {
-            case "fetching" -> Phase.FETCHING;
-            case "saving" -> Phase.SAVING;
-            case "exited" -> Phase.EXITED;
+        TaskPhase phase = switch (Json.text(piece, "status")) {
+            case "fetching" -> TaskPhase.FETCHING;
+            case "saving" -> TaskPhase.CHECKPOINTING;
+            case "exited" -> TaskPhase.EXITED;
             // A state that later workers may add holds its resources like a running task.
-            default -> Phase.RUNNING;
+            default -> TaskPhase.RUNNING;
         };
-        Exit exit = null;
-        if (phase == Phase.EXITED) {
+        ExitReason exit = null;
+        if (phase == TaskPhase.EXITED) {
             exit = switch (Json.absent(piece, "exitCause") ? "" : Json.text(piece, "exitCause")) {
-                case "done" -> Exit.DONE;
-                case "stopped" -> Exit.STOPPED;
-                case "full" -> Exit.FULL;
-                case "in_use" -> Exit.IN_USE;
-                case "unknown" -> Exit.UNKNOWN;
-                default -> Exit.ERROR;
+                case "done" -> ExitReason.DONE;
+                case "stopped" -> ExitReason.STOPPED;
+                case "full" -> ExitReason.FULL;
+                case "in_use" -> ExitReason.IN_USE;
+                case "unknown" -> ExitReason.UNKNOWN;
+                default -> ExitReason.ERROR;
             };
         }
-        return new TaskReport(
+        return new TaskStatus(
                 name, name.substring(0, slash), index, Json.count(piece, "tryNo", 0, Long.MAX_VALUE), phase, exit);
     }
 
     /** The body of an answer that gives a worker orders under the leader's fencing token. */
-    public static ObjectNode orders(long token, List<Order> orders) {
-        ObjectNode answer = Json.object().put("mandate", token);
+    public static ObjectNode commands(long fencingToken, List<TaskCommand> commands) {
+        ObjectNode answer = Json.object().put("mandate", fencingToken);
         ArrayNode list = answer.putArray("orders");
-        for (Order order : orders) {
+        for (TaskCommand command : commands) {
             ObjectNode node = list.addObject();
-            if (order instanceof Start) {
+            if (command instanceof StartTask) {
                 node.put("orderKind", "run");
-            } else if (order instanceof Stop stop) {
+            } else if (command instanceof StopTask stop) {
                 node.put("orderKind", "halt").put("windDownS", stop.graceS());
             } else {
                 node.put("orderKind", "clear");
             }
-            node.put("piece", order.task()).put("tryNo", order.attempt());
+            node.put("piece", command.task()).put("tryNo", command.attempt());
         }
         return answer;
     }
--- a/src/main/java/notchpick/scheduling/Place.java
+++ b/src/main/java/notchpick/scheduling/CandidateNode.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /** A machine, or leased room on one, as far as a choice needs it. */
-public interface Place {
+public interface CandidateNode {
     String type();
 
     String zone();
 
     boolean spot();
 
-    Amounts room();
+    Resources room();
 
     Set<String> images();
 }
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -15,7 +15,7 @@
     private Consolidation() {}
 
     /** A machine in use. Its tasks are null if they can't be moved now. */
-    public record Candidate<S extends Place>(S site, List<JobSpec> tasks) {}
+    public record Candidate<S extends CandidateNode>(S site, List<JobSpec> tasks) {}
 
     /** Below this part of the cores in use, several machines are emptied at a time. */
     private static final double SPARSE = 0.7;
@@ -38,7 +38,7 @@
      * @param moving tasks that are being moved already, and need room first
      * @param most so many at the most
      */
-    public static <S extends Place> List<S> find(
+    public static <S extends CandidateNode> List<S> find(
             Collection<Candidate<S>> machines, Collection<JobSpec> moving, int most) {
         List<Candidate<S>> movable = new ArrayList<>();
         for (Candidate<S> machine : machines) {
@@ -71,16 +71,16 @@
     }
 
     /** Machines in use with room for others' tasks, the fullest first. */
-    private static final class Targets<S extends Place> {
+    private static final class Targets<S extends CandidateNode> {
         private final Set<S> open = new LinkedHashSet<>();
         private final Set<S> taken = new HashSet<>();
-        private final Map<S, Amounts> room = new HashMap<>();
+        private final Map<S, Resources> room = new HashMap<>();
 
         Targets(Collection<Candidate<S>> machines) {
             List<S> inUse = new ArrayList<>();
             for (Candidate<S> machine : machines) {
                 boolean used = machine.tasks() == null || !machine.tasks().isEmpty();
-                if (used && machine.site().room().cores() > Amounts.SLACK) {
+                if (used && machine.site().room().cores() > Resources.SLACK) {
                     inUse.add(machine.site());
                 }
             }
@@ -90,11 +90,11 @@
 
         /** Finds room for all of these elsewhere, or for none. */
         private boolean place(Collection<JobSpec> tasks, S leaving) {
-            Map<S, Amounts> left = new HashMap<>();
+            Map<S, Resources> left = new HashMap<>();
             for (JobSpec task : tasks) {
                 S place = null;
                 for (S site : open) {
-                    Amounts free = left.getOrDefault(site, room.getOrDefault(site, site.room()));
+                    Resources free = left.getOrDefault(site, room.getOrDefault(site, site.room()));
                     if (site != leaving
                             && task.demand().fitsIn(free)
                             && site.images().contains(task.image())
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -48,12 +48,12 @@
      */
     public Set<String> add(JobSpec spec, double stageS) {
         nodes.put(spec.id(), new Node(spec, stageS));
-        spec.needs()
+        spec.dependencies()
                 .forEach(need -> dependents
                         .computeIfAbsent(need, n -> new LinkedHashSet<>())
                         .add(spec.id()));
         boolean claims = review(spec.id());
-        Set<String> changed = propagate(spec.needs());
+        Set<String> changed = propagate(spec.dependencies());
         if (claims) {
             changed.add(spec.id());
         }
@@ -66,20 +66,20 @@
         if (node == null) {
             return Set.of();
         }
-        for (String need : node.own.needs()) {
+        for (String need : node.own.dependencies()) {
             dependents.computeIfPresent(need, (name, needing) -> {
                 needing.remove(id);
                 return needing.isEmpty() ? null : needing;
             });
         }
-        return propagate(node.own.needs());
+        return propagate(node.own.dependencies());
     }
 
     /** The job with the priority and the deadline that it counts with. */
     public JobSpec counting(JobSpec spec) {
         Node node = nodes.get(spec.id());
         Double dueS = node.dueAt == NEVER ? null : (node.dueAt - node.own.submittedAt()) / 1000;
-        return spec.counting(node.priority, dueS);
+        return spec.withEffectivePriority(node.priority, dueS);
     }
 
     private Set<String> propagate(Collection<String> from) {
@@ -91,7 +91,7 @@
             queued.remove(id);
             if (nodes.containsKey(id) && review(id)) {
                 changed.add(id);
-                for (String need : nodes.get(id).own.needs()) {
+                for (String need : nodes.get(id).own.dependencies()) {
                     if (queued.add(need)) {
                         due.add(need);
                     }
--- a/src/main/java/notchpick/scheduling/FleetPlan.java
+++ b/src/main/java/notchpick/scheduling/FleetPlanner.java
@@ -11,11 +11,11 @@
 import java.util.function.Predicate;
 
 /** Decides which machines to rent, and which idle ones are not needed any more. */
-public final class FleetPlan {
+public final class FleetPlanner {
     /** A machine that comes late at present counts as so many times dearer than one that does not. */
     private static final double LATE_PRICE = 2;
 
-    private FleetPlan() {}
+    private FleetPlanner() {}
 
     /** Where machines can be rented. */
     public record Pool(String type, String zone, boolean spot) {}
@@ -31,7 +31,7 @@
     public record Need(JobSpec spec, int tasks, double runS, boolean pressed, boolean atOnce) {}
 
     /** A machine that is up or will be. */
-    public record Owned(String name, Pool pool, Amounts size, boolean idle) {}
+    public record Owned(String name, Pool pool, Resources size, boolean idle) {}
 
     /** What to rent, by pool, and the names of machines that nothing needs. */
     public record Plan(Map<Pool, Integer> rent, Set<String> unneeded) {}
@@ -40,10 +40,10 @@
         private final Owned owned;
         private final Pool pool;
         private final double pricePerCore;
-        private Amounts room;
+        private Resources room;
         private boolean used;
 
-        Slot(Owned owned, Pool pool, double pricePerCore, Amounts room) {
+        Slot(Owned owned, Pool pool, double pricePerCore, Resources room) {
             this.owned = owned;
             this.pool = pool;
             this.pricePerCore = pricePerCore;
@@ -107,7 +107,7 @@
                 rent.merge(pool, 1, Integer::sum);
                 held.merge(pool, 1, Integer::sum);
             }
-            open.removeIf(slot -> slot.room.cores() + Amounts.SLACK < least);
+            open.removeIf(slot -> slot.room.cores() + Resources.SLACK < least);
         }
         Set<String> unneeded = new HashSet<>();
         for (Slot slot : slots) {
@@ -129,7 +129,7 @@
 
     private static int pack(Need need, Slot slot, int wanted) {
         JobSpec spec = need.spec();
-        if (slot.room.cores() + Amounts.SLACK < spec.demand().cores()
+        if (slot.room.cores() + Resources.SLACK < spec.demand().cores()
                 || !spec.allows(slot.pool.type(), slot.pool.zone(), slot.pool.spot())
                 || !slot.pool.spot() && spec.spot() && !need.pressed()) {
             return 0;
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -45,7 +45,7 @@
      * @param cores what there is to work on
      */
     public static <J> List<Waiting<J>> sorted(
-            Collection<Waiting<J>> jobs, long wallTime, Objectives objectives, double cores) {
+            Collection<Waiting<J>> jobs, long wallTime, ServiceObjectives objectives, double cores) {
         List<Placed<J>> urgent = new ArrayList<>();
         List<Placed<J>> inTime = new ArrayList<>();
         List<Placed<J>> later = new ArrayList<>();
--- a/src/main/java/notchpick/scheduling/MachineType.java
+++ b/src/main/java/notchpick/scheduling/MachineType.java
@@ -5,7 +5,7 @@
 /** A type of machine that the cloud rents out. */
 public record MachineType(
         String name,
-        Amounts size,
+        Resources size,
         double cacheGb,
         double fetchGbPerS,
         double price,
--- a/src/main/java/notchpick/scheduling/SiteIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -14,14 +14,14 @@
  * that the task leaves fullest, so that others fall idle and can be returned. They are kept sorted by the
  * room that is left, so that a choice looks only at those that may be the best.
  */
-public final class SiteIndex<S extends Place> {
+public final class PlacementIndex<S extends CandidateNode> {
     private static final Comparator<Entry<?>> ORDER =
             Comparator.<Entry<?>>comparingDouble(Entry::cores).thenComparingInt(Entry::number);
 
     private record Entry<S>(double cores, int number, S site) {}
 
     /** Sites of one kind: all of them, and by image those that have it, once it has been asked for. */
-    private static final class Kind<S extends Place> {
+    private static final class Kind<S extends CandidateNode> {
         private final TreeSet<Entry<S>> all = new TreeSet<>(ORDER);
         private final Map<String, TreeSet<Entry<S>>> byImage = new HashMap<>();
 
@@ -57,7 +57,7 @@
     private final Map<S, Entry<S>> entries = new IdentityHashMap<>();
     private long looks;
 
-    public SiteIndex(Collection<S> sites) {
+    public PlacementIndex(Collection<S> sites) {
         for (S site : sites) {
             put(new Entry<>(site.room().cores(), entries.size(), site));
         }
@@ -131,7 +131,7 @@
 
     private S choose(
             TreeSet<Entry<S>> sites, JobSpec spec, Predicate<S> admits, boolean having, ToLongFunction<S> delay) {
-        Entry<S> least = new Entry<>(spec.demand().cores() - Amounts.SLACK, -1, null);
+        Entry<S> least = new Entry<>(spec.demand().cores() - Resources.SLACK, -1, null);
         S best = null;
         long bestDelay = Long.MAX_VALUE;
         for (Entry<S> entry : sites.tailSet(least)) {
--- a/src/main/java/notchpick/scheduling/Estimates.java
+++ b/src/main/java/notchpick/scheduling/RuntimeEstimator.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Learns per class of jobs how far the owners' estimates are off. */
-public final class Estimates {
+public final class RuntimeEstimator {
     /** How much one more observation counts. */
     private static final double WEIGHT = 0.1;
     /** A task of which nothing is known is taken to run this long. */
--- a/src/main/java/notchpick/scheduling/Objectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /** What the operators have promised their users, by class of jobs. */
-public record Objectives(Map<String, List<Objective>> byClass) {
-    public static final Objectives NONE = new Objectives(Map.of());
+public record ServiceObjectives(Map<String, List<Objective>> byClass) {
+    public static final ServiceObjectives NONE = new ServiceObjectives(Map.of());
     /** A job of which nothing was promised is due after so many of its run times. */
     private static final double UNPROMISED_RUNS = 10;
 
@@ -26,7 +26,7 @@
             return switch (kind) {
                 case STARTED -> limit - ageS;
                 case FINISHED -> limit - ageS - runS;
-                case DEADLINE -> limit * spec.deadlineS() - spec.heldS() - ageS - runS;
+                case DEADLINE -> limit * spec.deadlineS() - spec.blockedS() - ageS - runS;
             };
         }
 
--- a/src/main/java/notchpick/bookkeeping/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Conflict;
-import notchpick.protocol.StateApi.Entry;
-import notchpick.protocol.StateApi.Missing;
-import notchpick.protocol.StateApi.Ok;
-import notchpick.protocol.StateApi.Refused;
-import notchpick.protocol.StateApi.Result;
-import notchpick.protocol.StateApi.Transaction;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Conflict;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Refused;
+import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.transport.EventLoop;
+import notchpick.transport.Timer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,9 +40,9 @@
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
     private static final int MAX_BYTES = 58 << 10;
 
-    private final StateApi state;
+    private final StateStoreClient state;
     private final EventLoop loop;
-    private final BiConsumer<Long, Runnable> timer;
+    private final Timer timer;
     private final long leaderVersion;
     private final int maxWrites;
     private final double writesPerMs;
@@ -121,9 +121,9 @@
 
     /** @param timer runs something in the owner's turn after some milliseconds */
     public FencedWriter(
-            StateApi state,
+            StateStoreClient state,
             EventLoop loop,
-            BiConsumer<Long, Runnable> timer,
+            Timer timer,
             long leaderVersion,
             int maxWrites,
             double writesPerS,
@@ -150,7 +150,7 @@
         if (!busy) {
             busy = true;
             // Whatever else the current message brings shall go along.
-            timer.accept(0L, this::flush);
+            timer.after(0, this::flush);
         }
     }
 
@@ -165,7 +165,7 @@
             return;
         }
         if (budget < 1) {
-            timer.accept((long) Math.ceil((1 - budget) / writesPerMs), this::flush);
+            timer.after((long) Math.ceil((1 - budget) / writesPerMs), this::flush);
             return;
         }
         Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
@@ -222,7 +222,7 @@
     }
 
     private <T> Consumer<T> inTurn(Consumer<T> then) {
-        return value -> timer.accept(0L, () -> then.accept(value));
+        return value -> timer.after(0, () -> then.accept(value));
     }
 
     private long expected(Write write) {
@@ -281,7 +281,7 @@
         if (result instanceof Conflict<Long>) {
             reread(reread, 0);
         } else {
-            timer.accept(RETRY_MS, this::flush);
+            timer.after(RETRY_MS, this::flush);
         }
     }
 
@@ -297,7 +297,7 @@
                     sent.prepared().writes().stream().map(Write::key).toList();
             LOG.error("the state service will not take the write of {}; the others go on", keys);
             sent.prepared().refused().run();
-            timer.accept(REFUSED_MS, () -> {
+            timer.after(REFUSED_MS, () -> {
                 if (!waiting.containsKey(sent.name())) {
                     write(sent.name(), sent.change());
                 }
@@ -308,7 +308,7 @@
                 waiting.putIfAbsent(sent.name(), sent.change());
             }
         }
-        timer.accept(RETRY_MS, this::flush);
+        timer.after(RETRY_MS, this::flush);
     }
 
     private void reread(List<String> keys, int index) {
@@ -323,7 +323,7 @@
             } else if (result instanceof Missing<Entry>) {
                 versions.remove(key);
             } else {
-                timer.accept(RETRY_MS, () -> reread(keys, index));
+                timer.after(RETRY_MS, () -> reread(keys, index));
                 return;
             }
             reread(keys, index + 1);
--- a/src/main/java/notchpick/bookkeeping/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
-import notchpick.bookkeeping.FencedWriter.Conditions;
-import notchpick.bookkeeping.FencedWriter.Prepared;
-import notchpick.bookkeeping.FencedWriter.Write;
+import notchpick.storage.FencedWriter.Conditions;
+import notchpick.storage.FencedWriter.Prepared;
+import notchpick.storage.FencedWriter.Write;
 
 /**
  * Many small units that share a few values of the state service, so that one write takes many of them
@@ -183,7 +183,7 @@
     }
 
     /** Writes the value anew that holds most of what is over. */
-    public void tidy() {
+    public void compact() {
         Slot<U> stalest = null;
         for (Slot<U> slot : slots.values()) {
             if (slot.staleBytes > 0
--- a/src/main/java/notchpick/bookkeeping/Records.java
+++ b/src/main/java/notchpick/storage/Records.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,11 +11,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import notchpick.model.CompletionRange;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
 import notchpick.protocol.Json;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
-import notchpick.scheduling.Sdrf;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.StatefulDrf;
 
 /** Keys and values under which the controllers keep things in the state service. */
 public final class Records {
@@ -38,37 +43,10 @@
 
     private Records() {}
 
-    /** How a job stands; the last two are for good. */
-    public enum Fate {
-        OPEN,
-        DONE,
-        CANCELLED
-    }
-
-    /**
-     * How a job stands.
-     *
-     * @param endedAt time of day of its end, in milliseconds; 0 where an earlier version wrote it: what names such
-     *         a job was submitted after its end
-     */
-    public record JobRecord(Fate fate, int tasks, int done, long endedAt, boolean service) {
-        public static JobRecord open(JobSpec spec) {
-            return new JobRecord(Fate.OPEN, spec.tasks(), 0, 0, spec.isService());
-        }
-
-        public static JobRecord done(JobSpec spec, long at) {
-            return new JobRecord(Fate.DONE, spec.tasks(), spec.tasks(), at, spec.isService());
-        }
-
-        public JobRecord cancelled(long at) {
-            return new JobRecord(Fate.CANCELLED, tasks, 0, at, service);
-        }
-    }
-
     /** The durable form of how a job ended. */
     public static ObjectNode job(JobRecord record) {
         ObjectNode node = Json.object()
-                .put("state", record.fate().name().toLowerCase())
+                .put("state", record.status().name().toLowerCase())
                 .put("tasks", record.tasks())
                 .put("done", record.done())
                 .put("endedAt", record.endedAt());
@@ -77,7 +55,7 @@
 
     /** Reads what {@link #job(JobRecord)} wrote, in this or the former version. */
     public static JobRecord job(JsonNode value) {
-        Fate fate = value.path("state").asText().equals("done") ? Fate.DONE : Fate.CANCELLED;
+        JobStatus fate = value.path("state").asText().equals("done") ? JobStatus.DONE : JobStatus.CANCELLED;
         return new JobRecord(
                 fate,
                 value.path("tasks").asInt(),
@@ -104,17 +82,17 @@
                 .put("image", spec.image())
                 .put("imageGb", spec.imageGb())
                 .put("estimateS", spec.estimateS())
-                .put("checkpointS", spec.checkpointS())
-                .put("saveS", spec.saveS())
+                .put("checkpointS", spec.checkpointIntervalS())
+                .put("saveS", spec.checkpointWriteS())
                 .put("deadlineS", spec.deadlineS())
                 .put("submittedAt", spec.submittedAt());
         if (spec.types() != null) {
             ArrayNode types = node.putArray("types");
             spec.types().forEach(types::add);
         }
-        if (!spec.needs().isEmpty()) {
+        if (!spec.dependencies().isEmpty()) {
             ArrayNode needs = node.putArray("needs");
-            spec.needs().forEach(needs::add);
+            spec.dependencies().forEach(needs::add);
         }
         return node;
     }
@@ -128,7 +106,7 @@
         for (String type : spec.types() == null ? List.<String>of() : spec.types()) {
             text += Json.textBytes(type) + 1;
         }
-        for (String need : spec.needs()) {
+        for (String need : spec.dependencies()) {
             text += Json.textBytes(need) + 1;
         }
         return text + SPEC_FRAME_BYTES;
@@ -140,28 +118,30 @@
     /** Reads what {@link #spec(JobSpec)} wrote. */
     public static JobSpec spec(String id, JsonNode node) {
         List<String> types = node.path("types").isArray() ? texts(node.path("types")) : null;
-        return new JobSpec(
-                id,
-                node.path("class").asText(),
-                node.path("team").asText(),
-                JobSpec.Form.valueOf(node.path("form").asText()),
-                JobSpec.Priority.valueOf(node.path("priority").asText()),
-                node.path("tasks").asInt(),
-                amounts(node),
-                types,
-                node.path("zone").isTextual() ? node.path("zone").asText() : null,
-                node.path("oneZone").asBoolean(),
-                node.path("spread").asBoolean(),
-                node.path("spot").asBoolean(),
-                node.path("image").asText(),
-                node.path("imageGb").asDouble(),
-                node.path("estimateS").asDouble(),
-                node.path("checkpointS").asDouble(),
-                node.path("saveS").asDouble(),
-                node.path("deadlineS").isNumber() ? node.path("deadlineS").asDouble() : null,
-                node.path("submittedAt").asLong(),
-                texts(node.path("needs")),
-                node.path("submittedAt").asLong());
+        return JobSpec.builder(id)
+                .jobClass(node.path("class").asText())
+                .team(node.path("team").asText())
+                .form(JobSpec.Form.valueOf(node.path("form").asText()))
+                .priority(JobSpec.Priority.valueOf(node.path("priority").asText()))
+                .tasks(node.path("tasks").asInt())
+                .demand(resources(node))
+                .types(types)
+                .zone(node.path("zone").isTextual() ? node.path("zone").asText() : null)
+                .oneZone(node.path("oneZone").asBoolean())
+                .spread(node.path("spread").asBoolean())
+                .spot(node.path("spot").asBoolean())
+                .image(node.path("image").asText())
+                .imageGb(node.path("imageGb").asDouble())
+                .estimateS(node.path("estimateS").asDouble())
+                .checkpointIntervalS(node.path("checkpointS").asDouble())
+                .checkpointWriteS(node.path("saveS").asDouble())
+                .deadlineS(
+                        node.path("deadlineS").isNumber()
+                                ? node.path("deadlineS").asDouble()
+                                : null)
+                .submittedAt(node.path("submittedAt").asLong())
+                .dependencies(texts(node.path("needs")))
+                .build();
     }
 
     private static List<String> texts(JsonNode list) {
@@ -170,8 +150,8 @@
         return texts;
     }
 
-    private static Amounts amounts(JsonNode node) {
-        return new Amounts(
+    private static Resources resources(JsonNode node) {
+        return new Resources(
                 node.path("cores").asDouble(),
                 node.path("gpus").asDouble(),
                 node.path("ram").asDouble());
@@ -181,45 +161,45 @@
      * Tasks that may be on machines. Of each task's job it holds what counts against a team's limit,
      * since the job may be over, and its description gone, when a new leader reads it.
      */
-    public static ObjectNode starts(Collection<TaskAssignment> bindings) {
+    public static ObjectNode starts(Collection<TaskAssignment> assignments) {
         ObjectNode node = Json.object();
         ObjectNode jobs = node.putObject("jobs");
         ObjectNode machines = node.putObject("machines");
         Map<Machine, ArrayNode> tasks = new HashMap<>();
-        for (TaskAssignment binding : bindings) {
-            String job = binding.spec.id();
+        for (TaskAssignment assignment : assignments) {
+            String job = assignment.spec().id();
             if (!jobs.has(job)) {
-                Amounts demand = binding.spec.demand();
+                Resources demand = assignment.spec().demand();
                 jobs.putArray(job)
-                        .add(binding.spec.team())
+                        .add(assignment.spec().team())
                         .add(demand.cores())
                         .add(demand.gpus())
                         .add(demand.ram());
             }
             tasks.computeIfAbsent(
-                            binding.machine,
-                            machine -> machines.putArray(machine.name)
+                            assignment.machine(),
+                            machine -> machines.putArray(machine.name())
                                     .add(machine.type())
                                     .add(machine.zone())
                                     .add(machine.spot())
                                     .addArray())
                     .add(job)
-                    .add(binding.task)
-                    .add(binding.attempt);
+                    .add(assignment.task())
+                    .add(assignment.attempt());
         }
         return node;
     }
 
     /** As many bytes as a task takes among {@link #starts} at the most. */
-    public static int startBytes(TaskAssignment binding) {
-        JobSpec spec = binding.spec;
-        Amounts demand = spec.demand();
+    public static int startBytes(TaskAssignment assignment) {
+        JobSpec spec = assignment.spec();
+        Resources demand = spec.demand();
         int job = Json.textBytes(spec.id()) * 2
                 + Json.textBytes(spec.team())
                 + (demand.cores() + "" + demand.gpus() + demand.ram()).length();
-        Machine machine = binding.machine;
-        int place = Json.textBytes(machine.name) + Json.textBytes(machine.type()) + Json.textBytes(machine.zone());
-        int numbers = (Integer.toString(binding.task) + binding.attempt).length();
+        Machine machine = assignment.machine();
+        int place = Json.textBytes(machine.name()) + Json.textBytes(machine.type()) + Json.textBytes(machine.zone());
+        int numbers = (Integer.toString(assignment.task()) + assignment.attempt()).length();
         return job + place + numbers + PUNCTUATION_BYTES;
     }
 
@@ -234,30 +214,16 @@
         Map<String, JobSpec> jobs = new HashMap<>();
         node.path("jobs").fields().forEachRemaining(field -> {
             JsonNode job = field.getValue();
-            Amounts demand = new Amounts(
+            Resources demand = new Resources(
                     job.path(1).asDouble(), job.path(2).asDouble(), job.path(3).asDouble());
             jobs.put(
                     field.getKey(),
-                    new JobSpec(
-                            field.getKey(),
-                            "",
-                            job.path(0).asText(),
-                            JobSpec.Form.ARRAY,
-                            JobSpec.Priority.NORMAL,
-                            0,
-                            demand,
-                            null,
-                            null,
-                            false,
-                            false,
-                            true,
-                            "",
-                            0,
-                            0,
-                            0,
-                            0,
-                            null,
-                            0));
+                    JobSpec.builder(field.getKey())
+                            .team(job.path(0).asText())
+                            .tasks(0)
+                            .demand(demand)
+                            .spot(true)
+                            .build());
         });
         List<Hint> hints = new ArrayList<>();
         node.path("machines").fields().forEachRemaining(field -> {
@@ -280,24 +246,24 @@
     }
 
     /** Done marks of several jobs, each as a run of bits from some task on. */
-    public static ObjectNode done(Collection<DoneMarks> marks) {
+    public static ObjectNode done(Collection<CompletionRange> marks) {
         ObjectNode node = Json.object();
         ArrayNode jobs = node.putArray("jobs");
-        for (DoneMarks run : marks) {
+        for (CompletionRange run : marks) {
             jobs.addArray()
-                    .add(run.job.spec.id())
-                    .add(run.first)
+                    .add(run.job().id())
+                    .add(run.first())
                     .add(Base64.getEncoder().encodeToString(run.write().toByteArray()));
         }
         return node;
     }
 
     /** As many bytes as a run of done marks takes among {@link #done} at the most. */
-    public static int doneBytes(DoneMarks run) {
-        return Json.textBytes(run.job.spec.id())
-                + Integer.toString(run.first).length()
+    public static int doneBytes(CompletionRange run) {
+        return Json.textBytes(run.job().id())
+                + Integer.toString(run.first()).length()
                 + PUNCTUATION_BYTES
-                + (run.count / 8 + 3) / 3 * 4;
+                + (run.count() / 8 + 3) / 3 * 4;
     }
 
     /** The tasks from {@code first} on that are done. */
@@ -319,13 +285,13 @@
     public static ObjectNode released(Collection<Machine> machines) {
         ObjectNode node = Json.object();
         ArrayNode names = node.putArray("machines");
-        machines.forEach(machine -> names.add(machine.name));
+        machines.forEach(machine -> names.add(machine.name()));
         return node;
     }
 
     /** As many bytes as a machine takes among {@link #released} at the most. */
     public static int releasedBytes(Machine machine) {
-        return Json.textBytes(machine.name) + 1;
+        return Json.textBytes(machine.name()) + 1;
     }
 
     public static List<String> released(JsonNode node) {
@@ -333,13 +299,13 @@
     }
 
     /** The commitments, the largest first and as many as the value may hold: the others weigh least. */
-    public static ObjectNode commitments(Map<String, Amounts> commitments, int mostBytes) {
+    public static ObjectNode commitments(Map<String, Resources> commitments, int mostBytes) {
         List<String> teams = new ArrayList<>(commitments.keySet());
-        teams.sort(Comparator.comparingDouble(team -> -Sdrf.largest(commitments.get(team))));
+        teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.largest(commitments.get(team))));
         ObjectNode node = Json.object();
         int left = mostBytes - 2;
         for (String team : teams) {
-            Amounts amounts = commitments.get(team);
+            Resources amounts = commitments.get(team);
             left -= Json.textBytes(team) + COMMITMENT_BYTES;
             if (left < 0) {
                 break;
@@ -356,9 +322,9 @@
     private static final int COMMITMENT_BYTES = 112;
 
     /** Reads the commitments by team; empty where none were saved. */
-    public static Map<String, Amounts> commitments(JsonNode node) {
-        Map<String, Amounts> commitments = new HashMap<>();
-        node.fields().forEachRemaining(field -> commitments.put(field.getKey(), amounts(field.getValue())));
+    public static Map<String, Resources> commitments(JsonNode node) {
+        Map<String, Resources> commitments = new HashMap<>();
+        node.fields().forEachRemaining(field -> commitments.put(field.getKey(), resources(field.getValue())));
         return commitments;
     }
 }
--- a/src/main/java/notchpick/transport/Caller.java
+++ b/src/main/java/notchpick/transport/HttpCaller.java
@@ -3,30 +3,30 @@
 import java.util.function.Consumer;
 
 /** Calls other processes over HTTP. */
-public interface Caller {
+public interface HttpCaller {
     /**
-     * Calls back exactly once: with {@link Answer#NONE} when no answer came in time, with {@link Answer#UNSENT}
+     * Calls back exactly once: with {@link Response#NONE} when no answer came in time, with {@link Response#UNSENT}
      * when the connection was refused, so that the request surely has not been sent.
      */
-    void call(Call call, long timeoutMs, Consumer<Answer> then);
+    void call(Request call, long timeoutMs, Consumer<Response> then);
 
     /** A request; target is {@code address:port}, path includes the query. */
-    record Call(String target, String method, String path, byte[] body) {}
+    record Request(String target, String method, String path, byte[] body) {}
 
     /**
      * A response; a status of 0 or less stands for none.
      *
      * @param isLast whether the server ends the connection with it
      */
-    record Answer(int status, byte[] body, int retryAfterS, boolean isLast) {
-        public static final Answer NONE = new Answer(0, new byte[0]);
-        public static final Answer UNSENT = new Answer(-1, new byte[0]);
+    record Response(int status, byte[] body, int retryAfterS, boolean isLast) {
+        public static final Response NONE = new Response(0, new byte[0]);
+        public static final Response UNSENT = new Response(-1, new byte[0]);
 
-        public Answer(int status, byte[] body) {
+        public Response(int status, byte[] body) {
             this(status, body, 0);
         }
 
-        public Answer(int status, byte[] body, int retryAfterS) {
+        public Response(int status, byte[] body, int retryAfterS) {
             this(status, body, retryAfterS, false);
         }
 
@@ -39,8 +39,8 @@
         }
 
         /** The same to somebody who will go elsewhere: the connection ends with it. */
-        public Answer last() {
-            return new Answer(status, body, retryAfterS, true);
+        public Response last() {
+            return new Response(status, body, retryAfterS, true);
         }
 
         /** Whether there was no answer of any kind. */
