--- a/src/main/java/notchpick/transport/JettyCaller.java
+++ b/src/main/java/notchpick/transport/JettyHttpCaller.java
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.util.thread.ThreadPool;
 
 /** Outgoing calls by Jetty's client, with a bounded number of connections per target. */
-public final class JettyCaller implements Caller {
+public final class JettyHttpCaller implements HttpCaller {
     /** Nothing is called over TLS; reading the trusted certificates would take a third of the start. */
     private static final class NoTls extends SslContextFactory.Client {
         @Override
@@ -28,7 +28,7 @@
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private final HttpClient client;
 
-    public JettyCaller(ThreadPool threads, Scheduler scheduler, int connectionsPerTarget, long connectTimeoutMs)
+    public JettyHttpCaller(ThreadPool threads, Scheduler scheduler, int connectionsPerTarget, long connectTimeoutMs)
             throws Exception {
         ClientConnector connector = new ClientConnector() {
             @Override
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void call(Call call, long timeoutMs, Consumer<Answer> then) {
+    public void call(Request call, long timeoutMs, Consumer<Response> then) {
         try {
             var request = client.newRequest("http://" + call.target() + call.path())
                     .method(call.method())
@@ -72,15 +72,15 @@
                 @Override
                 public void onComplete(Result result) {
                     if (result.isFailed()) {
-                        then.accept(result.getFailure() instanceof ConnectException ? Answer.UNSENT : Answer.NONE);
+                        then.accept(result.getFailure() instanceof ConnectException ? Response.UNSENT : Response.NONE);
                         return;
                     }
                     byte[] body = getContent();
-                    then.accept(new Answer(result.getResponse().getStatus(), body == null ? new byte[0] : body));
+                    then.accept(new Response(result.getResponse().getStatus(), body == null ? new byte[0] : body));
                 }
             });
         } catch (RuntimeException e) {
-            then.accept(Answer.NONE);
+            then.accept(Response.NONE);
         }
     }
 }
--- a/src/main/java/notchpick/transport/JettyServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.util.thread.ThreadPool;
 
 /** Jetty's server, with one connector for each address that is served. */
-public final class JettyServer {
+public final class JettyHttpServer {
     /** The protocol's limit for a request body. */
     private static final int MAX_BODY_BYTES = 64 << 10;
     /** Between controllers a grant may be longer than what users may send. */
@@ -32,11 +32,11 @@
      *     idle end sooner
      * @param crowdedIdleMs how soon
      */
-    public JettyServer(
+    public JettyHttpServer(
             ThreadPool threads,
             Scheduler scheduler,
             ByteBufferPool buffers,
-            Map<String, Handler> served,
+            Map<String, HttpHandler> served,
             String peerAddress,
             long idleTimeoutMs,
             int connections,
@@ -86,30 +86,30 @@
 
     // Jetty 12.0 has no successor yet that gives the body as an array.
     @SuppressWarnings("removal")
-    private static void serve(Handler handler, int limit, Request request, Response response, Callback callback) {
+    private static void serve(HttpHandler handler, int limit, Request request, Response response, Callback callback) {
         if (request.getLength() > limit) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
-            send(new Caller.Answer(400, new byte[0]), response, callback);
+            send(new HttpCaller.Response(400, new byte[0]), response, callback);
             return;
         }
         Content.Source.asByteArrayAsync(request, limit).whenComplete((body, failure) -> {
             if (failure != null) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                send(new Caller.Answer(400, new byte[0]), response, callback);
+                send(new HttpCaller.Response(400, new byte[0]), response, callback);
                 return;
             }
             try {
                 handler.handle(
-                        new Caller.Call(
+                        new HttpCaller.Request(
                                 null, request.getMethod(), request.getHttpURI().getPathQuery(), body),
                         answer -> send(answer, response, callback));
             } catch (RuntimeException e) {
-                send(new Caller.Answer(500, new byte[0]), response, callback);
+                send(new HttpCaller.Response(500, new byte[0]), response, callback);
             }
         });
     }
 
-    private static void send(Caller.Answer answer, Response response, Callback callback) {
+    private static void send(HttpCaller.Response answer, Response response, Callback callback) {
         response.setStatus(answer.status());
         if (answer.retryAfterS() > 0) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, answer.retryAfterS());
--- a/src/main/java/notchpick/transport/SerialLoop.java
+++ b/src/main/java/notchpick/transport/SerialEventLoop.java
@@ -12,12 +12,12 @@
  * message. Work is done one after the other, as by one thread, but a request need not be handed from
  * the thread that read it to another and back, which would cost more than most requests themselves.
  */
-public final class SerialLoop implements EventLoop {
+public final class SerialEventLoop implements EventLoop {
     private final Queue<Runnable> mailbox = new ConcurrentLinkedQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
     private final ScheduledThreadPoolExecutor timers;
 
-    public SerialLoop() {
+    public SerialEventLoop() {
         timers = new ScheduledThreadPoolExecutor(1, work -> new Thread(work, "actors"));
         timers.setRemoveOnCancelPolicy(true);
     }
@@ -55,7 +55,7 @@
         try {
             work.run();
         } catch (Throwable e) {
-            LoggerFactory.getLogger(SerialLoop.class).error("uncaught: {}", e.toString(), e);
+            LoggerFactory.getLogger(SerialEventLoop.class).error("uncaught: {}", e.toString(), e);
         }
     }
 }
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -11,15 +11,15 @@
 import java.util.function.IntSupplier;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import notchpick.coordination.Deployment.Limit;
-import notchpick.protocol.InvalidMessage;
-import notchpick.scheduling.Amounts;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.scheduling.MachineType;
-import notchpick.standin.Network.Cut;
-import notchpick.standin.SimulatedCluster;
-import notchpick.standin.SimulatedCluster.Timing;
-import notchpick.standin.Transcript;
-import notchpick.standin.WorkerStandIn;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedCluster.Timing;
+import notchpick.simulation.SimulatedNetwork.Cut;
+import notchpick.simulation.SimulatedWorker;
+import notchpick.simulation.Transcript;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -110,15 +110,15 @@
     private Random random;
     private int wideJobs;
 
-    private void begin(int seed, Transcript transcript) throws InvalidMessage {
+    private void begin(int seed, Transcript transcript) throws InvalidMessageException {
         random = new Random(seed);
         Setting setting = SETTINGS.get(Math.floorMod(seed - 1 + (seed - 1) / PAIRS, SETTINGS.size()));
         cluster = new SimulatedCluster(
                 setting.controllers(),
                 List.of(
-                        new Limit("a", Amounts.NONE, new Amounts(40, 0, 0)),
-                        new Limit("b", Amounts.NONE, Amounts.NONE)),
-                List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 2, List.of("east", "west"))),
+                        new Quota("a", Resources.NONE, new Resources(40, 0, 0)),
+                        new Quota("b", Resources.NONE, Resources.NONE)),
+                List.of(new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 2, List.of("east", "west"))),
                 500,
                 150,
                 null,
@@ -146,12 +146,12 @@
     private void trySubmit(String job) {
         try {
             submit(job, Map.of("tasks", "3", "team", "b"), 5);
-        } catch (InvalidMessage e) {
+        } catch (InvalidMessageException e) {
             throw new IllegalArgumentException(job, e);
         }
     }
 
-    private void submit(String job, Map<String, String> options, double runS) throws InvalidMessage {
+    private void submit(String job, Map<String, String> options, double runS) throws InvalidMessageException {
         cluster.submit(Submissions.submission(job, options), runS, 0.8, false);
     }
 
@@ -207,8 +207,8 @@
                 cluster.lateReports(0.5, trouble == Trouble.REPORTS_FOR_NEXT);
                 later(forMs, "no more copies", () -> cluster.lateReports(0, false));
             }
-            case MACHINES_DEAF -> machines(forMs, WorkerStandIn::deaf);
-            case MACHINES_MUTE -> machines(forMs, WorkerStandIn::mute);
+            case MACHINES_DEAF -> machines(forMs, SimulatedWorker::deaf);
+            case MACHINES_MUTE -> machines(forMs, SimulatedWorker::mute);
             case MACHINES_HANG ->
                 cluster.workers().stream()
                         .limit(between(1, 6))
@@ -283,11 +283,11 @@
     }
 
     private interface Fault {
-        void set(WorkerStandIn worker, boolean on);
+        void set(SimulatedWorker worker, boolean on);
     }
 
     private void machines(long forMs, Fault fault) {
-        List<WorkerStandIn> some =
+        List<SimulatedWorker> some =
                 cluster.workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
         later(forMs, "machines are well", () -> some.forEach(worker -> fault.set(worker, false)));
@@ -320,7 +320,7 @@
         String job = String.format("run-02%04d", wideJobs++);
         try {
             submit(job, Map.of("tasks", "24", "team", "b", "urgency", "high", "due", "60"), 60);
-        } catch (InvalidMessage e) {
+        } catch (InvalidMessageException e) {
             throw new IllegalArgumentException(job, e);
         }
         later(between(20, 6000), "users cancel " + job, () -> cluster.cancel(job));
@@ -340,13 +340,13 @@
 
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void noRuleIsBrokenWhereTroublesMeet(int seed) throws InvalidMessage {
+    void noRuleIsBrokenWhereTroublesMeet(int seed) throws InvalidMessageException {
         try (Transcript transcript = Transcript.open("fault-combination-" + seed)) {
             play(seed, transcript);
         }
     }
 
-    private void play(int seed, Transcript transcript) throws InvalidMessage {
+    private void play(int seed, Transcript transcript) throws InvalidMessageException {
         begin(seed, transcript);
         List<Trouble> troubles = new ArrayList<>(pair(seed));
         if (random.nextBoolean()) {
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -18,17 +18,34 @@
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/notchpick");
     private static final List<String> BELOW_COORDINATION =
-            List.of("transport", "scheduling", "protocol", "bookkeeping");
+            List.of("transport", "scheduling", "model", "protocol", "storage");
     /** Layers, and whom each may know besides itself; below a layer lie packages of their own. */
-    private static final Map<String, List<String>> MAY_KNOW = Map.of(
-            "transport", List.of(),
-            "scheduling", List.of(),
-            "protocol", List.of("transport", "scheduling"),
-            "bookkeeping", List.of("transport", "scheduling", "protocol"),
-            "coordination", BELOW_COORDINATION,
-            "coordination.membership", above("coordination"),
-            "coordination.users", above("coordination", "coordination.membership"),
-            "coordination.leading", above("coordination", "coordination.membership"));
+    private static final Map<String, List<String>> MAY_KNOW = Map.ofEntries(
+            Map.entry("transport", List.of()),
+            Map.entry("scheduling", List.of()),
+            Map.entry("protocol", List.of("transport", "scheduling")),
+            Map.entry("model", List.of("transport", "scheduling")),
+            Map.entry("storage", List.of("transport", "scheduling", "protocol", "model")),
+            Map.entry("coordination", BELOW_COORDINATION),
+            Map.entry("coordination.membership", above("coordination")),
+            Map.entry("coordination.userapi", above("coordination", "coordination.membership")),
+            Map.entry("coordination.leader.term", above("coordination")),
+            Map.entry("coordination.leader.heartbeat", above("coordination", "coordination.leader.term")),
+            Map.entry("coordination.leader.jobs", above("coordination", "coordination.leader.term")),
+            Map.entry("coordination.leader.scaling", above("coordination", "coordination.leader.term")),
+            Map.entry(
+                    "coordination.leader.allocation",
+                    above("coordination", "coordination.membership", "coordination.leader.term")),
+            Map.entry(
+                    "coordination.leader",
+                    above(
+                            "coordination",
+                            "coordination.membership",
+                            "coordination.leader.term",
+                            "coordination.leader.heartbeat",
+                            "coordination.leader.jobs",
+                            "coordination.leader.scaling",
+                            "coordination.leader.allocation")));
 
     private static final Pattern IMPORT = Pattern.compile("import (?:static )?notchpick\\.([a-z.]+)\\.");
     private static final Pattern WIRE_WORD = Pattern.compile(
@@ -80,12 +97,17 @@
 
     /**
      * Opinions of links and peers choose whom to ask. What frees a task, a machine or a term rests on facts: of the
-     * leader's parts only the one that gives way and the one that leases room out know of them.
+     * leader's parts only the one that steps down and the one that leases resources out know of them, and what hands
+     * the controller's collaborators to these two.
      */
     @Test
     void nothingThatFreesAsksHowALinkIs() throws IOException {
         List<String> asking = new ArrayList<>();
-        for (String layer : List.of("bookkeeping", "coordination.leading")) {
+        for (String layer : MAY_KNOW.keySet()) {
+            if (!layer.startsWith("coordination.leader")
+                    && !List.of("model", "storage").contains(layer)) {
+                continue;
+            }
             for (Path file : sources(layer)) {
                 if (Files.readString(file).contains("notchpick.coordination.membership.")) {
                     asking.add(file.getFileName().toString());
@@ -93,7 +115,8 @@
             }
         }
         asking.sort(null);
-        assertEquals(List.of("Leader.java", "ResourceLeases.java"), asking);
+        assertEquals(
+                List.of("Leader.java", "LeaderEnvironment.java", "ResourceLeases.java", "StepDownPolicy.java"), asking);
     }
 
     @Test
@@ -107,15 +130,10 @@
 
     @Test
     void theUsersWordsStayInProtocol() throws IOException {
-        for (String layer : List.of(
-                "transport",
-                "scheduling",
-                "bookkeeping",
-                "coordination",
-                "coordination.users",
-                "coordination.leading",
-                "coordination.membership",
-                "app")) {
+        List<String> layers = new ArrayList<>(MAY_KNOW.keySet());
+        layers.remove("protocol");
+        layers.add("app");
+        for (String layer : layers) {
             for (Path file : sources(layer)) {
                 Matcher matcher = WIRE_WORD.matcher(Files.readString(file));
                 assertEquals(false, matcher.find(), () -> file + ": " + matcher.group());
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.stream.IntStream;
-import notchpick.coordination.Deployment.Limit;
-import notchpick.scheduling.Amounts;
+import notchpick.coordination.Deployment.Quota;
 import notchpick.scheduling.MachineType;
-import notchpick.standin.Network.Cut;
-import notchpick.standin.SimulatedCluster;
-import notchpick.standin.Transcript;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedNetwork.Cut;
+import notchpick.simulation.Transcript;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,8 +36,8 @@
     private static SimulatedCluster cluster(Transcript transcript) throws Exception {
         SimulatedCluster cluster = new SimulatedCluster(
                 CONTROLLERS,
-                List.of(new Limit("a", Amounts.NONE, new Amounts(70, 0, 0))),
-                List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 5, List.of("east", "west"))),
+                List.of(new Quota("a", Resources.NONE, new Resources(70, 0, 0))),
+                List.of(new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 5, List.of("east", "west"))),
                 400,
                 100,
                 null,
--- a/src/test/java/notchpick/ScenarioDeployment.java
+++ b/src/test/java/notchpick/ScenarioDeployment.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import notchpick.coordination.Deployment.Limit;
-import notchpick.scheduling.Amounts;
+import notchpick.coordination.Deployment.Quota;
 import notchpick.scheduling.MachineType;
-import notchpick.standin.SimulatedCluster;
-import notchpick.standin.SimulatedCluster.Limits;
-import notchpick.standin.SimulatedCluster.Timing;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedCluster.Limits;
+import notchpick.simulation.SimulatedCluster.Timing;
 
 /** What is said of the deployment, as far as it differs from the usual. */
 final class ScenarioDeployment {
@@ -17,7 +17,7 @@
     private Limits next;
     private Timing timing = Timing.DEFAULT;
     private boolean nextIsNews;
-    private final List<Limit> teams = new ArrayList<>();
+    private final List<Quota> teams = new ArrayList<>();
     private final List<MachineType> types = new ArrayList<>();
     private final List<String[]> pools = new ArrayList<>();
 
@@ -36,14 +36,14 @@
                         Double.parseDouble(words[2]), Double.parseDouble(words[4]), Double.parseDouble(words[6]));
             case "controllers" -> controllers = Integer.parseInt(words[1]);
             case "team" ->
-                teams.add(new Limit(
+                teams.add(new Quota(
                         words[1],
-                        new Amounts(Double.parseDouble(words[2]), 0, 0),
-                        new Amounts(Double.parseDouble(words[3]), 0, 0)));
+                        new Resources(Double.parseDouble(words[2]), 0, 0),
+                        new Resources(Double.parseDouble(words[3]), 0, 0)));
             case "type" ->
                 types.add(new MachineType(
                         words[1],
-                        new Amounts(Double.parseDouble(words[2]), Double.parseDouble(words[3]), 64),
+                        new Resources(Double.parseDouble(words[2]), Double.parseDouble(words[3]), 64),
                         100,
                         1,
                         1,
@@ -63,9 +63,9 @@
 
     /** The deployment as described. */
     SimulatedCluster start() {
-        List<Limit> allTeams = teams.isEmpty() ? List.of(new Limit("a", Amounts.NONE, Amounts.NONE)) : teams;
+        List<Quota> allTeams = teams.isEmpty() ? List.of(new Quota("a", Resources.NONE, Resources.NONE)) : teams;
         List<MachineType> allTypes = types.isEmpty()
-                ? List.of(new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east", "west")))
+                ? List.of(new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east", "west")))
                 : types;
         SimulatedCluster cluster = new SimulatedCluster(
                 controllers, allTeams, allTypes, requestsPerS, writesPerS, next, nextIsNews, timing);
--- a/src/test/java/notchpick/ScenarioExpectations.java
+++ b/src/test/java/notchpick/ScenarioExpectations.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToIntFunction;
-import notchpick.standin.SimulatedCluster;
-import notchpick.standin.WorkerStandIn;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedWorker;
 
 /** What a scenario expects to have come about. */
 final class ScenarioExpectations {
@@ -27,7 +27,7 @@
             entry(
                     "running",
                     cluster -> cluster.workers().stream()
-                            .mapToInt(WorkerStandIn::live)
+                            .mapToInt(SimulatedWorker::live)
                             .sum()),
             entry("machines", cluster -> cluster.cloud().machines().size()),
             entry("starts", cluster -> cluster.rules().starts()),
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -5,18 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import notchpick.protocol.InvalidMessage;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
-import notchpick.standin.CloudStandIn.Listing;
-import notchpick.standin.Network.Cut;
-import notchpick.standin.SimulatedCluster;
-import notchpick.standin.WorkerStandIn;
+import notchpick.simulation.SimulatedCloud.Listing;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedNetwork.Cut;
+import notchpick.simulation.SimulatedWorker;
 
 /** What a scenario's lines bring about, verb by verb. */
 final class ScenarioVerbs {
     /** What a verb does. */
     private interface Verb {
-        void run(SimulatedCluster cluster, String[] words) throws InvalidMessage;
+        void run(SimulatedCluster cluster, String[] words) throws InvalidMessageException;
     }
 
     private static final Map<String, Verb> VERBS = Map.ofEntries(
@@ -179,7 +179,7 @@
     }
 
     /** Carries out one line of a scenario. */
-    static void play(SimulatedCluster cluster, String[] words) throws InvalidMessage {
+    static void play(SimulatedCluster cluster, String[] words) throws InvalidMessageException {
         Verb verb = VERBS.get(words[2]);
         if (verb == null) {
             throw new IllegalArgumentException("unknown word " + words[2]);
@@ -204,8 +204,8 @@
     }
 
     /** All machines, those of a zone, or the first so many. */
-    private static List<WorkerStandIn> some(SimulatedCluster cluster, String which) {
-        List<WorkerStandIn> all = cluster.workers();
+    private static List<SimulatedWorker> some(SimulatedCluster cluster, String which) {
+        List<SimulatedWorker> all = cluster.workers();
         if (Character.isDigit(which.charAt(0))) {
             return all.stream().limit(Integer.parseInt(which)).toList();
         }
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import notchpick.protocol.InvalidMessage;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
-import notchpick.standin.SimulatedCluster;
+import notchpick.simulation.SimulatedCluster;
 
 /** What users submit in tests: jobs, streams of jobs, and what must not be accepted. */
 final class Submissions {
@@ -62,7 +62,8 @@
     private Submissions() {}
 
     /** So many jobs a second for a while, a share of which their users call off a second or two later. */
-    static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options) throws InvalidMessage {
+    static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options)
+            throws InvalidMessageException {
         double perS = Double.parseDouble(options.get("per-second"));
         int jobs = (int) (perS * Double.parseDouble(options.get("for")));
         double share = Double.parseDouble(options.getOrDefault("cancel", "0"));
@@ -73,7 +74,7 @@
             cluster.simulation().after(at, () -> {
                 try {
                     submit(cluster, id, options);
-                } catch (InvalidMessage e) {
+                } catch (InvalidMessageException e) {
                     throw new IllegalArgumentException(id, e);
                 }
             });
@@ -160,7 +161,8 @@
     }
 
     /** Submits a job; what the service is not told, such as its run time, goes to the stand-ins. */
-    static void submit(SimulatedCluster cluster, String job, Map<String, String> options) throws InvalidMessage {
+    static void submit(SimulatedCluster cluster, String job, Map<String, String> options)
+            throws InvalidMessageException {
         cluster.submit(
                 submission(job, options),
                 Double.parseDouble(options.getOrDefault("run", "20")),
--- a/src/test/java/notchpick/app/LinkReportTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
-import notchpick.protocol.PeerWire;
+import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
-import notchpick.scheduling.Objectives;
-import notchpick.transport.Caller.Answer;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
 /** What operators see of the links: a refused connection, silence and an older version are told apart. */
-class LinkReportTest {
+class LinkStatusCommandTest {
     @Test
     void tellsWhatEachControllerSees() throws Exception {
         LinkTable table = new LinkTable(
@@ -38,7 +38,7 @@
                 "s:1",
                 List.of("east"),
                 List.of(),
-                Objectives.NONE,
+                ServiceObjectives.NONE,
                 3,
                 20,
                 40,
@@ -50,16 +50,16 @@
                 3,
                 100);
         List<String> text = new ArrayList<>();
-        for (LinkReport.Asked asked : LinkReport.ask(
+        for (LinkStatusCommand.Asked asked : LinkStatusCommand.ask(
                 deployment,
                 (call, timeoutMs, then) -> then.accept(
                         switch (call.target()) {
-                            case "a:2" -> new Answer(200, PeerWire.bytes(table));
-                            case "b:2" -> Answer.UNSENT;
-                            case "c:2" -> Answer.NONE;
-                            default -> new Answer(400, new byte[0]);
+                            case "a:2" -> new Response(200, PeerProtocol.bytes(table));
+                            case "b:2" -> Response.UNSENT;
+                            case "c:2" -> Response.NONE;
+                            default -> new Response(400, new byte[0]);
                         }))) {
-            text.addAll(LinkReport.text(asked)
+            text.addAll(LinkStatusCommand.text(asked)
                     .lines()
                     .map(line -> line.strip().replaceAll(" +", " "))
                     .toList());
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
-import notchpick.scheduling.Objectives.Kind;
-import notchpick.scheduling.Objectives.Objective;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -44,7 +44,7 @@
         assertEquals(
                 List.of(new Objective(Kind.FINISHED, 150), new Objective(Kind.STARTED, 90)),
                 deployment.objectives().byClass().get("c"));
-        assertTrue(deployment.limit("a").allows(new notchpick.scheduling.Amounts(1000, 0, 0)));
+        assertTrue(deployment.quota("a").allows(new notchpick.scheduling.Resources(1000, 0, 0)));
     }
 
     @Test
@@ -65,8 +65,8 @@
     void theGraceOfALapsedLeaderFitsIntoACancellationsTime() throws Exception {
         Deployment deployment = Settings.read(file("s.json", GOOD));
         // 42 s less the worker's lease of 22, the leader's of 8 and a report; at most half the worker's lease.
-        assertEquals(9000, deployment.graceMs(8));
-        assertEquals(11000, deployment.graceMs(3.3));
+        assertEquals(9000, deployment.gracePeriodMs(8));
+        assertEquals(11000, deployment.gracePeriodMs(3.3));
     }
 
     @ParameterizedTest
@@ -93,7 +93,7 @@
         assertEquals(Tuning.DEFAULT, TuningFile.read(file("t.json", "{}")));
         assertEquals(
                 60,
-                TuningFile.read(file("t.json", "{\"commitmentMemoryS\":60}")).tauS());
+                TuningFile.read(file("t.json", "{\"commitmentMemoryS\":60}")).commitmentDecayS());
         for (String wrong : new String[] {"{\"commitmentMemoryS\":-1}", "{\"commitmentMemory\":60}"}) {
             Path file = file("t.json", wrong);
             Settings.Unusable fault = assertThrows(Settings.Unusable.class, () -> TuningFile.read(file));
--- a/src/test/java/notchpick/rehearsal/Rehearsal.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -1,4 +1,4 @@
-package notchpick.rehearsal;
+package notchpick.archive;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -19,7 +19,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import notchpick.protocol.Json;
-import notchpick.protocol.PeerWire;
+import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.Grant;
 import notchpick.protocol.peer.LinkTable;
 import notchpick.protocol.peer.Pulse;
@@ -27,13 +27,13 @@
 import notchpick.protocol.peer.Room;
 import notchpick.protocol.peer.StateCall;
 import notchpick.protocol.peer.Want;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
-import notchpick.standin.CloudStandIn;
-import notchpick.standin.StateStandIn;
-import notchpick.transport.Handler;
-import notchpick.transport.JettyServer;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.SimulatedCloud;
+import notchpick.simulation.SimulatedStateStore;
+import notchpick.transport.HttpHandler;
+import notchpick.transport.JettyHttpServer;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -43,37 +43,37 @@
  * can archive the classes that this takes: a controller that starts anew is then up much sooner. The
  * arguments are the command that runs the controller, but for its settings file.
  */
-public final class Rehearsal {
+public final class ClassDataArchiveTraining {
     private static final HttpClient HTTP =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
-    private Rehearsal() {}
+    private ClassDataArchiveTraining() {}
 
     /** Plays; a controller that does not come up fails the build. */
     public static void main(String[] args) throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        StateStandIn state = new StateStandIn(
+        SimulatedStateStore state = new SimulatedStateStore(
                 System::currentTimeMillis,
                 (delayMs, work) -> timer.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS),
                 12,
                 300,
                 100);
-        MachineType type = new MachineType("m8", new Amounts(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
-        CloudStandIn cloud = new CloudStandIn(
+        MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
+        SimulatedCloud cloud = new SimulatedCloud(
                 System::currentTimeMillis,
                 (delayMs, work) -> timer.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS),
                 Map.of("m8", type),
                 rented -> {},
                 name -> {});
         cloud.capacity(new Pool("m8", "east", true), 4);
-        Handler stateInTurn = (call, reply) -> timer.execute(() -> state.handle(call, reply));
-        Handler cloudInTurn = (call, reply) -> timer.execute(() -> cloud.handle(call, reply));
+        HttpHandler stateInTurn = (call, reply) -> timer.execute(() -> state.handle(call, reply));
+        HttpHandler cloudInTurn = (call, reply) -> timer.execute(() -> cloud.handle(call, reply));
         List<String> ports = freeAddresses(5);
         QueuedThreadPool threads = new QueuedThreadPool(8, 2);
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
         scheduler.start();
-        JettyServer server = new JettyServer(
+        JettyHttpServer server = new JettyHttpServer(
                 threads,
                 scheduler,
                 new ArrayByteBufferPool(),
@@ -83,8 +83,8 @@
                         ports.get(1),
                         cloudInTurn,
                         ports.get(4),
-                        (call, reply) ->
-                                reply.accept(new notchpick.transport.Caller.Answer(200, PeerWire.bytes(pulse())))),
+                        (call, reply) -> reply.accept(
+                                new notchpick.transport.HttpCaller.Response(200, PeerProtocol.bytes(pulse())))),
                 "",
                 30_000,
                 1000,
@@ -219,15 +219,23 @@
                 400L,
                 List.of(new Room("m-000000", "m8", "east", true, 8.0, 0.0, 32.0, List.of("i"))),
                 List.of(new Want("run-000001", 1.0, 0.0, 1.0, "i", null, null, true, Map.of(), List.of(0))));
-        until(200, "POST", peers + PeerWire.PATH, PeerWire.bytes(grant));
-        until(200, "POST", peers + PeerWire.PATH, PeerWire.bytes(pulse()));
-        until(200, "POST", peers + PeerWire.PATH, PeerWire.bytes(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
-        until(200, "POST", peers + PeerWire.PATH, PeerWire.bytes(new StateCall("GET", "/keys/term", null, 1000L)));
+        until(200, "POST", peers + PeerProtocol.PATH, PeerProtocol.bytes(grant));
+        until(200, "POST", peers + PeerProtocol.PATH, PeerProtocol.bytes(pulse()));
         until(
                 200,
                 "POST",
-                peers + PeerWire.PATH,
-                PeerWire.bytes(new ReportBatch(3000L, List.of(ByteBuffer.wrap(report(100, 1, null))))));
+                peers + PeerProtocol.PATH,
+                PeerProtocol.bytes(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
+        until(
+                200,
+                "POST",
+                peers + PeerProtocol.PATH,
+                PeerProtocol.bytes(new StateCall("GET", "/keys/term", null, 1000L)));
+        until(
+                200,
+                "POST",
+                peers + PeerProtocol.PATH,
+                PeerProtocol.bytes(new ReportBatch(3000L, List.of(ByteBuffer.wrap(report(100, 1, null))))));
         until(200, "POST", users + "/submissions/run-000001/abort", new byte[0]);
         call("GET", users + "/submissions/run-000003", null);
         call("GET", users + "/submissions/run-999999", null);
--- /dev/null
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -0,0 +1,228 @@
+package notchpick.coordination.leader.allocation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.AbstractList;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Tuning;
+import notchpick.coordination.leader.term.TermContext;
+import notchpick.coordination.membership.LinkMonitor;
+import notchpick.coordination.membership.PeerMembership;
+import notchpick.model.ClusterState;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.model.MachineTypeCatalog;
+import notchpick.model.TaskAssignment;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.peer.Envelope;
+import notchpick.protocol.peer.Grant;
+import notchpick.protocol.peer.Placed;
+import notchpick.protocol.peer.Placements;
+import notchpick.protocol.peer.Pulse;
+import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.MachineType;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.RuntimeEstimator;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.scheduling.TestJobs;
+import notchpick.simulation.SimulatedTime;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Response;
+import org.junit.jupiter.api.Test;
+
+/** Only the holder of a current lease can place, and only within its room. */
+class ResourceAllocatorTest {
+    private static final long TERM = 7;
+    private final SimulatedTime simulation = new SimulatedTime();
+    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final ClusterState cluster = new ClusterState(over -> {});
+    private final List<TaskAssignment> bound = new ArrayList<>();
+    private Grant granted;
+
+    private final Deployment deployment = new Deployment(
+            "n-0",
+            "a:1",
+            "a:2",
+            List.of(new Peer("n-1", "b:2")),
+            "c:1",
+            "s:1",
+            List.of("east"),
+            List.of(
+                    new Quota("a", Resources.NONE, Resources.NONE),
+                    new Quota("b", Resources.NONE, new Resources(4, 0, 0))),
+            ServiceObjectives.NONE,
+            3,
+            20,
+            40,
+            100,
+            100,
+            16 << 10,
+            12,
+            5,
+            3,
+            100);
+    private final PeerMembership peers = new PeerMembership(
+            loop,
+            deployment,
+            (call, timeoutMs, then) -> {
+                if (PeerProtocol.body(call.body()) instanceof Grant grant) {
+                    granted = grant;
+                } else {
+                    then.accept(Response.NONE);
+                }
+            },
+            () -> pulse("n-0"),
+            pulse -> {},
+            new LinkMonitor(loop, deployment),
+            () -> null);
+    private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
+    private final TermContext context =
+            new TermContext(TERM, loop, loop::after, deployment, cluster, machineTypes, new RuntimeEstimator());
+    private final ResourceLeases leases =
+            new ResourceLeases(context, Tuning.DEFAULT, peers, new ResourceLeases.Listener() {
+                @Override
+                public void taskPlaced(TaskAssignment assignment) {
+                    bound.add(assignment);
+                }
+
+                @Override
+                public void resourcesReturned() {}
+            });
+    private final ResourceAllocator allocator = new ResourceAllocator(context, Tuning.DEFAULT, leases);
+
+    ResourceAllocatorTest() {
+        machineTypes.update(
+                List.of(new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 2, List.of("east"))));
+    }
+
+    private static Pulse pulse(String node) {
+        return new Pulse(node, TERM, "n-0", true, 0, List.of());
+    }
+
+    /** Team b's jobs are held by the peer, which is alive. */
+    private Job leaseToPeer(int tasks) {
+        peers.tell(new PeerMembership.Heard(pulse("n-1")));
+        addReadyMachine("m-1");
+        Job job = new Job(TestJobs.job("run-1").team("b").tasks(tasks).build(), 1);
+        cluster.addJob(job);
+        simulation.runUntil(10);
+        allocator.runRound();
+        return job;
+    }
+
+    private Placements placements(String node, long lease, int... tasks) {
+        List<Placed> placed = new ArrayList<>();
+        for (int task : tasks) {
+            placed.add(new Placed("run-1", task, "m-1"));
+        }
+        return new Placements(TERM, lease, node, placed);
+    }
+
+    @Test
+    void leasesRoomUpToTheTeamsLimit() {
+        leaseToPeer(6);
+        assertEquals(4, granted.getRooms().get(0).getCores());
+        assertEquals(TERM, granted.getLease() >> 24);
+        leases.placed(placements("n-1", granted.getLease(), 0, 1, 2, 3));
+        assertEquals(4, bound.size());
+        assertTrue(bound.stream().allMatch(b -> b.attempt() == granted.getLease()));
+    }
+
+    @Test
+    void refusesAnybodyButTheHolder() {
+        Job job = leaseToPeer(2);
+        leases.placed(placements("n-2", granted.getLease(), 0));
+        leases.placed(placements("n-1", granted.getLease() + 1, 0));
+        leases.placed(new Placements(
+                TERM - 1, granted.getLease(), "n-1", placements("n-1", 0, 0).getPlaced()));
+        assertEquals(List.of(), bound);
+        assertEquals(2, job.leasedTasks());
+    }
+
+    @Test
+    void refusesWhatTheLeaseDoesNotCover() {
+        leaseToPeer(2);
+        leases.placed(placements("n-1", granted.getLease(), 0, 0, 5));
+        assertEquals(1, bound.size());
+    }
+
+    @Test
+    void aLapsedLeaseCoversNothing() {
+        Job job = leaseToPeer(2);
+        simulation.runUntil(10 + Tuning.DEFAULT.resourceLeaseMs() + 1);
+        assertEquals(2, job.pendingTasks());
+        leases.placed(placements("n-1", granted.getLease(), 0));
+        assertEquals(List.of(), bound);
+    }
+
+    /** Allows machine type m8 and counts how often it is asked. */
+    private static final class AnyType extends AbstractList<String> {
+        private final AtomicInteger looks;
+
+        AnyType(AtomicInteger looks) {
+            this.looks = looks;
+        }
+
+        @Override
+        public String get(int index) {
+            return "m8";
+        }
+
+        @Override
+        public int size() {
+            return 1;
+        }
+
+        @Override
+        public boolean contains(Object type) {
+            looks.incrementAndGet();
+            return true;
+        }
+    }
+
+    private void addReadyMachine(String name) {
+        Machine machine = new Machine(name, new Pool("m8", "east", true), new Resources(8, 0, 64), loop.now());
+        machine.markReady(loop.now());
+        machine.setReconciled(true);
+        cluster.addMachine(machine);
+    }
+
+    /** Not with tasks x jobs x machines: here that would be 400 million looks at a machine. */
+    @Test
+    void aRoundsWorkGrowsWithWhatItGrants() {
+        AtomicInteger looks = new AtomicInteger();
+        List<String> anyType = new AnyType(looks);
+        for (int i = 0; i < 1000; i++) {
+            addReadyMachine("m-" + i);
+        }
+        int tasks = 0;
+        for (int i = 0; i < 200; i++) {
+            String id = "run-" + i;
+            cluster.addJob(new Job(
+                    TestJobs.job(id)
+                            .tasks(10)
+                            .types(anyType)
+                            .image("i" + i % 10)
+                            .build(),
+                    1));
+            tasks += 10;
+        }
+        allocator.runRound();
+        assertEquals(tasks, bound.size());
+        assertTrue(looks.get() <= 12 * tasks, looks + " looks at machines for " + tasks + " tasks");
+    }
+
+    @Test
+    void envelopesSurviveTheWire() {
+        leaseToPeer(2);
+        assertEquals(granted, PeerProtocol.body(PeerProtocol.bytes(granted)));
+        assertEquals(null, PeerProtocol.body(new byte[] {9, 9, 9}));
+        assertEquals(pulse("x"), new Envelope(pulse("x")).getBody());
+    }
+}
--- a/src/test/java/notchpick/coordination/membership/ElectorTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -6,43 +6,44 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Random;
-import notchpick.bookkeeping.Records;
 import notchpick.protocol.Json;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateApi.Transaction;
-import notchpick.standin.Simulation;
-import notchpick.standin.StateStandIn;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.simulation.SimulatedStateStore;
+import notchpick.simulation.SimulatedTime;
+import notchpick.storage.Records;
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
 /** A store of another form is refused, not misread. */
-class ElectorTest {
-    private final Simulation simulation = new Simulation();
+class LeaderElectionTest {
+    private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
-    private final StateStandIn state = new StateStandIn(simulation::now, simulation::after, 12, 300, 100);
-    private final StateApi api = new StateApi(
+    private final SimulatedStateStore state = new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
+    private final StateStoreClient api = new StateStoreClient(
             (call, timeoutMs, hasty, then) -> simulation.after(5, () -> state.handle(call, then)),
             loop,
             "s:1",
             1500,
             250);
     private int elections;
-    private final Elector elector = new Elector(loop, "n-0", api, new Random(1), 3000, () -> 0, new Elector.Listener() {
-        @Override
-        public void elected(long term, long version, long claimUntil) {
-            elections++;
-        }
+    private final LeaderElection elector =
+            new LeaderElection(loop, "n-0", api, new Random(1), 3000, () -> 0, new LeaderElection.Listener() {
+                @Override
+                public void elected(ElectedTerm term) {
+                    elections++;
+                }
 
-        @Override
-        public void claimRenewed(long claimUntil) {}
+                @Override
+                public void leaseRenewed(long leaseUntil) {}
 
-        @Override
-        public void deposed() {}
-    });
+                @Override
+                public void deposed() {}
+            });
 
     private void left(ObjectNode term) {
         api.commit(new Transaction().put(Records.TERM, term), result -> {});
-        elector.tell(new Elector.Begin());
+        elector.tell(new LeaderElection.Begin());
         simulation.runUntil(10_000);
     }
 
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import notchpick.protocol.Json;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
-import notchpick.standin.CloudStandIn;
-import notchpick.standin.InvariantChecker;
-import notchpick.standin.Simulation;
-import notchpick.standin.StateStandIn;
-import notchpick.standin.WorkerStandIn;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Call;
-import notchpick.transport.Handler;
-import notchpick.transport.JettyCaller;
-import notchpick.transport.JettyServer;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.InvariantChecker;
+import notchpick.simulation.SimulatedCloud;
+import notchpick.simulation.SimulatedStateStore;
+import notchpick.simulation.SimulatedTime;
+import notchpick.simulation.SimulatedWorker;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpHandler;
+import notchpick.transport.JettyHttpCaller;
+import notchpick.transport.JettyHttpServer;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -36,7 +36,7 @@
  * machines (0: only the start), seconds of measuring, seconds that a task runs, and the command that runs the
  * controller, but for its settings file. The stand-ins keep real time here.
  */
-public final class FleetLoad implements WorkerStandIn.Jobs {
+public final class FleetLoad implements SimulatedWorker.Jobs {
     private static final double REPORT_S = 5;
     private static final int TASKS_A_MACHINE = 4;
     private static final int TASKS_A_JOB = 200;
@@ -44,12 +44,12 @@
 
     private final int machines;
     private final double runS;
-    private final Simulation simulation = new Simulation();
+    private final SimulatedTime simulation = new SimulatedTime();
     private final ConcurrentLinkedQueue<Runnable> arrived = new ConcurrentLinkedQueue<>();
     private final long startedAt = System.nanoTime();
     private final Map<String, Long> saved = new HashMap<>();
     private final InvariantChecker rules = new InvariantChecker(simulation::now, 60_000, Map.of());
-    private final Amounts demand = new Amounts(2, 0, 4);
+    private final Resources demand = new Resources(2, 0, 4);
     private long reports;
     private int jobs;
 
@@ -71,26 +71,26 @@
                 ports.add("127.0.0.1:" + socket.getLocalPort());
             }
         }
-        StateStandIn state = new StateStandIn(simulation::now, simulation::after, 12, 1000, 60);
+        SimulatedStateStore state = new SimulatedStateStore(simulation::now, simulation::after, 12, 1000, 60);
         Map<String, MachineType> types = new LinkedHashMap<>();
-        types.put("m8", new MachineType("m8", new Amounts(8, 0, 32), 50, 1, 1, 0.3, 5, List.of("east", "west")));
+        types.put("m8", new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 5, List.of("east", "west")));
         QueuedThreadPool threads = new QueuedThreadPool(16, 4);
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
         scheduler.start();
-        JettyCaller sockets = new JettyCaller(threads, scheduler, Math.max(4, 2 * machines), 2000);
-        Caller caller = (call, timeoutMs, then) ->
+        JettyHttpCaller sockets = new JettyHttpCaller(threads, scheduler, Math.max(4, 2 * machines), 2000);
+        HttpCaller caller = (call, timeoutMs, then) ->
                 sockets.call(call, timeoutMs, answer -> arrived.add(() -> then.accept(answer)));
-        Caller worker = (call, timeoutMs, then) -> {
+        HttpCaller worker = (call, timeoutMs, then) -> {
             reports++;
             caller.call(call, timeoutMs, then);
         };
         Map<String, String> controllers = Map.of("r-0", ports.get(2));
-        CloudStandIn cloud = new CloudStandIn(
+        SimulatedCloud cloud = new SimulatedCloud(
                 simulation::now,
                 simulation::after,
                 types,
-                rented -> new WorkerStandIn(
+                rented -> new SimulatedWorker(
                         simulation,
                         worker,
                         rules,
@@ -106,9 +106,9 @@
                 name -> {});
         cloud.capacity(new Pool("m8", "east", true), machines / 2);
         cloud.capacity(new Pool("m8", "west", true), machines - machines / 2);
-        Handler stateInTurn = (call, reply) -> arrived.add(() -> state.handle(call, reply));
-        Handler cloudInTurn = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
-        new JettyServer(
+        HttpHandler stateInTurn = (call, reply) -> arrived.add(() -> state.handle(call, reply));
+        HttpHandler cloudInTurn = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
+        new JettyHttpServer(
                         threads,
                         scheduler,
                         new ArrayByteBufferPool(),
@@ -160,10 +160,10 @@
     }
 
     /** Tells what processor time it took until the balancer's first probe would have been answered. */
-    private void awaitReady(Caller caller, String address, Process controller) throws Exception {
+    private void awaitReady(HttpCaller caller, String address, Process controller) throws Exception {
         int[] status = {0};
         for (long now = 0; status[0] != 200 && now < 30_000; now += 5) {
-            caller.call(new Call(address, "GET", "/ready", null), 1000, answer -> status[0] = answer.status());
+            caller.call(new Request(address, "GET", "/ready", null), 1000, answer -> status[0] = answer.status());
             playUntil((System.nanoTime() - startedAt) / 1_000_000 + 5);
         }
         System.out.printf("ready after %.0f ms of processor time%n", cpuMs(controller));
@@ -208,7 +208,7 @@
     }
 
     /** Keeps twice as much waiting as runs. */
-    private void submit(Caller caller, String address) {
+    private void submit(HttpCaller caller, String address) {
         while (jobs * TASKS_A_JOB - rules.starts() < machines * TASKS_A_MACHINE * 2) {
             ObjectNode body = Json.object()
                     .put("ref", String.format("run-%06d", ++jobs))
@@ -228,7 +228,7 @@
                     .put("expectedS", runS)
                     .put("bookmarkS", 0.0)
                     .put("bookmarkWriteS", 0.0);
-            caller.call(new Call(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> {});
+            caller.call(new Request(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> {});
         }
         simulation.after(1000, () -> submit(caller, address));
     }
@@ -261,7 +261,7 @@
     }
 
     @Override
-    public Amounts demand(String job) {
+    public Resources demand(String job) {
         return demand;
     }
 
--- a/src/test/java/notchpick/bookkeeping/DependenciesTest.java
+++ b/src/test/java/notchpick/model/DependencyGraphTest.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,16 +7,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import notchpick.bookkeeping.Records.Fate;
-import notchpick.bookkeeping.Records.JobRecord;
 import org.junit.jupiter.api.Test;
 
 /** Which jobs wait, which are ready, and which fall with a cancelled one. */
-class DependenciesTest {
-    private static final JobRecord CANCELLED = new JobRecord(Fate.CANCELLED, 1, 0, 0, false);
+class DependencyGraphTest {
+    private static final JobRecord CANCELLED = new JobRecord(JobStatus.CANCELLED, 1, 0, 0, false);
 
     private final Set<String> open = new HashSet<>();
-    private final Dependencies dependencies = new Dependencies(open::contains);
+    private final DependencyGraph dependencies = new DependencyGraph(open::contains);
 
     private void open(String job, String... needs) {
         open.add(job);
@@ -29,7 +27,7 @@
     }
 
     private static JobRecord done(long at) {
-        return new JobRecord(Fate.DONE, 1, 1, at, false);
+        return new JobRecord(JobStatus.DONE, 1, 1, at, false);
     }
 
     @Test
@@ -41,9 +39,9 @@
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.resolved("a", done(700)).isEmpty());
         close("b");
-        assertTrue(dependencies.holds("c"), "over, but nobody knows how");
+        assertTrue(dependencies.isBlocked("c"), "over, but nobody knows how");
         assertEquals(Set.of("c"), dependencies.resolved("b", done(500)));
-        assertFalse(dependencies.holds("c"));
+        assertFalse(dependencies.isBlocked("c"));
         assertEquals(700, dependencies.lastEndedAt("c"));
     }
 
@@ -52,7 +50,7 @@
         open("c", "b");
         open("b", "a");
         assertEquals(Set.of("a"), dependencies.unresolved());
-        assertTrue(dependencies.holds("c") && dependencies.holds("b"));
+        assertTrue(dependencies.isBlocked("c") && dependencies.isBlocked("b"));
         dependencies.resolved("a", CANCELLED);
         assertTrue(dependencies.isDoomed("c") && dependencies.isDoomed("b"));
     }
@@ -87,9 +85,9 @@
         close("a");
         dependencies.resolved("a", done(9));
         open("b", "a");
-        assertFalse(dependencies.holds("b"));
+        assertFalse(dependencies.isBlocked("b"));
         assertTrue(dependencies.resolved("a", CANCELLED).isEmpty());
-        assertFalse(dependencies.isDoomed("b") && dependencies.holds("b"));
+        assertFalse(dependencies.isDoomed("b") && dependencies.isBlocked("b"));
     }
 
     @Test
--- a/src/test/java/notchpick/protocol/UserWireTest.java
+++ b/src/test/java/notchpick/protocol/UserProtocolTest.java
@@ -7,14 +7,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import notchpick.bookkeeping.Records;
 import notchpick.scheduling.JobSpec;
+import notchpick.storage.Records;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What submissions are taken, and which are malformed. */
-class UserWireTest {
+class UserProtocolTest {
     private static final String GOOD = """
             {"ref":"run-000412","workclass":"train","ownerDesk":"vision","jobForm":"sweep","urgency":"high","pieces":16,
              "cores":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","sizeGb":6.2,"boxKinds":["g8"],"site":null,
@@ -26,34 +26,34 @@
     }
 
     @Test
-    void readsAndKeepsASubmission() throws InvalidMessage {
-        JobSpec spec = UserWire.submission(json(GOOD), 5);
+    void readsAndKeepsASubmission() throws InvalidMessageException {
+        JobSpec spec = UserProtocol.submission(json(GOOD), 5);
         assertEquals(16, spec.tasks());
         assertEquals(900.0, spec.deadlineS());
         assertEquals(spec, Records.spec("run-000412", json(Records.spec(spec).toString())));
     }
 
     @Test
-    void jobsThatItWaitsOnCountOnce() throws InvalidMessage {
+    void jobsThatItWaitsOnCountOnce() throws InvalidMessageException {
         ObjectNode body = json(GOOD);
-        assertEquals(List.of(), UserWire.submission(body, 0).needs());
+        assertEquals(List.of(), UserProtocol.submission(body, 0).dependencies());
         body.putNull("waitsOn");
-        assertEquals(List.of(), UserWire.submission(body, 0).needs());
+        assertEquals(List.of(), UserProtocol.submission(body, 0).dependencies());
         body.putArray("waitsOn");
-        assertEquals(List.of(), UserWire.submission(body, 0).needs());
+        assertEquals(List.of(), UserProtocol.submission(body, 0).dependencies());
         body.putArray("waitsOn").add("run-000398").add("run-000405").add("run-000398");
-        JobSpec spec = UserWire.submission(body, 0);
-        assertEquals(List.of("run-000398", "run-000405"), spec.needs());
+        JobSpec spec = UserProtocol.submission(body, 0);
+        assertEquals(List.of("run-000398", "run-000405"), spec.dependencies());
         assertEquals(spec, Records.spec("run-000412", json(Records.spec(spec).toString())));
     }
 
     @Test
-    void nullMayBeLeftOut() throws InvalidMessage {
+    void nullMayBeLeftOut() throws InvalidMessageException {
         ObjectNode body = json(GOOD);
         body.remove("site");
         body.remove("dueS");
         body.putNull("boxKinds");
-        assertNull(UserWire.submission(body, 0).types());
+        assertNull(UserProtocol.submission(body, 0).types());
     }
 
     @ParameterizedTest
@@ -84,7 +84,7 @@
         ObjectNode body = json(GOOD);
         ObjectNode patch = json("{" + wrong + "}");
         body.setAll(patch);
-        assertThrows(InvalidMessage.class, () -> UserWire.submission(body, 0));
+        assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(body, 0));
     }
 
     @ParameterizedTest
@@ -103,6 +103,6 @@
                         + "\"pieces\":[{\"piece\":\"x\",\"tryNo\":1,\"status\":\"running\"}]}"
             })
     void refusesMalformedReports(String text) {
-        assertThrows(InvalidMessage.class, () -> WorkerWire.report(json(text)));
+        assertThrows(InvalidMessageException.class, () -> WorkerProtocol.heartbeat(json(text)));
     }
 }
--- a/src/test/java/notchpick/scheduling/ConsolidationTest.java
+++ b/src/test/java/notchpick/scheduling/ConsolidationTest.java
@@ -12,7 +12,7 @@
 
 /** Half-empty machines are emptied into others, more at a time the more there are. */
 class ConsolidationTest {
-    private record Site(String name, Amounts room) implements Place {
+    private record Site(String name, Resources room) implements CandidateNode {
         @Override
         public String type() {
             return "m8";
@@ -35,33 +35,19 @@
     }
 
     private static JobSpec task() {
-        return new JobSpec(
-                "run-1",
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.LOW,
-                1,
-                new Amounts(4, 0, 4),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                10,
-                10,
-                1,
-                null,
-                0);
+        return TestJobs.job("run-1")
+                .priority(JobSpec.Priority.LOW)
+                .demand(new Resources(4, 0, 4))
+                .checkpointIntervalS(10)
+                .checkpointWriteS(1)
+                .build();
     }
 
     /** Machines of eight cores with one task of four each. */
     private static List<Candidate<Site>> halfEmpty(int count) {
         List<Candidate<Site>> machines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            machines.add(new Candidate<>(new Site("m-" + i, new Amounts(4, 0, 60)), List.of(task())));
+            machines.add(new Candidate<>(new Site("m-" + i, new Resources(4, 0, 60)), List.of(task())));
         }
         return machines;
     }
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -19,28 +19,13 @@
     private final Map<String, JobSpec> jobs = new HashMap<>();
 
     private Set<String> add(String id, Priority priority, Double dueS, double stageS, String... needs) {
-        JobSpec spec = new JobSpec(
-                id,
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                priority,
-                1,
-                new Amounts(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                20,
-                0,
-                0,
-                dueS,
-                1000,
-                List.of(needs),
-                1000);
+        JobSpec spec = TestJobs.job(id)
+                .priority(priority)
+                .estimateS(20)
+                .deadlineS(dueS)
+                .submittedAt(1000)
+                .dependencies(List.of(needs))
+                .build();
         jobs.put(id, spec);
         return path.add(spec, stageS);
     }
@@ -107,28 +92,12 @@
                         needs.add(other.id());
                     }
                 }
-                JobSpec spec = new JobSpec(
-                        "j" + i,
-                        "c",
-                        "a",
-                        JobSpec.Form.ARRAY,
-                        Priority.values()[random.nextInt(4)],
-                        1,
-                        new Amounts(1, 0, 1),
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        "i",
-                        1,
-                        20,
-                        0,
-                        0,
-                        random.nextBoolean() ? 100.0 + random.nextInt(500) : null,
-                        0,
-                        needs,
-                        0);
+                JobSpec spec = TestJobs.job("j" + i)
+                        .priority(Priority.values()[random.nextInt(4)])
+                        .estimateS(20)
+                        .deadlineS(random.nextBoolean() ? 100.0 + random.nextInt(500) : null)
+                        .dependencies(needs)
+                        .build();
                 open.add(spec);
                 steps.add(spec, 10);
             }
--- a/src/test/java/notchpick/scheduling/FleetPlanTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -5,45 +5,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import notchpick.scheduling.FleetPlan.Need;
-import notchpick.scheduling.FleetPlan.Owned;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Need;
+import notchpick.scheduling.FleetPlanner.Owned;
+import notchpick.scheduling.FleetPlanner.Pool;
 import org.junit.jupiter.api.Test;
 
 /** What is rented for a backlog, and what is given back. */
-class FleetPlanTest {
+class FleetPlannerTest {
     private static final MachineType SMALL =
-            new MachineType("small", new Amounts(4, 0, 16), 50, 1, 1.0, 0.2, 30, List.of("east", "west"));
+            new MachineType("small", new Resources(4, 0, 16), 50, 1, 1.0, 0.2, 30, List.of("east", "west"));
     private static final MachineType LARGE =
-            new MachineType("large", new Amounts(32, 0, 256), 50, 1, 9.0, 2.0, 30, List.of("east"));
+            new MachineType("large", new Resources(32, 0, 256), 50, 1, 9.0, 2.0, 30, List.of("east"));
     private static final Map<String, MachineType> TYPES = Map.of("small", SMALL, "large", LARGE);
 
     private static JobSpec job(int tasks, boolean spot, boolean service) {
-        return new JobSpec(
-                "run-1",
-                "c",
-                "a",
-                service ? JobSpec.Form.SERVICE : JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                new Amounts(2, 0, 2),
-                null,
-                null,
-                false,
-                false,
-                spot,
-                "i",
-                1,
-                20,
-                0,
-                0,
-                null,
-                0);
+        return TestJobs.job("run-1")
+                .form(service ? JobSpec.Form.SERVICE : JobSpec.Form.ARRAY)
+                .tasks(tasks)
+                .demand(new Resources(2, 0, 2))
+                .spot(spot)
+                .estimateS(20)
+                .build();
     }
 
     @Test
     void rentsCheapMachinesInBothZones() {
-        FleetPlan.Plan plan = FleetPlan.plan(
+        FleetPlanner.Plan plan = FleetPlanner.plan(
                 List.of(new Need(job(8, true, false), 8, 60, false, false)),
                 List.of(),
                 TYPES,
@@ -55,7 +42,7 @@
 
     @Test
     void shortTasksTakeTurnsWithinTheHorizon() {
-        FleetPlan.Plan plan = FleetPlan.plan(
+        FleetPlanner.Plan plan = FleetPlanner.plan(
                 List.of(new Need(job(8, true, false), 8, 20, false, false)),
                 List.of(),
                 TYPES,
@@ -67,7 +54,7 @@
 
     @Test
     void replicasRunSideBySide() {
-        FleetPlan.Plan plan = FleetPlan.plan(
+        FleetPlanner.Plan plan = FleetPlanner.plan(
                 List.of(new Need(job(4, true, true), 4, 20, false, false)),
                 List.of(),
                 TYPES,
@@ -82,7 +69,7 @@
         java.util.function.Predicate<Pool> noSpot = Pool::spot;
         assertEquals(
                 Map.of(),
-                FleetPlan.plan(
+                FleetPlanner.plan(
                                 List.of(new Need(job(2, true, false), 2, 60, false, false)),
                                 List.of(),
                                 TYPES,
@@ -92,7 +79,7 @@
                         .rent());
         assertEquals(
                 1,
-                FleetPlan.plan(
+                FleetPlanner.plan(
                                 List.of(new Need(job(2, true, false), 2, 60, true, false)),
                                 List.of(),
                                 TYPES,
@@ -103,7 +90,7 @@
                         .size());
         assertEquals(
                 1,
-                FleetPlan.plan(
+                FleetPlanner.plan(
                                 List.of(new Need(job(2, false, false), 2, 60, false, false)),
                                 List.of(),
                                 TYPES,
@@ -121,7 +108,7 @@
                 new Owned("m-1", pool, SMALL.size(), false),
                 new Owned("m-2", pool, SMALL.size(), true),
                 new Owned("m-3", pool, SMALL.size(), true));
-        FleetPlan.Plan plan = FleetPlan.plan(
+        FleetPlanner.Plan plan = FleetPlanner.plan(
                 List.of(new Need(job(4, true, false), 4, 60, false, false)), owned, TYPES, 60, p -> false, p -> false);
         assertEquals(Set.of("m-3"), plan.unneeded());
         assertEquals(Map.of(), plan.rent());
--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -6,36 +6,23 @@
 import java.util.Map;
 import notchpick.scheduling.JobOrder.Waiting;
 import notchpick.scheduling.JobSpec.Priority;
-import notchpick.scheduling.Objectives.Kind;
-import notchpick.scheduling.Objectives.Objective;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
 import org.junit.jupiter.api.Test;
 
 /** The order of a team's jobs. */
 class JobOrderTest {
-    private static final Objectives OBJECTIVES = new Objectives(Map.of(
+    private static final ServiceObjectives OBJECTIVES = new ServiceObjectives(Map.of(
             "count", List.of(new Objective(Kind.FINISHED, 200)), "prune", List.of(new Objective(Kind.FINISHED, 250))));
 
     private static Waiting<String> job(String id, String jobClass, Priority priority, long ageS, double coreS) {
-        JobSpec spec = new JobSpec(
-                id,
-                jobClass,
-                "a",
-                JobSpec.Form.ARRAY,
-                priority,
-                4,
-                new Amounts(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                20,
-                0,
-                0,
-                null,
-                -ageS * 1000);
+        JobSpec spec = TestJobs.job(id)
+                .jobClass(jobClass)
+                .priority(priority)
+                .tasks(4)
+                .estimateS(20)
+                .submittedAt(-ageS * 1000)
+                .build();
         return new Waiting<>(id, spec, coreS, 20);
     }
 
--- a/src/test/java/notchpick/scheduling/SiteIndexTest.java
+++ b/src/test/java/notchpick/scheduling/PlacementIndexTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The index chooses what the plain form does, and looks at few sites for it. */
-class SiteIndexTest {
-    private static final class Site implements Place {
+class PlacementIndexTest {
+    private static final class Site implements CandidateNode {
         private final String type;
         private final String zone;
         private final boolean spot;
         private final Set<String> images = new HashSet<>();
-        private Amounts room;
+        private Resources room;
 
-        Site(String type, String zone, boolean spot, Amounts room) {
+        Site(String type, String zone, boolean spot, Resources room) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public Amounts room() {
+        public Resources room() {
             return room;
         }
 
@@ -71,26 +71,13 @@
     }
 
     private static JobSpec spec(Random random) {
-        return new JobSpec(
-                "run-1",
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                1,
-                new Amounts(0.5 * (1 + random.nextInt(8)), 0, 1 + random.nextInt(6)),
-                random.nextInt(3) == 0 ? List.of("small") : null,
-                random.nextInt(3) == 0 ? "east" : null,
-                false,
-                false,
-                random.nextInt(4) > 0,
-                "i" + random.nextInt(4),
-                1,
-                10,
-                0,
-                0,
-                null,
-                0);
+        return TestJobs.job("run-1")
+                .demand(new Resources(0.5 * (1 + random.nextInt(8)), 0, 1 + random.nextInt(6)))
+                .types(random.nextInt(3) == 0 ? List.of("small") : null)
+                .zone(random.nextInt(3) == 0 ? "east" : null)
+                .spot(random.nextInt(4) > 0)
+                .image("i" + random.nextInt(4))
+                .build();
     }
 
     @Test
@@ -103,7 +90,7 @@
                         random.nextBoolean() ? "small" : "large",
                         random.nextBoolean() ? "east" : "west",
                         random.nextInt(3) > 0,
-                        new Amounts(0.5 * random.nextInt(17), 0, random.nextInt(17)));
+                        new Resources(0.5 * random.nextInt(17), 0, random.nextInt(17)));
                 for (int image = 0; image < 4; image++) {
                     if (random.nextInt(3) == 0) {
                         site.images.add("i" + image);
@@ -111,7 +98,7 @@
                 }
                 sites.add(site);
             }
-            SiteIndex<Site> index = new SiteIndex<>(sites);
+            PlacementIndex<Site> index = new PlacementIndex<>(sites);
             for (int task = 0; task < 200; task++) {
                 JobSpec spec = spec(random);
                 Site shunned = sites.get(random.nextInt(sites.size()));
@@ -137,44 +124,25 @@
 
     @Test
     void whatCannotWaitGoesWhereItIsSoonest() {
-        Site full = new Site("small", "east", true, new Amounts(2, 0, 64));
-        Site empty = new Site("small", "east", true, new Amounts(8, 0, 64));
-        SiteIndex<Site> index = new SiteIndex<>(List.of(full, empty));
-        JobSpec spec = new JobSpec(
-                "run-1",
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.HIGH,
-                1,
-                new Amounts(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                10,
-                0,
-                0,
-                null,
-                0);
+        Site full = new Site("small", "east", true, new Resources(2, 0, 64));
+        Site empty = new Site("small", "east", true, new Resources(8, 0, 64));
+        PlacementIndex<Site> index = new PlacementIndex<>(List.of(full, empty));
+        JobSpec spec = TestJobs.job("run-1").priority(JobSpec.Priority.HIGH).build();
         assertSame(full, index.choose(spec, any -> true));
         assertSame(empty, index.chooseSoonest(spec, any -> true, site -> site == full ? 900 : 100));
         full.images.add("i");
         // An image that is there saves more than a report period.
-        SiteIndex<Site> anew = new SiteIndex<>(List.of(full, empty));
+        PlacementIndex<Site> anew = new PlacementIndex<>(List.of(full, empty));
         assertSame(full, anew.chooseSoonest(spec, any -> true, site -> site == full ? 900 : 100));
     }
 
     @Test
     void aRemovedSiteMayChangeAndStaysAway() {
         Random random = new Random(1);
-        Site site = new Site("small", "east", true, new Amounts(8, 0, 64));
-        SiteIndex<Site> index = new SiteIndex<>(List.of(site));
+        Site site = new Site("small", "east", true, new Resources(8, 0, 64));
+        PlacementIndex<Site> index = new PlacementIndex<>(List.of(site));
         index.remove(site);
-        index.change(site, () -> site.room = new Amounts(4, 0, 32));
+        index.change(site, () -> site.room = new Resources(4, 0, 32));
         assertSame(null, index.choose(spec(random), any -> true));
         assertTrue(index.sites().isEmpty());
     }
@@ -183,29 +151,10 @@
     void looksAtFewSitesHoweverManyThereAre() {
         List<Site> sites = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            sites.add(new Site("small", "east", true, new Amounts(8, 0, 64)));
+            sites.add(new Site("small", "east", true, new Resources(8, 0, 64)));
         }
-        SiteIndex<Site> index = new SiteIndex<>(sites);
-        JobSpec spec = new JobSpec(
-                "run-1",
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                1,
-                new Amounts(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                10,
-                0,
-                0,
-                null,
-                0);
+        PlacementIndex<Site> index = new PlacementIndex<>(sites);
+        JobSpec spec = TestJobs.job("run-1").build();
         int tasks = 4000;
         for (int i = 0; i < tasks; i++) {
             Site chosen = index.choose(spec, site -> true);
--- a/src/test/java/notchpick/scheduling/ObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
@@ -6,38 +6,24 @@
 
 import java.util.List;
 import java.util.Map;
-import notchpick.scheduling.Objectives.Kind;
-import notchpick.scheduling.Objectives.Objective;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
 import org.junit.jupiter.api.Test;
 
 /** Which objectives of a job can still be met, and by when. */
-class ObjectivesTest {
-    private static final Objectives OBJECTIVES = new Objectives(Map.of(
+class ServiceObjectivesTest {
+    private static final ServiceObjectives OBJECTIVES = new ServiceObjectives(Map.of(
             "import", List.of(new Objective(Kind.FINISHED, 200), new Objective(Kind.FINISHED, 300)),
             "sweep", List.of(new Objective(Kind.STARTED, 200)),
             "credit", List.of(new Objective(Kind.DEADLINE, 1), new Objective(Kind.DEADLINE, 1.5))));
 
     private static JobSpec job(String jobClass, Double deadlineS) {
-        return new JobSpec(
-                "run-1",
-                jobClass,
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                4,
-                new Amounts(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                40,
-                0,
-                0,
-                deadlineS,
-                0);
+        return TestJobs.job("run-1")
+                .jobClass(jobClass)
+                .tasks(4)
+                .estimateS(40)
+                .deadlineS(deadlineS)
+                .build();
     }
 
     @Test
@@ -73,9 +59,9 @@
 
     @Test
     void waitsCountFromBeingReadyAndDeadlinesFromSubmission() {
-        JobSpec held = job("credit", 100.0).readyAt(30_000);
+        JobSpec held = job("credit", 100.0).withReadyAt(30_000);
         assertEquals(30, OBJECTIVES.slackS(held, held.ageS(30_000), 40));
-        JobSpec waits = job("import", null).readyAt(30_000);
+        JobSpec waits = job("import", null).withReadyAt(30_000);
         assertEquals(60, OBJECTIVES.slackS(waits, waits.ageS(130_000), 40));
     }
 
--- a/src/test/java/notchpick/standin/ReportCopies.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -1,11 +1,11 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 
 /** Copies of workers' reports, which arrive once more at every controller: late, or as a new leader begins. */
-final class ReportCopies {
+final class HeartbeatDuplicator {
     /** What is needed of the cluster that the reports are sent in. */
     interface Host {
         /** The newest term if somebody leads now; 0: nobody does. */
@@ -30,7 +30,7 @@
     /** How often it is looked whether a leader has begun. */
     private static final long LOOK_MS = 20;
 
-    private final Simulation simulation;
+    private final SimulatedTime simulation;
     private final Random chance;
     private final long leaseMs;
     private final Host host;
@@ -40,7 +40,7 @@
     private int keptInTerm;
     private boolean awaitsNextTerm;
 
-    ReportCopies(Simulation simulation, Random chance, long leaseMs, Host host) {
+    HeartbeatDuplicator(SimulatedTime simulation, Random chance, long leaseMs, Host host) {
         this.simulation = simulation;
         this.chance = chance;
         this.leaseMs = leaseMs;
--- a/src/test/java/notchpick/standin/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -208,7 +208,7 @@
         if (job == null) {
             return;
         }
-        for (String need : job.needs()) {
+        for (String need : job.dependencies()) {
             if (toldCancelled.containsKey(need)
                     || completed(jobs.get(need)) < jobs.get(need).tasks()) {
                 breach("too_early", task + " before " + need + " is done");
@@ -273,7 +273,7 @@
         while (!due.isEmpty()) {
             String next = due.poll();
             if (all.add(next) && jobs.containsKey(next)) {
-                due.addAll(jobs.get(next).needs());
+                due.addAll(jobs.get(next).dependencies());
             }
         }
         return all;
--- a/src/test/java/notchpick/standin/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -1,12 +1,13 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
-import notchpick.scheduling.Amounts;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.TestJobs;
 import org.junit.jupiter.api.Test;
 
 /** Each check of a rule can fail; otherwise the scenarios would show nothing. */
@@ -20,51 +21,24 @@
 
     /** A job of class c and team a, whose tasks take four cores each. */
     static JobSpec job(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
-        return new JobSpec(
-                id,
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                new Amounts(4, 0, 1),
-                List.of("m8"),
-                null,
-                oneZone,
-                spread,
-                spot,
-                "i",
-                1,
-                1,
-                0,
-                0,
-                null,
-                0);
+        return TestJobs.job(id)
+                .tasks(tasks)
+                .demand(new Resources(4, 0, 1))
+                .types(List.of("m8"))
+                .oneZone(oneZone)
+                .spread(spread)
+                .spot(spot)
+                .estimateS(1)
+                .build();
     }
 
     private void submitAfter(String id, String need) {
-        rules.submitted(new JobSpec(
-                id,
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                1,
-                new Amounts(4, 0, 1),
-                List.of("m8"),
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                1,
-                0,
-                0,
-                null,
-                0,
-                List.of(need),
-                0));
+        rules.submitted(TestJobs.job(id)
+                .demand(new Resources(4, 0, 1))
+                .types(List.of("m8"))
+                .estimateS(1)
+                .dependencies(List.of(need))
+                .build());
     }
 
     private void broken(String rule) {
--- a/src/test/java/notchpick/standin/ServedJobs.java
+++ b/src/test/java/notchpick/simulation/ServedJobs.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/test/java/notchpick/standin/ServedJobsTest.java
+++ b/src/test/java/notchpick/simulation/ServedJobsTest.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/notchpick/standin/CloudStandIn.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import notchpick.protocol.CloudApi;
+import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
-import notchpick.transport.Handler;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpHandler;
 
 /** The cloud, written from its published protocol. */
-public final class CloudStandIn implements Handler {
+public final class SimulatedCloud implements HttpHandler {
     /** A machine that somebody pays for. */
     public static final class Rented {
         public final String name;
@@ -38,7 +38,7 @@
     }
 
     private final LongSupplier clock;
-    private final StateStandIn.Timer timer;
+    private final SimulatedStateStore.Timer timer;
     private final Map<String, MachineType> types;
     private final Consumer<Rented> up;
     private final Consumer<String> gone;
@@ -55,9 +55,9 @@
     private Listing listing = Listing.RIGHT;
 
     /** @param up hears of machines whose worker begins; gone, of names that are gone */
-    public CloudStandIn(
+    public SimulatedCloud(
             LongSupplier clock,
-            StateStandIn.Timer timer,
+            SimulatedStateStore.Timer timer,
             Map<String, MachineType> types,
             Consumer<Rented> up,
             Consumer<String> gone) {
@@ -129,11 +129,11 @@
     }
 
     @Override
-    public void handle(Call call, Consumer<Answer> reply) {
+    public void handle(Request call, Consumer<Response> reply) {
         if (down) {
-            reply.accept(new Answer(503, Json.bytes(Json.object().put("error", "trouble"))));
+            reply.accept(new Response(503, Json.bytes(Json.object().put("error", "trouble"))));
         } else if (call.path().equals("/machine_types")) {
-            reply.accept(new Answer(200, Json.bytes(CloudApi.typesJson(types.values()))));
+            reply.accept(new Response(200, Json.bytes(CloudClient.typesJson(types.values()))));
         } else if (call.path().equals("/rentals")) {
             ObjectNode body = Json.object(call.body());
             if (rentLateMs > 0) {
@@ -150,17 +150,17 @@
                 releaseLateMs = 0;
             } else {
                 names.forEach(this::take);
-                reply.accept(new Answer(200, Json.bytes(Json.object())));
+                reply.accept(new Response(200, Json.bytes(Json.object())));
             }
         } else {
             reply.accept(list());
         }
     }
 
-    private Answer rent(JsonNode body) {
+    private Response rent(JsonNode body) {
         String request = body.path("hireSlip").asText();
         if (answers.containsKey(request)) {
-            return new Answer(200, answers.get(request));
+            return new Response(200, answers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
         Pool pool = new Pool(
@@ -170,7 +170,7 @@
                 .count();
         int number = (int) Math.min(body.path("number").asInt(), capacity.getOrDefault(pool, 0) - held);
         if (number <= 0) {
-            return new Answer(503, Json.bytes(Json.object().put("error", "no capacity")));
+            return new Response(503, Json.bytes(Json.object().put("error", "no capacity")));
         }
         ObjectNode answer = Json.object();
         ArrayNode names = answer.putArray("boxes");
@@ -192,10 +192,10 @@
             });
         }
         answers.put(request, Json.bytes(answer));
-        return new Answer(200, answers.get(request));
+        return new Response(200, answers.get(request));
     }
 
-    private Answer list() {
+    private Response list() {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("boxes");
         for (Rented rented : listing == Listing.NOTHING ? List.<Rented>of() : machines.values()) {
@@ -208,6 +208,6 @@
                     .put("status", listing == Listing.ALL_FAILED ? "failed" : rented.up ? "running" : "starting")
                     .put("ageS", (clock.getAsLong() - rented.since) / 1000.0);
         }
-        return new Answer(200, Json.bytes(body.put("truncated", false)));
+        return new Response(200, Json.bytes(body.put("truncated", false)));
     }
 }
--- a/src/test/java/notchpick/standin/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -11,28 +11,28 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.app.Controller;
-import notchpick.bookkeeping.Records;
 import notchpick.coordination.Deployment;
-import notchpick.coordination.Deployment.Limit;
 import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.Deployment.Quota;
 import notchpick.coordination.Tuning;
-import notchpick.protocol.InvalidMessage;
+import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
-import notchpick.protocol.UserWire;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.protocol.UserProtocol;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
-import notchpick.scheduling.Objectives;
-import notchpick.scheduling.Objectives.Kind;
-import notchpick.scheduling.Objectives.Objective;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
+import notchpick.storage.Records;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** A whole deployment in simulated time: real controllers among stand-ins. */
-public final class SimulatedCluster implements WorkerStandIn.Jobs {
+public final class SimulatedCluster implements SimulatedWorker.Jobs {
     /** Report period, workers' lease and the time that a cancellation has, in seconds. */
-    public record Timing(double reportS, double leaseS, double cancelS) {
+    public record Timing(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         public static final Timing DEFAULT = new Timing(3, 20, 40);
     }
 
@@ -62,7 +62,7 @@
     /** A cancellation and a refusal so close together count as of one moment. */
     private static final long SAME_MOMENT_MS = 20;
     /** A team whose room under its limit is less than this is at its limit. */
-    private static final Amounts LEAST_ROOM = new Amounts(1, 0, 0);
+    private static final Resources LEAST_ROOM = new Resources(1, 0, 0);
 
     private static final long LOOK_MS = 2;
 
@@ -76,13 +76,13 @@
     /** A job as the scenario describes it, beyond what the service is told. */
     private record Truth(JobSpec spec, ObjectNode body, long runMs, double vary, boolean fails) {}
 
-    private final Simulation simulation = new Simulation();
-    private final Network network = new Network(simulation);
+    private final SimulatedTime simulation = new SimulatedTime();
+    private final SimulatedNetwork network = new SimulatedNetwork(simulation);
     private final Map<String, Integer> lives = new HashMap<>();
     private final Map<String, Long> frozenUntil = new HashMap<>();
     private final Map<String, Controller> controllers = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
+    private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
     private final Map<String, String> zones = new HashMap<>();
     private final Map<String, Long> saved = new HashMap<>();
     private final Map<String, Truth> truths = new LinkedHashMap<>();
@@ -94,20 +94,20 @@
 
     private final Random chance = new Random(11);
     private final Timing timing;
-    private final ReportCopies copies;
+    private final HeartbeatDuplicator copies;
     private double cancelAtEndShare;
     private boolean closeLooks;
     /** The last term whose leader crashed. */
     private int endedTerm;
 
-    private final List<Limit> teams;
+    private final List<Quota> teams;
     private final double requestsPerS;
     private final Limits limits;
     private final Limits next;
     private final boolean nextIsNews;
     private final InvariantChecker rules;
-    private final StateStandIn state;
-    private final CloudStandIn cloud;
+    private final SimulatedStateStore state;
+    private final SimulatedCloud cloud;
     private final List<String> nodes = new ArrayList<>();
     private final Map<String, String> names = new HashMap<>();
     private boolean looksAtElections;
@@ -123,7 +123,7 @@
      */
     public SimulatedCluster(
             int count,
-            List<Limit> teams,
+            List<Quota> teams,
             List<MachineType> machineTypes,
             double requestsPerS,
             double writesPerS,
@@ -134,7 +134,7 @@
 
     public SimulatedCluster(
             int count,
-            List<Limit> teams,
+            List<Quota> teams,
             List<MachineType> machineTypes,
             double requestsPerS,
             double writesPerS,
@@ -142,25 +142,25 @@
             boolean nextIsNews,
             Timing timing) {
         this.timing = timing;
-        this.copies = new ReportCopies(simulation, chance, (long) (timing.leaseS() * 1000), new CopyHost());
+        this.copies = new HeartbeatDuplicator(simulation, chance, (long) (timing.leaseS() * 1000), new CopyHost());
         this.teams = teams;
         this.requestsPerS = requestsPerS;
-        this.limits = new Limits(StateStandIn.MAX_VALUE_BYTES, 12, writesPerS);
+        this.limits = new Limits(SimulatedStateStore.MAX_VALUE_BYTES, 12, writesPerS);
         this.next = next == null ? limits : next;
         this.nextIsNews = nextIsNews;
         Map<String, Double> limits = new HashMap<>();
         teams.stream()
-                .filter(t -> t.most().cores() > 0)
-                .forEach(t -> limits.put(t.team(), t.most().cores()));
-        rules = new InvariantChecker(simulation::now, (long) (timing.cancelS() * 1000), limits);
-        state = new StateStandIn(simulation::now, simulation::after, 12, requestsPerS, writesPerS);
+                .filter(t -> t.maximum().cores() > 0)
+                .forEach(t -> limits.put(t.team(), t.maximum().cores()));
+        rules = new InvariantChecker(simulation::now, (long) (timing.cancelTimeoutS() * 1000), limits);
+        state = new SimulatedStateStore(simulation::now, simulation::after, 12, requestsPerS, writesPerS);
         Map<String, MachineType> types = new LinkedHashMap<>();
         machineTypes.forEach(type -> types.put(type.name(), type));
         for (int i = 0; i < count; i++) {
             nodes.add("node-" + i);
             addresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
         }
-        cloud = new CloudStandIn(simulation::now, simulation::after, types, this::up, this::gone);
+        cloud = new SimulatedCloud(simulation::now, simulation::after, types, this::up, this::gone);
         network.serve(STATE, "state", state);
         state.whenPut(Records.LEADER, () -> {
             if (looksAtElections) {
@@ -191,19 +191,19 @@
         state.record(transcript);
     }
 
-    public Simulation simulation() {
+    public SimulatedTime simulation() {
         return simulation;
     }
 
-    public Network network() {
+    public SimulatedNetwork network() {
         return network;
     }
 
-    public StateStandIn state() {
+    public SimulatedStateStore state() {
         return state;
     }
 
-    public CloudStandIn cloud() {
+    public SimulatedCloud cloud() {
         return cloud;
     }
 
@@ -220,7 +220,7 @@
         return nodes;
     }
 
-    public List<WorkerStandIn> workers() {
+    public List<SimulatedWorker> workers() {
         return List.copyOf(workers.values());
     }
 
@@ -229,7 +229,7 @@
         return List.copyOf(workers.keySet());
     }
 
-    public WorkerStandIn worker(String name) {
+    public SimulatedWorker worker(String name) {
         return workers.get(name);
     }
 
@@ -292,10 +292,10 @@
                 STATE,
                 ZONES,
                 teams,
-                new Objectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
-                timing.reportS(),
+                new ServiceObjectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
+                timing.heartbeatPeriodS(),
                 timing.leaseS(),
-                timing.cancelS(),
+                timing.cancelTimeoutS(),
                 requestsPerS,
                 known.writesPerS(),
                 known.valueBytes(),
@@ -347,14 +347,14 @@
         network.freeze(node, until);
     }
 
-    private void up(CloudStandIn.Rented rented) {
+    private void up(SimulatedCloud.Rented rented) {
         zones.put(rented.name, rented.zone);
         network.join(rented.name, "workers");
         network.join(rented.name, "workers-" + rented.zone);
         place(rented.name, rented.zone);
         workers.put(
                 rented.name,
-                new WorkerStandIn(
+                new SimulatedWorker(
                         simulation,
                         network.from(rented.name, () -> true),
                         rules,
@@ -364,13 +364,13 @@
                         rented.zone,
                         rented.spot,
                         addresses,
-                        (long) (timing.reportS() * 1000),
+                        (long) (timing.heartbeatPeriodS() * 1000),
                         (long) (timing.leaseS() * 1000),
                         saved));
     }
 
     private void gone(String name) {
-        WorkerStandIn worker = workers.remove(name);
+        SimulatedWorker worker = workers.remove(name);
         if (worker != null) {
             worker.die();
         }
@@ -379,8 +379,8 @@
     // ---- users ---------------------------------------------------------------------------------
 
     /** @param vary by what part of the run time single tasks run shorter or longer */
-    public void submit(ObjectNode body, double runS, double vary, boolean fails) throws InvalidMessage {
-        JobSpec spec = UserWire.submission(body, 0);
+    public void submit(ObjectNode body, double runS, double vary, boolean fails) throws InvalidMessageException {
+        JobSpec spec = UserProtocol.submission(body, 0);
         truths.put(spec.id(), new Truth(spec, body, (long) (runS * 1000), vary, fails));
         rules.submitted(spec);
         submit(spec.id(), body, simulation.now() + 60_000);
@@ -538,7 +538,7 @@
     }
 
     /** The worker's machine stands still for a while. */
-    public void hang(WorkerStandIn worker, long forMs) {
+    public void hang(SimulatedWorker worker, long forMs) {
         worker.hang(true);
         simulation.after(forMs, () -> worker.hang(false));
         meet("hangs");
@@ -564,7 +564,7 @@
 
     // ---- reports that come twice ---------------------------------------------------------------
 
-    /** See {@link ReportCopies#set}. */
+    /** See {@link HeartbeatDuplicator#set}. */
     public void lateReports(double share, boolean forNext) {
         copies.set(share, forNext);
     }
@@ -575,7 +575,7 @@
     }
 
     /** What the copies of reports need of the cluster. */
-    private final class CopyHost implements ReportCopies.Host {
+    private final class CopyHost implements HeartbeatDuplicator.Host {
         @Override
         public int ledTerm() {
             return leader() == null ? 0 : term();
@@ -642,7 +642,7 @@
 
     /** Commands that were sent straight to workers; all orders are to ride in answers to reports. */
     public int directCommands() {
-        return network.callsTo(WorkerStandIn.ADDRESS);
+        return network.callsTo(SimulatedWorker.ADDRESS);
     }
 
     /** Orders to start a task that were lost on their way to deaf machines. */
@@ -657,14 +657,14 @@
 
     private boolean isEveryTeamAtItsLimit() {
         return teams.stream()
-                .filter(team -> team.most().cores() > 0)
+                .filter(team -> team.maximum().cores() > 0)
                 .allMatch(team -> !team.allows(use(team.team()).plus(LEAST_ROOM)));
     }
 
     /** What the team's tasks hold that are on machines. */
-    private Amounts use(String team) {
-        Amounts use = Amounts.NONE;
-        for (WorkerStandIn worker : workers.values()) {
+    private Resources use(String team) {
+        Resources use = Resources.NONE;
+        for (SimulatedWorker worker : workers.values()) {
             for (String task : worker.tasks()) {
                 JobSpec spec = truths.get(InvariantChecker.jobOf(task)).spec();
                 use = spec.team().equals(team) ? use.plus(spec.demand()) : use;
@@ -680,7 +680,7 @@
         if (afterRefusalMs >= 0 && afterRefusalMs <= SAME_MOMENT_MS) {
             meet("cancelled-just-after-the-refusal");
         }
-        if (teams.stream().anyMatch(team -> team.most().cores() > 0) && isEveryTeamAtItsLimit()) {
+        if (teams.stream().anyMatch(team -> team.maximum().cores() > 0) && isEveryTeamAtItsLimit()) {
             meet("cancelled-with-every-team-at-its-limit");
         }
         if (leader() == null || term() == endedTerm) {
@@ -706,7 +706,7 @@
     private boolean couldStart(Truth truth) {
         JobSpec spec = truth.spec();
         Map<String, Integer> fellows = new HashMap<>();
-        for (WorkerStandIn worker : workers.values()) {
+        for (SimulatedWorker worker : workers.values()) {
             for (String task : worker.tasks()) {
                 JobSpec other = truths.get(InvariantChecker.jobOf(task)).spec();
                 if (other == spec) {
@@ -718,8 +718,8 @@
         boolean waits = !truth.fails()
                 && !rules.isCancelAsked(spec.id())
                 && rules.completed(spec) + placed < spec.tasks()
-                && spec.needs().stream().allMatch(need -> "done".equals(told(need)));
-        Amounts wanted = use(spec.team()).plus(spec.demand());
+                && spec.dependencies().stream().allMatch(need -> "done".equals(told(need)));
+        Resources wanted = use(spec.team()).plus(spec.demand());
         return waits
                 && teams.stream().anyMatch(team -> team.team().equals(spec.team()) && team.allows(wanted))
                 && workers.values().stream()
@@ -729,8 +729,8 @@
                                 && spec.demand().fitsIn(room(worker)));
     }
 
-    private Amounts room(WorkerStandIn worker) {
-        Amounts room = worker.type().size();
+    private Resources room(SimulatedWorker worker) {
+        Resources room = worker.type().size();
         for (String task : worker.tasks()) {
             room = room.minus(demand(InvariantChecker.jobOf(task)));
         }
@@ -768,15 +768,15 @@
         });
     }
 
-    private void call(String method, String path, byte[] body, Consumer<Answer> then) {
+    private void call(String method, String path, byte[] body, Consumer<Response> then) {
         call(anyNode(), method, path, body, then);
     }
 
-    private void call(String node, String method, String path, byte[] body, Consumer<Answer> then) {
-        network.from("user", () -> true).call(new Call(addresses.get(node), method, path, body), 5000, then);
+    private void call(String node, String method, String path, byte[] body, Consumer<Response> then) {
+        network.from("user", () -> true).call(new Request(addresses.get(node), method, path, body), 5000, then);
     }
 
-    private void note(String job, Answer answer, long askedAt) {
+    private void note(String job, Response answer, long askedAt) {
         ObjectNode body = answer.body().length == 0 ? null : Json.object(answer.body());
         String state = body == null ? null : body.path("status").asText(null);
         rules.answered(job, answer.status(), state, askedAt);
@@ -795,7 +795,7 @@
     // ---- what is true of the jobs --------------------------------------------------------------
 
     @Override
-    public Amounts demand(String job) {
+    public Resources demand(String job) {
         return truths.containsKey(job) ? truths.get(job).spec().demand() : null;
     }
 
@@ -809,7 +809,7 @@
 
     @Override
     public boolean saves(String job) {
-        return truths.get(job).spec().checkpointS() > 0;
+        return truths.get(job).spec().checkpointIntervalS() > 0;
     }
 
     @Override
--- a/src/test/java/notchpick/standin/Network.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,13 +9,13 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
-import notchpick.transport.Handler;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpHandler;
 
 /** Carries calls between hosts, which may be cut off from each other. */
-public final class Network {
+public final class SimulatedNetwork {
     private static final long LATENCY_MS = 2;
 
     /** How a cut treats packets: hold them and deliver them late, reset the connection, or refuse new ones. */
@@ -28,8 +28,8 @@
     /** Packets from one host or group to another are cut. */
     private record Route(String from, String to) {}
 
-    private final Simulation simulation;
-    private final Map<String, Handler> hosts = new HashMap<>();
+    private final SimulatedTime simulation;
+    private final Map<String, HttpHandler> hosts = new HashMap<>();
     private final Map<String, String> hostOf = new HashMap<>();
     private final Map<Route, Cut> cuts = new LinkedHashMap<>();
     /** Slow ways: what passes takes so much longer. */
@@ -48,7 +48,7 @@
 
     private Transcript transcript = Transcript.NONE;
 
-    public Network(Simulation simulation) {
+    public SimulatedNetwork(SimulatedTime simulation) {
         this.simulation = simulation;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** A host serves this address. */
-    public void serve(String address, String host, Handler handler) {
+    public void serve(String address, String host, HttpHandler handler) {
         hosts.put(address, handler);
         hostOf.put(address, host);
     }
@@ -170,36 +170,36 @@
     }
 
     /** Calls made by one host, as long as it lives. */
-    public Caller from(String host, BooleanSupplier alive) {
+    public HttpCaller from(String host, BooleanSupplier alive) {
         return (call, timeoutMs, then) -> {
             calls.merge(call.target(), 1, Integer::sum);
             transcript.called(simulation.now(), host, call);
             boolean[] over = {false};
-            Consumer<Answer> once = answer -> {
+            Consumer<Response> once = answer -> {
                 if (!over[0] && alive.getAsBoolean()) {
                     over[0] = true;
                     then.accept(answer);
                 }
             };
-            simulation.after(timeoutMs, () -> once.accept(Answer.NONE));
+            simulation.after(timeoutMs, () -> once.accept(Response.NONE));
             String to = hostOf.get(call.target());
-            Runnable reset = () -> once.accept(Answer.NONE);
+            Runnable reset = () -> once.accept(Response.NONE);
             Route cut = cutOn(host, to);
             if (cut != null && cuts.get(cut) == Cut.REFUSE) {
-                simulation.after(LATENCY_MS, () -> once.accept(Answer.UNSENT));
+                simulation.after(LATENCY_MS, () -> once.accept(Response.UNSENT));
                 return;
             }
             carry(
                     host,
                     to,
                     () -> {
-                        Handler handler = hosts.get(call.target());
+                        HttpHandler handler = hosts.get(call.target());
                         if (handler == null) {
-                            carry(to, host, () -> once.accept(Answer.UNSENT), reset);
+                            carry(to, host, () -> once.accept(Response.UNSENT), reset);
                             return;
                         }
                         // The state service refuses by who calls, so the caller's name goes along.
-                        handler.handle(new Call(host, call.method(), call.path(), call.body()), answer -> {
+                        handler.handle(new Request(host, call.method(), call.path(), call.body()), answer -> {
                             transcript.answered(simulation.now(), to, host, call, answer);
                             carry(to, host, () -> once.accept(answer), reset);
                         });
--- a/src/test/java/notchpick/standin/StateStandIn.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,12 +16,12 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import notchpick.protocol.Json;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
-import notchpick.transport.Handler;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpHandler;
 
 /** The state service, written from its published protocol. */
-public final class StateStandIn implements Handler {
+public final class SimulatedStateStore implements HttpHandler {
     public static final int MAX_VALUE_BYTES = 16 << 10;
     private static final int MAX_TRANSACTION_BYTES = 64 << 10;
 
@@ -29,7 +29,7 @@
 
     private record Logged(String key, JsonNode value, long version) {}
 
-    private record Watch(String host, String prefix, long since, long from, long until, Consumer<Answer> reply) {
+    private record Watch(String host, String prefix, long since, long from, long until, Consumer<Response> reply) {
         boolean waits() {
             return until > from;
         }
@@ -84,7 +84,7 @@
      * @param requestsPerS requests that it takes in a second; bursts of one second's worth
      * @param writesPerS puts and deletes, likewise
      */
-    public StateStandIn(LongSupplier clock, Timer timer, int maxWrites, double requestsPerS, double writesPerS) {
+    public SimulatedStateStore(LongSupplier clock, Timer timer, int maxWrites, double requestsPerS, double writesPerS) {
         this.clock = clock;
         this.timer = timer;
         this.maxWrites = maxWrites;
@@ -212,7 +212,7 @@
         return appliedUnanswered;
     }
 
-    private void applyUnanswered(Call call) {
+    private void applyUnanswered(Request call) {
         appliedUnanswered += commit(Json.object(call.body())).status() == 200 ? 1 : 0;
     }
 
@@ -223,15 +223,15 @@
     }
 
     @Override
-    public void handle(Call call, Consumer<Answer> reply) {
+    public void handle(Request call, Consumer<Response> reply) {
         String path = call.path().split("\\?", 2)[0];
         if (!outage && !takesRequest()) {
-            reply.accept(new Answer(429, new byte[0]));
+            reply.accept(new Response(429, new byte[0]));
             return;
         }
         if (outage || refused.contains(call.target())) {
             // Watches that are open already wait; no new one is taken.
-            reply.accept(new Answer(503, new byte[0]));
+            reply.accept(new Response(503, new byte[0]));
             return;
         }
         if (path.equals("/changes")) {
@@ -248,22 +248,22 @@
             return;
         }
         if (path.equals("/keys") && listMs > 0) {
-            Answer answer = answer(call, path);
+            Response answer = answer(call, path);
             timer.after(listMs, () -> reply.accept(answer));
             return;
         }
         reply.accept(answer(call, path));
     }
 
-    private static Answer ok(JsonNode body) {
-        return new Answer(200, Json.bytes(body));
+    private static Response ok(JsonNode body) {
+        return new Response(200, Json.bytes(body));
     }
 
-    private Answer missing() {
-        return new Answer(404, Json.bytes(Json.object().put("ledgerNo", revision)));
+    private Response missing() {
+        return new Response(404, Json.bytes(Json.object().put("ledgerNo", revision)));
     }
 
-    private Answer answer(Call call, String path) {
+    private Response answer(Request call, String path) {
         if (path.equals("/commit")) {
             return commit(Json.object(call.body()));
         }
@@ -348,7 +348,7 @@
         return node;
     }
 
-    private Answer list(Map<String, String> query) {
+    private Response list(Map<String, String> query) {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("items");
         String prefix = query.getOrDefault("prefix", "");
@@ -370,9 +370,9 @@
         return ok(body.put("truncated", more).put("ledgerNo", revision));
     }
 
-    private Answer commit(ObjectNode body) {
+    private Response commit(ObjectNode body) {
         if (outage) {
-            return new Answer(503, new byte[0]);
+            return new Response(503, new byte[0]);
         }
         ObjectNode conflict = Json.object();
         ArrayNode failed = conflict.putArray("failed");
@@ -385,19 +385,19 @@
         JsonNode writes = body.path("writes");
         if (writes.size() > maxWrites || body.path("guards").size() > 4 * maxWrites || tooLarge(writes)) {
             malformed++;
-            return new Answer(400, new byte[0]);
+            return new Response(400, new byte[0]);
         }
         if (!withinRate(writes.size())) {
-            return new Answer(429, new byte[0]);
+            return new Response(429, new byte[0]);
         }
         for (JsonNode write : writes) {
             if (write.has("permit")
                     && !leaseEnds.containsKey(write.path("permit").asLong())) {
-                return new Answer(400, Json.bytes(Json.object().put("error", "no such lease")));
+                return new Response(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
         if (!failed.isEmpty()) {
-            return new Answer(409, Json.bytes(conflict.put("ledgerNo", revision)));
+            return new Response(409, Json.bytes(conflict.put("ledgerNo", revision)));
         }
         revision++;
         this.writes += writes.size();
@@ -427,7 +427,7 @@
         return Json.bytes(writes).length > MAX_TRANSACTION_BYTES;
     }
 
-    private void changes(Call call, Consumer<Answer> reply) {
+    private void changes(Request call, Consumer<Response> reply) {
         Map<String, String> query = query(call);
         long until = clock.getAsLong() + Long.parseLong(query.getOrDefault("holdMs", "0"));
         Watch watch = new Watch(
@@ -470,7 +470,7 @@
         }
     }
 
-    private static Map<String, String> query(Call call) {
+    private static Map<String, String> query(Request call) {
         Map<String, String> query = new HashMap<>();
         String[] parts = call.path().split("\\?", 2);
         if (parts.length == 2) {
--- a/src/test/java/notchpick/standin/Simulation.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -7,7 +7,7 @@
 import notchpick.transport.EventLoop;
 
 /** Simulated time: what is due happens in order, at once. */
-public final class Simulation {
+public final class SimulatedTime {
     private record Due(long at, long order, Runnable work) {}
 
     private final PriorityQueue<Due> due =
@@ -69,7 +69,7 @@
             }
 
             private void due(long delayMs, Runnable work) {
-                Simulation.this.after(delayMs, () -> {
+                SimulatedTime.this.after(delayMs, () -> {
                     long rest = frozenUntil.getAsLong() - now;
                     if (rest > 0) {
                         due(rest, work);
--- a/src/test/java/notchpick/standin/WorkerStandIn.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -8,20 +8,20 @@
 import java.util.List;
 import java.util.Map;
 import notchpick.protocol.Json;
-import notchpick.scheduling.Amounts;
 import notchpick.scheduling.MachineType;
-import notchpick.transport.Caller;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.scheduling.Resources;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /** A worker, written from its published protocol. */
-public final class WorkerStandIn {
+public final class SimulatedWorker {
     private static final long FETCH_MS = 1000;
 
     /** What is true of the tasks that users submitted. */
     public interface Jobs {
         /** Null if there is no such job. */
-        Amounts demand(String job);
+        Resources demand(String job);
 
         long runMs(String task);
 
@@ -50,7 +50,7 @@
     /** A worker gives a report up after so long, and drops an answer that comes later. */
     private static final long PATIENCE_MS = 4000;
 
-    private static final Answer MALFORMED = new Answer(400, new byte[0]);
+    private static final Response MALFORMED = new Response(400, new byte[0]);
 
     private static final class Piece {
         private final String task;
@@ -69,8 +69,8 @@
         }
     }
 
-    private final Simulation simulation;
-    private final Caller caller;
+    private final SimulatedTime simulation;
+    private final HttpCaller caller;
     private final InvariantChecker rules;
     private final Jobs jobs;
     private final String name;
@@ -85,7 +85,7 @@
     /** Work saved outside the machines, by task. */
     private final Map<String, Long> saved;
 
-    private long session = 1;
+    private long incarnation = 1;
     private long sequence;
     private long token;
     private int node;
@@ -100,14 +100,14 @@
     private boolean mute;
 
     private boolean sick;
-    private Double noticeS;
+    private Double reclaimNoticeS;
     private long leaseFrom;
     private long lastReport;
     private long due;
 
-    public WorkerStandIn(
-            Simulation simulation,
-            Caller caller,
+    public SimulatedWorker(
+            SimulatedTime simulation,
+            HttpCaller caller,
             InvariantChecker rules,
             Jobs jobs,
             String name,
@@ -168,7 +168,7 @@
 
     /** Whether a task could start there: it is heard, and hears, and is to stay. */
     public boolean takesPart() {
-        return !dead && !hanging && !deaf && !mute && !sick && noticeS == null;
+        return !dead && !hanging && !deaf && !mute && !sick && reclaimNoticeS == null;
     }
 
     public String name() {
@@ -201,7 +201,7 @@
 
     /** The cloud announces that it takes the machine back after so many seconds. */
     public void notice(double seconds) {
-        noticeS = seconds;
+        reclaimNoticeS = seconds;
         change();
     }
 
@@ -227,7 +227,7 @@
             if (leaseFrom == from) {
                 rules.killedByLease(live());
                 killAll();
-                session++;
+                incarnation++;
                 leaseFrom = simulation.now();
                 change();
             }
@@ -258,17 +258,17 @@
         inFlight = true;
         lastReport = simulation.now();
         long sentAt = simulation.now();
-        long sentSession = session;
+        long sentSession = incarnation;
         ObjectNode body = Json.object()
                 .put("box", name)
                 .put("address", ADDRESS)
                 .put("boxKind", type.name())
                 .put("site", zone)
                 .put("borrowed", spot)
-                .put("shift", session)
+                .put("shift", incarnation)
                 .put("tally", ++sequence)
                 .put("mandate", token)
-                .put("recallS", noticeS);
+                .put("recallS", reclaimNoticeS);
         ArrayNode list = body.putArray("pieces");
         for (Piece piece : pieces.values()) {
             list.addObject()
@@ -280,16 +280,16 @@
         byte[] before = Json.bytes(list);
         jobs.reported(Json.bytes(body));
         if (mute) {
-            simulation.after(PATIENCE_MS, () -> answered(Answer.NONE, sentAt, sentSession, before));
+            simulation.after(PATIENCE_MS, () -> answered(Response.NONE, sentAt, sentSession, before));
             return;
         }
         caller.call(
-                new Call(controllers.get(nodes.get(node)), "POST", "/hello", Json.bytes(body)),
+                new Request(controllers.get(nodes.get(node)), "POST", "/hello", Json.bytes(body)),
                 4000,
                 answer -> heard(answer, sentAt, sentSession, before));
     }
 
-    private void heard(Answer answer, long sentAt, long sentSession, byte[] before) {
+    private void heard(Response answer, long sentAt, long sentSession, byte[] before) {
         if (deaf) {
             if (answer.status() == 200) {
                 Json.object(answer.body()).path("orders").forEach(order -> {
@@ -299,17 +299,18 @@
                 });
             }
             simulation.after(
-                    sentAt + PATIENCE_MS - simulation.now(), () -> answered(Answer.NONE, sentAt, sentSession, before));
+                    sentAt + PATIENCE_MS - simulation.now(),
+                    () -> answered(Response.NONE, sentAt, sentSession, before));
         } else {
             answered(answer, sentAt, sentSession, before);
         }
     }
 
-    private void answered(Answer answer, long sentAt, long sentSession, byte[] before) {
+    private void answered(Response answer, long sentAt, long sentSession, byte[] before) {
         if (hanging && !dead) {
             // What came meanwhile is read when the machine goes on, unless the report was given up by then.
             onWake.add(() -> answered(
-                    simulation.now() - sentAt < PATIENCE_MS ? answer : Answer.NONE, sentAt, sentSession, before));
+                    simulation.now() - sentAt < PATIENCE_MS ? answer : Response.NONE, sentAt, sentSession, before));
             return;
         }
         inFlight = false;
@@ -320,7 +321,7 @@
             ObjectNode body = Json.object(answer.body());
             long given = body.path("mandate").asLong(-1);
             boolean news = given > token;
-            if (given >= token && sentSession == session) {
+            if (given >= token && sentSession == incarnation) {
                 token = given;
                 leaseFrom = Math.max(leaseFrom, sentAt);
                 watchLease();
@@ -337,7 +338,7 @@
                         .put("status", piece.state)
                         .put("exitCause", piece.exit);
             }
-            boolean changed = news || !java.util.Arrays.equals(before, Json.bytes(list)) || sentSession != session;
+            boolean changed = news || !java.util.Arrays.equals(before, Json.bytes(list)) || sentSession != incarnation;
             reportAt(changed ? simulation.now() : lastReport + reportMs * 3 / 4 + sequence * 131 % (reportMs / 2));
         } else if (answer.status() == 421) {
             String leader = Json.object(answer.body()).path("foreman").asText();
@@ -367,21 +368,21 @@
     }
 
     /** Serves a direct command: carried out only under the newest token, for the present session. */
-    public Answer command(ObjectNode body) {
+    public Response command(ObjectNode body) {
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
         }
         if (dead || hanging || deaf) {
-            return Answer.NONE;
+            return Response.NONE;
         }
         long given = body.path("mandate").asLong();
-        if (given < token || body.path("shift").asLong() != session) {
-            return new Answer(409, new byte[0]);
+        if (given < token || body.path("shift").asLong() != incarnation) {
+            return new Response(409, new byte[0]);
         }
         token = given;
         executeAll(body.path("orders"));
         change();
-        return new Answer(200, new byte[0]);
+        return new Response(200, new byte[0]);
     }
 
     private void execute(JsonNode order) {
@@ -413,8 +414,8 @@
         String job = piece.task.split("/")[0];
         boolean present = pieces.values().stream().anyMatch(p -> p.live() && p.task.equals(piece.task));
         pieces.put(key, piece);
-        Amounts demand = jobs.demand(job);
-        Amounts used = Amounts.NONE;
+        Resources demand = jobs.demand(job);
+        Resources used = Resources.NONE;
         for (Piece other : pieces.values()) {
             if (other.live() && other != piece) {
                 used = used.plus(jobs.demand(other.task.split("/")[0]));
--- a/src/test/java/notchpick/standin/WorkerStandInTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.Map;
 import notchpick.protocol.Json;
-import notchpick.scheduling.Amounts;
 import notchpick.scheduling.MachineType;
-import notchpick.transport.Caller.Answer;
+import notchpick.scheduling.Resources;
+import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
 /** A worker carries out orders only under the newest fencing token that it has seen, and for its present session. */
-class WorkerStandInTest {
+class SimulatedWorkerTest {
     private static final long LEASE_MS = 20_000;
-    private final Simulation simulation = new Simulation();
-    private final WorkerStandIn worker = new WorkerStandIn(
+    private final SimulatedTime simulation = new SimulatedTime();
+    private final SimulatedWorker worker = new SimulatedWorker(
             simulation,
-            (call, timeoutMs, then) -> simulation.after(timeoutMs, () -> then.accept(Answer.NONE)),
+            (call, timeoutMs, then) -> simulation.after(timeoutMs, () -> then.accept(Response.NONE)),
             new InvariantChecker(simulation::now, 40_000, Map.of()),
             new OneJob(),
             "m-1",
-            new MachineType("m8", new Amounts(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east")),
+            new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east")),
             "east",
             true,
             Map.of("node-0", "10.0.0.1:8080"),
@@ -31,10 +31,10 @@
             new HashMap<>());
 
     /** Every task takes one core for a minute. */
-    private static final class OneJob implements WorkerStandIn.Jobs {
+    private static final class OneJob implements SimulatedWorker.Jobs {
         @Override
-        public Amounts demand(String job) {
-            return new Amounts(1, 0, 1);
+        public Resources demand(String job) {
+            return new Resources(1, 0, 1);
         }
 
         @Override
@@ -53,8 +53,8 @@
         }
     }
 
-    private int start(long token, long session, String task) {
-        ObjectNode body = Json.object().put("mandate", token).put("shift", session);
+    private int start(long token, long incarnation, String task) {
+        ObjectNode body = Json.object().put("mandate", token).put("shift", incarnation);
         body.putArray("orders")
                 .addObject()
                 .put("orderKind", "run")
@@ -92,7 +92,7 @@
     @Test
     void hearsNothingWhileDeaf() {
         worker.deaf(true);
-        assertEquals(Answer.NONE.status(), start(2, 1, "run-1/0"));
+        assertEquals(Response.NONE.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
     }
 }
--- a/src/test/java/notchpick/standin/Transcript.java
+++ b/src/test/java/notchpick/simulation/Transcript.java
@@ -1,4 +1,4 @@
-package notchpick.standin;
+package notchpick.simulation;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -9,9 +9,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.zip.GZIPOutputStream;
-import notchpick.protocol.PeerWire;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.protocol.PeerProtocol;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 
 /**
  * A record of every message between hosts and of every transaction that the state service carried out, with simulated
@@ -43,7 +43,7 @@
     }
 
     /** A call leaves its host, whether or not it arrives. */
-    void called(long nowMs, String from, Call call) {
+    void called(long nowMs, String from, Request call) {
         if (out != null) {
             write(nowMs + " " + from + " > " + call.target() + " " + call.method() + " " + call.path() + " "
                     + text(call.path(), call.body()));
@@ -51,7 +51,7 @@
     }
 
     /** A host answers a call, whether or not the answer arrives. */
-    void answered(long nowMs, String from, String to, Call call, Answer answer) {
+    void answered(long nowMs, String from, String to, Request call, Response answer) {
         if (out != null) {
             write(nowMs + " " + from + " > " + to + " " + answer.status() + " " + text(call.path(), answer.body()));
         }
@@ -68,8 +68,8 @@
         if (body == null || body.length == 0) {
             return "";
         }
-        return path.equals(PeerWire.PATH)
-                ? String.valueOf(PeerWire.body(body))
+        return path.equals(PeerProtocol.PATH)
+                ? String.valueOf(PeerProtocol.body(body))
                 : new String(body, StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/notchpick/bookkeeping/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,31 +11,38 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import notchpick.bookkeeping.Records.DoneRun;
-import notchpick.bookkeeping.Records.Hint;
-import notchpick.bookkeeping.TaskAssignment.Phase;
+import notchpick.model.CompletionRange;
+import notchpick.model.Job;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+import notchpick.model.TaskAssignment.Phase;
 import notchpick.protocol.Json;
-import notchpick.protocol.StateApi;
-import notchpick.protocol.StateTransport;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreTransport;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
-import notchpick.standin.Simulation;
-import notchpick.standin.StateStandIn;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.TestJobs;
+import notchpick.simulation.SimulatedStateStore;
+import notchpick.simulation.SimulatedTime;
+import notchpick.storage.Records.DoneRun;
+import notchpick.storage.Records.Hint;
 import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
 /** Starts and done marks share values: few writes, none too large, and nothing lost on the way. */
 class PackedRecordsTest {
-    private static final int VALUE_BYTES = StateStandIn.MAX_VALUE_BYTES;
+    private static final int VALUE_BYTES = SimulatedStateStore.MAX_VALUE_BYTES;
     private static final int MAX_WRITES = 12;
 
-    private final Simulation simulation = new Simulation();
+    private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
-    private final StateStandIn state = new StateStandIn(simulation::now, simulation::after, MAX_WRITES, 300, 60);
-    private final StateApi api = new StateApi(StateTransport.direct(this::call), loop, "s:1", 1500, 250);
+    private final SimulatedStateStore state =
+            new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
+    private final StateStoreClient api =
+            new StateStoreClient(StateStoreTransport.direct(this::call), loop, "s:1", 1500, 250);
     private final FencedWriter writer = new FencedWriter(api, loop, loop::after, 0, MAX_WRITES, 42, () -> {});
     private final Set<TaskAssignment> durable = new HashSet<>();
     private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
@@ -47,43 +54,28 @@
             MAX_WRITES,
             durable::addAll);
 
-    private void call(Call call, long timeoutMs, Consumer<Answer> then) {
+    private void call(Request call, long timeoutMs, Consumer<Response> then) {
         AtomicBoolean answered = new AtomicBoolean();
-        Consumer<Answer> once = answer -> {
+        Consumer<Response> once = answer -> {
             if (!answered.getAndSet(true)) {
                 then.accept(answer);
             }
         };
         simulation.after(6, () -> state.handle(call, once));
-        simulation.after(timeoutMs, () -> once.accept(Answer.NONE));
+        simulation.after(timeoutMs, () -> once.accept(Response.NONE));
     }
 
     private static JobSpec spec(String id, int tasks) {
-        return new JobSpec(
-                id,
-                "c",
-                "the-team",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                new Amounts(1, 0, 1.8),
-                null,
-                null,
-                false,
-                false,
-                true,
-                "i",
-                1,
-                10,
-                0,
-                0,
-                null,
-                0);
+        return TestJobs.job(id)
+                .team("the-team")
+                .tasks(tasks)
+                .demand(new Resources(1, 0, 1.8))
+                .build();
     }
 
     private static TaskAssignment start(int number) {
         Machine machine = new Machine(
-                "m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true), new Amounts(8, 0, 16), 0);
+                "m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true), new Resources(8, 0, 16), 0);
         return new TaskAssignment(
                 spec("run-" + (100_000 + number % 300), 1800), number, machine, (7L << 24) + number, Phase.PLANNED);
     }
@@ -103,9 +95,9 @@
         List<TaskAssignment> all = new ArrayList<>();
         // 75 a second for a minute, each over after 20 s.
         for (int i = 0; i < 4500; i++) {
-            TaskAssignment binding = start(i);
-            all.add(binding);
-            starts.save(binding);
+            TaskAssignment assignment = start(i);
+            all.add(assignment);
+            starts.save(assignment);
             if (i >= 1500) {
                 starts.drop(all.get(i - 1500));
             }
@@ -118,8 +110,9 @@
         assertTrue(durable.containsAll(all), "every start has become durable");
         assertTrue(state.writes() < 4500 / 3, state.writes() + " writes for 4500 starts");
         Set<String> stored = stored();
-        for (TaskAssignment binding : all.subList(3000, 4500)) {
-            assertTrue(stored.contains(binding.machine.name + " " + binding.taskName()), binding.taskName());
+        for (TaskAssignment assignment : all.subList(3000, 4500)) {
+            assertTrue(
+                    stored.contains(assignment.machine().name() + " " + assignment.taskName()), assignment.taskName());
         }
         assertEquals(0, state.overRate());
     }
@@ -158,7 +151,7 @@
         simulation.runUntil(1000);
         starts.drop(over);
         assertEquals(1, stored().size());
-        starts.tidy();
+        starts.compact();
         simulation.runUntil(2000);
         assertEquals(0, stored().size());
     }
@@ -168,51 +161,36 @@
         Job job = new Job(spec("run-000001", 100_000), 1);
         int length = VALUE_BYTES * 3;
         for (int first = 0; first < 100_000; first += length) {
-            DoneMarks run = new DoneMarks(job, first, Math.min(length, 100_000 - first));
-            for (int task = first; task < first + run.count; task++) {
-                job.finish(task);
+            CompletionRange run = new CompletionRange(job, first, Math.min(length, 100_000 - first));
+            for (int task = first; task < first + run.count(); task++) {
+                job.complete(task);
             }
             JsonNode value = Records.done(List.of(run));
             assertTrue(Json.bytes(value).length <= Records.doneBytes(run) + 64, "no larger than reckoned");
             assertTrue(Records.doneBytes(run) + 64 <= VALUE_BYTES);
-            run.durable();
+            run.recorded();
             DoneRun read = Records.done(value).get(0);
             assertEquals(first, read.first());
-            assertEquals(run.count, read.bits().cardinality());
+            assertEquals(run.count(), read.bits().cardinality());
         }
-        assertEquals(100_000, job.durable.cardinality());
+        assertEquals(100_000, job.durablyDoneTasks());
     }
 
     @Test
     void startsTakeNoMoreBytesThanReckoned() {
         for (int number : new int[] {0, 9, 1799, 99_999}) {
-            TaskAssignment binding = start(number);
+            TaskAssignment assignment = start(number);
             TaskAssignment odd = new TaskAssignment(
-                    new JobSpec(
-                            "run-1",
-                            "c",
-                            "d\u00e9sk \"1\"\n",
-                            JobSpec.Form.ARRAY,
-                            JobSpec.Priority.LOW,
-                            1,
-                            new Amounts(0.1 + 0.2, 1e-7, 123456.789),
-                            null,
-                            null,
-                            false,
-                            false,
-                            true,
-                            "i",
-                            1,
-                            10,
-                            0,
-                            0,
-                            null,
-                            0),
+                    TestJobs.job("run-1")
+                            .team("d\u00e9sk \"1\"\n")
+                            .priority(JobSpec.Priority.LOW)
+                            .demand(new Resources(0.1 + 0.2, 1e-7, 123456.789))
+                            .build(),
                     number,
-                    binding.machine,
+                    assignment.machine(),
                     Long.MAX_VALUE,
                     Phase.SENT);
-            for (TaskAssignment one : List.of(binding, odd)) {
+            for (TaskAssignment one : List.of(assignment, odd)) {
                 int bytes = Json.bytes(Records.starts(List.of(one))).length;
                 assertTrue(bytes <= Records.startBytes(one) + 64, bytes + " bytes");
             }
@@ -258,11 +236,13 @@
         List<TaskAssignment> changed = left.subList(60, 190);
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
-            values.tidy();
+            values.compact();
             simulation.runUntil(simulation.now() + 7);
             Set<String> stored = stored();
-            for (TaskAssignment binding : left.subList(60, 200)) {
-                assertTrue(stored.contains(binding.machine.name + " " + binding.taskName()), binding.taskName());
+            for (TaskAssignment assignment : left.subList(60, 200)) {
+                assertTrue(
+                        stored.contains(assignment.machine().name() + " " + assignment.taskName()),
+                        assignment.taskName());
             }
         }
         assertTrue(durable.containsAll(changed));
--- a/src/test/java/notchpick/bookkeeping/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -1,4 +1,4 @@
-package notchpick.bookkeeping;
+package notchpick.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,12 +19,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import notchpick.bookkeeping.Records.DoneRun;
-import notchpick.bookkeeping.Records.Fate;
-import notchpick.bookkeeping.Records.JobRecord;
-import notchpick.protocol.CloudApi;
+import notchpick.model.CompletionRange;
+import notchpick.model.Job;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
-import notchpick.protocol.PeerWire;
+import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.Envelope;
 import notchpick.protocol.peer.Grant;
 import notchpick.protocol.peer.LinkTable;
@@ -36,9 +39,11 @@
 import notchpick.protocol.peer.Relayed;
 import notchpick.protocol.peer.ReportBatch;
 import notchpick.protocol.peer.StateCall;
-import notchpick.scheduling.Amounts;
-import notchpick.scheduling.FleetPlan.Pool;
+import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Resources;
+import notchpick.scheduling.TestJobs;
+import notchpick.storage.Records.DoneRun;
 import org.apache.avro.Schema;
 import org.apache.avro.SchemaNormalization;
 import org.apache.avro.generic.GenericDatumReader;
@@ -58,43 +63,30 @@
     }
 
     private static JobSpec spec(int tasks) {
-        return new JobSpec(
-                "run-000010",
-                "c",
-                "a",
-                JobSpec.Form.ARRAY,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                new Amounts(1, 0, 1.8),
-                List.of("m8"),
-                "east",
-                false,
-                false,
-                true,
-                "i",
-                1,
-                10,
-                0,
-                0,
-                60.0,
-                5,
-                List.of("run-000001"),
-                5);
+        return TestJobs.job("run-000010")
+                .tasks(tasks)
+                .demand(new Resources(1, 0, 1.8))
+                .types(List.of("m8"))
+                .zone("east")
+                .deadlineS(60.0)
+                .submittedAt(5)
+                .dependencies(List.of("run-000001"))
+                .build();
     }
 
     @Test
     void descriptionsAreReadAsJobsThatNeedNothing() throws IOException {
         JobSpec spec = Records.spec("run-000006", stored().get("open/run-000006"));
         assertEquals(2, spec.tasks());
-        assertEquals(List.of(), spec.needs());
+        assertEquals(List.of(), spec.dependencies());
         assertEquals(spec.submittedAt(), spec.readyAt());
         assertEquals(1700000059904L, spec.submittedAt());
     }
 
     @Test
     void endsAreReadWithoutATime() throws IOException {
-        assertEquals(new JobRecord(Fate.DONE, 60, 60, 0, false), Records.job(stored().get("job/run-000002")));
-        assertEquals(new JobRecord(Fate.CANCELLED, 8, 0, 0, false), Records.job(stored().get("job/run-000004")));
+        assertEquals(new JobRecord(JobStatus.DONE, 60, 60, 0, false), Records.job(stored().get("job/run-000002")));
+        assertEquals(new JobRecord(JobStatus.CANCELLED, 8, 0, 0, false), Records.job(stored().get("job/run-000004")));
     }
 
     @Test
@@ -105,7 +97,7 @@
                 0.0252,
                 Records.commitments(stored().get("commitments")).get("b").cores(),
                 0.0001);
-        assertEquals(1, CloudApi.types(stored().get("types")).size());
+        assertEquals(1, CloudClient.types(stored().get("types")).size());
         assertEquals(Records.FORMAT, stored().get("term").get("format").asInt());
         DoneRun run = Records.done(stored().get("done/1")).get(0);
         List<Integer> done = new ArrayList<>();
@@ -142,22 +134,22 @@
                 "done", Records.job(JobRecord.done(spec(4), 7)).get("state").asText());
         assertEquals("cancelled", Records.job(cancelled).get("state").asText());
         Job job = new Job(spec(20), 1);
-        job.finish(3);
-        JsonNode marks = Records.done(List.of(new DoneMarks(job, 0, 20)));
+        job.complete(3);
+        JsonNode marks = Records.done(List.of(new CompletionRange(job, 0, 20)));
         assertReadable("done/", marks, old.get("done/0"), List.of());
         assertEquals(
                 kinds(old.get("done/0").get("jobs").get(0)),
                 kinds(marks.get("jobs").get(0)));
-        Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Amounts(8, 0, 64), 0);
+        Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Resources(8, 0, 64), 0);
         JsonNode starts =
-                Records.starts(List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.READY)));
+                Records.starts(List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.DURABLE)));
         assertReadable("start/", starts, old.get("start/0"), List.of());
         assertEquals(kinds(old.at("/start~10/jobs/run-000008")), kinds(starts.at("/jobs/run-000010")));
         JsonNode place = starts.at("/machines/m-1");
         assertEquals(kinds(old.at("/start~10/machines/m-000003")), kinds(place));
         assertEquals(List.of("STRING", "NUMBER", "NUMBER"), kinds(place.get(3)));
         assertReadable("released", Records.released(List.of(machine)), old.get("released"), List.of());
-        JsonNode commitments = Records.commitments(Map.of("b", new Amounts(0.1, 0, 0)), 1000);
+        JsonNode commitments = Records.commitments(Map.of("b", new Resources(0.1, 0, 0)), 1000);
         assertReadable(
                 "commitments", commitments.get("b"), old.get("commitments").get("b"), List.of());
     }
@@ -203,10 +195,10 @@
         for (String line : Files.readAllLines(FOLDER.resolve("peer.txt"))) {
             String[] words = line.split(" ");
             byte[] bytes = Base64.getDecoder().decode(words[1]);
-            Object body = PeerWire.body(bytes);
+            Object body = PeerProtocol.body(bytes);
             assertNotNull(body, words[0]);
             assertEquals(kinds.get(words[0]), body.getClass());
-            assertEquals(words[1], Base64.getEncoder().encodeToString(PeerWire.bytes(body)));
+            assertEquals(words[1], Base64.getEncoder().encodeToString(PeerProtocol.bytes(body)));
             read.put(words[0], body);
         }
         assertEquals(kinds.keySet(), read.keySet());
@@ -242,8 +234,8 @@
                 old.getField("body").schema().getTypes().size() + later.size(),
                 Envelope.getClassSchema().getField("body").schema().getTypes().size());
         for (Object message : later) {
-            byte[] bytes = PeerWire.bytes(message);
-            assertEquals(message, PeerWire.body(bytes));
+            byte[] bytes = PeerProtocol.bytes(message);
+            assertEquals(message, PeerProtocol.body(bytes));
             assertThrows(
                     RuntimeException.class,
                     () -> new GenericDatumReader<>(old)
--- a/src/test/java/notchpick/transport/SocketTest.java
+++ b/src/test/java/notchpick/transport/SocketTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import notchpick.transport.Caller.Answer;
-import notchpick.transport.Caller.Call;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -30,8 +30,8 @@
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private String address;
-    private JettyServer server;
-    private JettyCaller caller;
+    private JettyHttpServer server;
+    private JettyHttpCaller caller;
 
     @BeforeEach
     void start() throws Exception {
@@ -40,12 +40,12 @@
         }
         threads.start();
         scheduler.start();
-        Handler echo = (call, reply) -> {
+        HttpHandler echo = (call, reply) -> {
             if (call.path().equals("/never")) {
                 return;
             }
             if (call.path().equals("/last")) {
-                reply.accept(new Answer(503, new byte[0]).last());
+                reply.accept(new Response(503, new byte[0]).last());
                 return;
             }
             if (call.path().equals("/broken")) {
@@ -54,12 +54,12 @@
             byte[] body = call.body().length > 0
                     ? call.body()
                     : (call.method() + " " + call.path()).getBytes(StandardCharsets.UTF_8);
-            reply.accept(new Answer(201, body));
+            reply.accept(new Response(201, body));
         };
-        server = new JettyServer(
+        server = new JettyHttpServer(
                 threads, scheduler, new ArrayByteBufferPool(), Map.of(address, echo), "", 30_000, MOST, 500);
         server.start();
-        caller = new JettyCaller(threads, scheduler, 4, 1000);
+        caller = new JettyHttpCaller(threads, scheduler, 4, 1000);
     }
 
     /** A crowd must not take every connection that the process may hold; idle ones make room for others. */
@@ -112,15 +112,15 @@
         threads.stop();
     }
 
-    private Answer call(String method, String path, byte[] body, long timeoutMs) throws Exception {
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
-        caller.call(new Call(address, method, path, body), timeoutMs, answer::complete);
+    private Response call(String method, String path, byte[] body, long timeoutMs) throws Exception {
+        CompletableFuture<Response> answer = new CompletableFuture<>();
+        caller.call(new Request(address, method, path, body), timeoutMs, answer::complete);
         return answer.get(30, TimeUnit.SECONDS);
     }
 
     @Test
     void carriesMethodPathAndBody() throws Exception {
-        Answer answer = call("GET", "/a/b?c=d", null, 20_000);
+        Response answer = call("GET", "/a/b?c=d", null, 20_000);
         assertEquals(201, answer.status());
         assertEquals("GET /a/b?c=d", new String(answer.body(), StandardCharsets.UTF_8));
         byte[] body = new byte[60_000];
@@ -136,10 +136,10 @@
 
     @Test
     void noAnswerInTimeIsToldFromNoServer() throws Exception {
-        assertEquals(Answer.NONE, call("GET", "/never", null, 200));
+        assertEquals(Response.NONE, call("GET", "/never", null, 200));
         address = "127.0.0.1:1";
-        assertEquals(Answer.UNSENT, call("GET", "/x", null, 2000));
-        assertTrue(Answer.NONE.isNone() && Answer.UNSENT.isNone());
+        assertEquals(Response.UNSENT, call("GET", "/x", null, 2000));
+        assertTrue(Response.NONE.isNone() && Response.UNSENT.isNone());
     }
 
     @Test
