--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -5,7 +5,6 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.ByteBufferPool;
 import org.eclipse.jetty.io.Content;
-import org.eclipse.jetty.server.ConnectionLimit;
 import org.eclipse.jetty.server.HttpConfiguration;
 import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.Request;
@@ -59,9 +58,7 @@
             connector.setAcceptQueueSize(256);
             if (!address.equals(peerAddress)) {
                 // Users and workers must not keep the other controllers out, nor this one's own calls in.
-                ConnectionLimit limit = new ConnectionLimit(connections, connector);
-                limit.setIdleTimeout(crowdedIdleMs);
-                connector.addBean(limit);
+                connector.addBean(new IdleConnectionLimit(connections, connector, crowdedIdleMs));
             }
             server.addConnector(connector);
         }
--- a/src/test/java/notchpick/transport/SocketTest.java
+++ b/src/test/java/notchpick/transport/SocketTest.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
@@ -27,12 +28,49 @@
 /** Server and client over real sockets. */
 class SocketTest {
     private static final int MOST = 20;
-    private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
+    private final HoldingThreadPool threads = new HoldingThreadPool();
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private String address;
     private JettyHttpServer server;
     private JettyHttpCaller caller;
 
+    /** Can hold work back, as a machine does whose processors are busy. */
+    private static final class HoldingThreadPool extends QueuedThreadPool {
+        private final List<Runnable> held = new ArrayList<>();
+        private final Semaphore heldCount = new Semaphore(0);
+        private boolean holding;
+
+        HoldingThreadPool() {
+            super(8, 2);
+        }
+
+        @Override
+        public void execute(Runnable job) {
+            synchronized (held) {
+                if (holding) {
+                    held.add(job);
+                    heldCount.release();
+                    return;
+                }
+            }
+            super.execute(job);
+        }
+
+        private void hold() {
+            synchronized (held) {
+                holding = true;
+            }
+        }
+
+        private void release() {
+            synchronized (held) {
+                holding = false;
+                held.forEach(super::execute);
+                held.clear();
+            }
+        }
+    }
+
     @BeforeEach
     void start() throws Exception {
         try (ServerSocket socket = new ServerSocket(0)) {
@@ -94,6 +132,39 @@
         reading.shutdown();
     }
 
+    /**
+     * The selector accepts connections in its own thread and opens each in another, so that the limit can be reached
+     * while none is open: each must get the shorter idle timeout when it opens.
+     */
+    @Test
+    void idleConnectionsThatOpenAfterTheLimitIsReachedEndSooner() throws Exception {
+        ExecutorService readers = Executors.newCachedThreadPool();
+        List<Socket> idle = new ArrayList<>();
+        int colon = address.lastIndexOf(':');
+        threads.hold();
+        for (int i = 0; i < MOST; i++) {
+            idle.add(new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
+        }
+        assertTrue(threads.heldCount.tryAcquire(MOST, 20, TimeUnit.SECONDS));
+        threads.release();
+        CompletableFuture<?>[] ends = idle.stream()
+                .map(socket -> CompletableFuture.supplyAsync(() -> readByte(socket), readers))
+                .toArray(CompletableFuture<?>[]::new);
+        assertEquals(-1, CompletableFuture.anyOf(ends).get(20, TimeUnit.SECONDS));
+        for (Socket socket : idle) {
+            socket.close();
+        }
+        readers.shutdown();
+    }
+
+    private static int readByte(Socket socket) {
+        try {
+            return socket.getInputStream().read();
+        } catch (IOException e) {
+            return -1;
+        }
+    }
+
     @Test
     void anAnswerMayEndItsConnection() throws Exception {
         Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
