--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -16,7 +16,7 @@
 import notchpick.protocol.WorkerProtocol.TaskCommand;
 import notchpick.protocol.WorkerProtocol.TaskPhase;
 import notchpick.protocol.WorkerProtocol.TaskStatus;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import notchpick.transport.HttpCaller.Response;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -116,7 +116,7 @@
 
     private Machine unknownMachine(Heartbeat heartbeat, long now) {
         LOG.info("unknown worker registered: machine={}", heartbeat.machine());
-        Pool pool = new Pool(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+        NodePool pool = new NodePool(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         return new Machine(heartbeat.machine(), pool, context.machineTypes().size(heartbeat.type()), now);
     }
 
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -6,7 +6,7 @@
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.CloudClient.Listed;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -66,7 +66,7 @@
 
     private Machine unknownMachine(Listed listed) {
         long now = context.now();
-        Pool pool = new Pool(listed.type(), listed.zone(), listed.spot());
+        NodePool pool = new NodePool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
                 new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
         machine.setProvisionedAt(now - (long) (listed.ageS() * MS_PER_S));
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -13,11 +13,11 @@
 import notchpick.model.Machine;
 import notchpick.model.MachineTypeCatalog;
 import notchpick.scheduling.FleetPlanner.Need;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobOrder;
 import notchpick.scheduling.JobOrder.Waiting;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
 /** Estimates what the open jobs could use, and which of them can't do with spot machines alone. */
@@ -26,10 +26,10 @@
     private final Deployment deployment;
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
-    private final Predicate<Pool> refused;
+    private final Predicate<NodePool> refused;
 
     /** @param refused pools of which the cloud has lately given less than was asked for */
-    DemandEstimator(TermContext context, Predicate<Pool> refused) {
+    DemandEstimator(TermContext context, Predicate<NodePool> refused) {
         this.context = context;
         this.deployment = context.deployment();
         this.cluster = context.cluster();
@@ -131,7 +131,7 @@
             for (String zone : type.zones()) {
                 if (spec.allows(type.name(), zone, true)
                         && spec.demand().fitsIn(type.size())
-                        && !refused.test(new Pool(type.name(), zone, true))) {
+                        && !refused.test(new NodePool(type.name(), zone, true))) {
                     return true;
                 }
             }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -7,7 +7,7 @@
 import notchpick.model.ClusterState;
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Prepared;
@@ -45,7 +45,7 @@
     void load(List<String> names) {
         for (String name : names) {
             Machine machine = cluster.machineOrAdd(
-                    name, n -> new Machine(n, new Pool("", "", false), Resources.NONE, context.now()));
+                    name, n -> new Machine(n, new NodePool("", "", false), Resources.NONE, context.now()));
             machine.release();
             machine.releaseRecorded();
         }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -8,7 +8,7 @@
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.CloudClient.Rented;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,8 +25,8 @@
     private final CloudClient cloud;
     private final Runnable refused;
     private final String requestPrefix;
-    private final Map<Pool, Long> refusedUntil = new HashMap<>();
-    private final Set<Pool> requested = new HashSet<>();
+    private final Map<NodePool, Long> refusedUntil = new HashMap<>();
+    private final Set<NodePool> requested = new HashSet<>();
     private long lastRequest;
 
     /** @param refused is run when the cloud has given less than was asked for */
@@ -39,22 +39,22 @@
     }
 
     /** Whether the cloud has lately given less of the pool than was asked for. */
-    boolean wasRefused(Pool pool) {
+    boolean wasRefused(NodePool pool) {
         return refusedUntil.getOrDefault(pool, 0L) > context.now();
     }
 
     /** Rents machines of the pool, unless a request for it is still open. */
-    void rent(Pool pool, int count) {
+    void rent(NodePool pool, int count) {
         if (requested.add(pool)) {
             rentNext(pool, count);
         }
     }
 
-    private void rentNext(Pool pool, int count) {
+    private void rentNext(NodePool pool, int count) {
         rent(requestPrefix + ++lastRequest, pool, count, MAX_TRIES);
     }
 
-    private void rent(String request, Pool pool, int count, int tries) {
+    private void rent(String request, NodePool pool, int count, int tries) {
         int batch = Math.min(count, CloudClient.MAX_RENT);
         cloud.rent(
                 request,
@@ -74,7 +74,7 @@
                 }));
     }
 
-    private void rented(Pool pool, int count, int batch, Rented result) {
+    private void rented(NodePool pool, int count, int batch, Rented result) {
         long now = context.now();
         LOG.info(
                 "machines rented: count={} requested={} type={} zone={} spot={}",
--- a/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -11,7 +11,7 @@
 import notchpick.model.ClusterState;
 import notchpick.model.Machine;
 import notchpick.model.MachineTypeCatalog;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 
 /**
  * Distinguishes a machine that never comes up from a time in which all come up late. The first is given up and
@@ -28,9 +28,9 @@
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
     private final long heartbeatPeriodMs;
-    private final Map<Pool, Long> replacedAt = new HashMap<>();
+    private final Map<NodePool, Long> replacedAt = new HashMap<>();
     /** Pools in which all are late, with the age of the oldest that is awaited. */
-    private final Map<Pool, Long> late = new HashMap<>();
+    private final Map<NodePool, Long> late = new HashMap<>();
 
     ProvisioningMonitor(TermContext context) {
         this.cluster = context.cluster();
@@ -39,7 +39,7 @@
     }
 
     /** Whether all that is awaited from there is late; another pool may be sound. */
-    boolean isLate(Pool pool) {
+    boolean isLate(NodePool pool) {
         return late.containsKey(pool);
     }
 
@@ -51,7 +51,7 @@
     /** How long a machine of the type takes to come up at present, as far as that is known. */
     double expectedBootMs(String type) {
         double expected = types.bootMs(type);
-        for (Map.Entry<Pool, Long> entry : late.entrySet()) {
+        for (Map.Entry<NodePool, Long> entry : late.entrySet()) {
             if (entry.getKey().type().equals(type)) {
                 expected = Math.max(expected, entry.getValue());
             }
@@ -62,7 +62,7 @@
     /** One look at what is booting; gives the machines that need not be waited for any more. */
     Set<Machine> review(long now) {
         late.clear();
-        Map<Pool, List<Machine>> overdue = new HashMap<>();
+        Map<NodePool, List<Machine>> overdue = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING
                     && now - machine.provisionedAt()
@@ -77,7 +77,7 @@
         return givenUp;
     }
 
-    private List<Machine> review(Pool pool, List<Machine> overdue, long now) {
+    private List<Machine> review(NodePool pool, List<Machine> overdue, long now) {
         List<Machine> faulty = new ArrayList<>();
         List<Machine> awaited = new ArrayList<>();
         for (Machine machine : overdue) {
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import notchpick.scheduling.CandidateNode;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
 /** A machine as the leader knows it: its lifecycle, its worker's heartbeats, and the resources taken on it. */
@@ -26,7 +26,7 @@
     }
 
     private final String name;
-    private final Pool pool;
+    private final NodePool pool;
     private final Resources size;
     private final Map<String, TaskAssignment> assignments = new LinkedHashMap<>();
     private final Collection<TaskAssignment> assignmentsView = Collections.unmodifiableCollection(assignments.values());
@@ -53,7 +53,7 @@
     private Resources held = Resources.NONE;
     private Resources free;
 
-    public Machine(String name, Pool pool, Resources size, long now) {
+    public Machine(String name, NodePool pool, Resources size, long now) {
         this.name = name;
         this.pool = pool;
         this.size = size;
@@ -67,7 +67,7 @@
         return name;
     }
 
-    public Pool pool() {
+    public NodePool pool() {
         return pool;
     }
 
--- a/src/main/java/notchpick/scheduling/FleetPlanner.java
+++ b/src/main/java/notchpick/scheduling/FleetPlanner.java
@@ -17,9 +17,6 @@
 
     private FleetPlanner() {}
 
-    /** Where machines can be rented. */
-    public record Pool(String type, String zone, boolean spot) {}
-
     /**
      * What one job could use.
      *
@@ -31,19 +28,19 @@
     public record Need(JobSpec spec, int tasks, double runS, boolean pressed, boolean atOnce) {}
 
     /** A machine that is up or will be. */
-    public record Owned(String name, Pool pool, Resources size, boolean idle) {}
+    public record Owned(String name, NodePool pool, Resources size, boolean idle) {}
 
     /** What to rent, by pool, and the names of machines that nothing needs. */
-    public record Plan(Map<Pool, Integer> rent, Set<String> unneeded) {}
+    public record Plan(Map<NodePool, Integer> rent, Set<String> unneeded) {}
 
     private static final class Slot {
         private final Owned owned;
-        private final Pool pool;
+        private final NodePool pool;
         private final double pricePerCore;
         private Resources room;
         private boolean used;
 
-        Slot(Owned owned, Pool pool, double pricePerCore, Resources room) {
+        Slot(Owned owned, NodePool pool, double pricePerCore, Resources room) {
             this.owned = owned;
             this.pool = pool;
             this.pricePerCore = pricePerCore;
@@ -62,8 +59,8 @@
             List<Owned> owned,
             Map<String, MachineType> types,
             double horizonS,
-            Predicate<Pool> refused,
-            Predicate<Pool> late) {
+            Predicate<NodePool> refused,
+            Predicate<NodePool> late) {
         List<Slot> slots = new ArrayList<>();
         for (Owned machine : owned) {
             MachineType type = types.get(machine.pool().type());
@@ -74,8 +71,8 @@
         }
         // Busy machines first, then cheap ones: what stays unused is what can go.
         slots.sort(Comparator.<Slot>comparingInt(s -> s.owned.idle() ? 1 : 0).thenComparingDouble(s -> s.pricePerCore));
-        Map<Pool, Integer> rent = new LinkedHashMap<>();
-        Map<Pool, Integer> held = new HashMap<>();
+        Map<NodePool, Integer> rent = new LinkedHashMap<>();
+        Map<NodePool, Integer> held = new HashMap<>();
         owned.forEach(machine -> held.merge(machine.pool(), 1, Integer::sum));
         double least = needs.stream()
                 .mapToDouble(need -> need.spec().demand().cores())
@@ -92,7 +89,7 @@
                 wanted -= pack(need, slot, wanted);
             }
             while (wanted > 0) {
-                Pool pool = choosePool(need, wanted, types, held, refused, late);
+                NodePool pool = choosePool(need, wanted, types, held, refused, late);
                 if (pool == null) {
                     break;
                 }
@@ -146,14 +143,14 @@
      * The pool that gives the job its cores most cheaply, a machine's unused rest included; among equals
      * the one of which least is held, so that one wave of taken machines doesn't take all.
      */
-    private static Pool choosePool(
+    private static NodePool choosePool(
             Need need,
             int wanted,
             Map<String, MachineType> types,
-            Map<Pool, Integer> held,
-            Predicate<Pool> refused,
-            Predicate<Pool> late) {
-        Pool best = null;
+            Map<NodePool, Integer> held,
+            Predicate<NodePool> refused,
+            Predicate<NodePool> late) {
+        NodePool best = null;
         double bestPrice = 0;
         for (boolean spot : new boolean[] {true, false}) {
             if (best != null || !spot && need.spec().spot() && !need.pressed()) {
@@ -161,7 +158,7 @@
             }
             for (MachineType type : types.values()) {
                 for (String zone : type.zones()) {
-                    Pool pool = new Pool(type.name(), zone, spot);
+                    NodePool pool = new NodePool(type.name(), zone, spot);
                     if (!need.spec().allows(type.name(), zone, spot)
                             || !need.spec().demand().fitsIn(type.size())
                             || refused.test(pool)) {
--- a/src/main/java/notchpick/storage/Records.java
+++ b/src/main/java/notchpick/storage/Records.java
@@ -17,8 +17,8 @@
 import notchpick.model.Machine;
 import notchpick.model.TaskAssignment;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
 
@@ -207,7 +207,7 @@
     private static final int PUNCTUATION_BYTES = 32;
 
     /** A task that may be on a machine, of which this says where it is and what it takes. */
-    public record Hint(String machine, Pool pool, JobSpec job, int task, long attempt) {}
+    public record Hint(String machine, NodePool pool, JobSpec job, int task, long attempt) {}
 
     /** Reads the tasks that a packed record of launches names. */
     public static List<Hint> hints(JsonNode node) {
@@ -228,7 +228,7 @@
         List<Hint> hints = new ArrayList<>();
         node.path("machines").fields().forEachRemaining(field -> {
             JsonNode machine = field.getValue();
-            Pool pool = new Pool(
+            NodePool pool = new NodePool(
                     machine.path(0).asText(),
                     machine.path(1).asText(),
                     machine.path(2).asBoolean());
--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -27,8 +27,8 @@
 import notchpick.protocol.peer.Room;
 import notchpick.protocol.peer.StateCall;
 import notchpick.protocol.peer.Want;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.simulation.SimulatedCloud;
 import notchpick.simulation.SimulatedStateStore;
@@ -65,7 +65,7 @@
                 Map.of("m8", type),
                 rented -> {},
                 name -> {});
-        cloud.capacity(new Pool("m8", "east", true), 4);
+        cloud.capacity(new NodePool("m8", "east", true), 4);
         HttpHandler stateInTurn = (call, reply) -> timer.execute(() -> state.handle(call, reply));
         HttpHandler cloudInTurn = (call, reply) -> timer.execute(() -> cloud.handle(call, reply));
         List<String> ports = freeAddresses(5);
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -25,8 +25,8 @@
 import notchpick.protocol.peer.Placed;
 import notchpick.protocol.peer.Placements;
 import notchpick.protocol.peer.Pulse;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.RuntimeEstimator;
 import notchpick.scheduling.ServiceObjectives;
@@ -187,7 +187,7 @@
     }
 
     private void addReadyMachine(String name) {
-        Machine machine = new Machine(name, new Pool("m8", "east", true), new Resources(8, 0, 64), loop.now());
+        Machine machine = new Machine(name, new NodePool("m8", "east", true), new Resources(8, 0, 64), loop.now());
         machine.markReady(loop.now());
         machine.setReconciled(true);
         cluster.addMachine(machine);
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.simulation.InvariantChecker;
 import notchpick.simulation.SimulatedCloud;
@@ -104,8 +104,8 @@
                         30_000,
                         saved),
                 name -> {});
-        cloud.capacity(new Pool("m8", "east", true), machines / 2);
-        cloud.capacity(new Pool("m8", "west", true), machines - machines / 2);
+        cloud.capacity(new NodePool("m8", "east", true), machines / 2);
+        cloud.capacity(new NodePool("m8", "west", true), machines - machines / 2);
         HttpHandler stateInTurn = (call, reply) -> arrived.add(() -> state.handle(call, reply));
         HttpHandler cloudInTurn = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
         new JettyHttpServer(
--- a/src/test/java/notchpick/scheduling/FleetPlannerTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -7,7 +7,6 @@
 import java.util.Set;
 import notchpick.scheduling.FleetPlanner.Need;
 import notchpick.scheduling.FleetPlanner.Owned;
-import notchpick.scheduling.FleetPlanner.Pool;
 import org.junit.jupiter.api.Test;
 
 /** What is rented for a backlog, and what is given back. */
@@ -37,7 +36,8 @@
                 60,
                 pool -> false,
                 pool -> false);
-        assertEquals(Map.of(new Pool("small", "east", true), 2, new Pool("small", "west", true), 2), plan.rent());
+        assertEquals(
+                Map.of(new NodePool("small", "east", true), 2, new NodePool("small", "west", true), 2), plan.rent());
     }
 
     @Test
@@ -49,7 +49,7 @@
                 60,
                 pool -> pool.zone().equals("west"),
                 pool -> false);
-        assertEquals(Map.of(new Pool("small", "east", true), 2), plan.rent());
+        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.rent());
     }
 
     @Test
@@ -61,12 +61,12 @@
                 60,
                 pool -> pool.zone().equals("west"),
                 pool -> false);
-        assertEquals(Map.of(new Pool("small", "east", true), 2), plan.rent());
+        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.rent());
     }
 
     @Test
     void ordinaryMachinesOnlyForThosePressedOrWhoAskForThem() {
-        java.util.function.Predicate<Pool> noSpot = Pool::spot;
+        java.util.function.Predicate<NodePool> noSpot = NodePool::spot;
         assertEquals(
                 Map.of(),
                 FleetPlanner.plan(
@@ -103,7 +103,7 @@
 
     @Test
     void idleMachinesWithoutUseAreNotNeeded() {
-        Pool pool = new Pool("small", "east", true);
+        NodePool pool = new NodePool("small", "east", true);
         List<Owned> owned = List.of(
                 new Owned("m-1", pool, SMALL.size(), false),
                 new Owned("m-2", pool, SMALL.size(), true),
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -11,8 +11,8 @@
 import java.util.function.LongSupplier;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
@@ -42,7 +42,7 @@
     private final Map<String, MachineType> types;
     private final Consumer<Rented> up;
     private final Consumer<String> gone;
-    private final Map<Pool, Integer> capacity = new HashMap<>();
+    private final Map<NodePool, Integer> capacity = new HashMap<>();
     private final Map<String, Rented> machines = new java.util.TreeMap<>();
     private final Map<String, byte[]> answers = new HashMap<>();
     private int count;
@@ -68,7 +68,7 @@
         this.gone = gone;
     }
 
-    public void capacity(Pool pool, int most) {
+    public void capacity(NodePool pool, int most) {
         capacity.put(pool, most);
     }
 
@@ -163,7 +163,7 @@
             return new Response(200, answers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
-        Pool pool = new Pool(
+        NodePool pool = new NodePool(
                 type.name(), body.path("site").asText(), body.path("borrowed").asBoolean());
         long held = machines.values().stream()
                 .filter(m -> m.type == type && m.zone.equals(pool.zone()) && m.spot == pool.spot())
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -18,9 +18,9 @@
 import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
 import notchpick.protocol.UserProtocol;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives;
 import notchpick.scheduling.ServiceObjectives.Kind;
@@ -818,7 +818,7 @@
     }
 
     public void capacity(String type, String zone, boolean spot, int most) {
-        cloud.capacity(new Pool(type, zone, spot), most);
+        cloud.capacity(new NodePool(type, zone, spot), most);
     }
 
     /** Gives a controller a name by which the scenario can speak of it later. */
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -19,8 +19,8 @@
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreTransport;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedStateStore;
@@ -75,7 +75,10 @@
 
     private static TaskAssignment start(int number) {
         Machine machine = new Machine(
-                "m-" + (100_000 + number % 1125), new Pool("kind-8", "zone-east", true), new Resources(8, 0, 16), 0);
+                "m-" + (100_000 + number % 1125),
+                new NodePool("kind-8", "zone-east", true),
+                new Resources(8, 0, 16),
+                0);
         return new TaskAssignment(
                 spec("run-" + (100_000 + number % 300), 1800), number, machine, (7L << 24) + number, Phase.PLANNED);
     }
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -39,8 +39,8 @@
 import notchpick.protocol.peer.Relayed;
 import notchpick.protocol.peer.ReportBatch;
 import notchpick.protocol.peer.StateCall;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.TestJobs;
 import notchpick.storage.Records.DoneRun;
@@ -140,7 +140,7 @@
         assertEquals(
                 kinds(old.get("done/0").get("jobs").get(0)),
                 kinds(marks.get("jobs").get(0)));
-        Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Resources(8, 0, 64), 0);
+        Machine machine = new Machine("m-1", new NodePool("m8", "east", true), new Resources(8, 0, 64), 0);
         JsonNode starts =
                 Records.starts(List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.DURABLE)));
         assertReadable("start/", starts, old.get("start/0"), List.of());
