--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -48,7 +48,7 @@
                 draining++;
                 machine.assignments().forEach(assignment -> moving.add(assignment.spec()));
             } else if (machine.isSchedulable(now, context.heartbeatPeriodMs())) {
-                freeCores += machine.room().cores();
+                freeCores += machine.freeResources().cores();
                 candidates.add(new Candidate<>(machine, movableTasks(machine, now)));
             }
         }
--- a/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
@@ -50,8 +50,9 @@
         return index.sites().stream()
                 .filter(machine -> reserved.get(machine) == null
                         && spec.demand().fitsIn(machine.size())
-                        && spec.allows(machine.type(), machine.zone(), machine.spot()))
-                .max(Comparator.comparingDouble(machine -> machine.room().cores()))
+                        && spec.allows(machine.type(), machine.zone(), machine.isSpot()))
+                .max(Comparator.comparingDouble(
+                        machine -> machine.freeResources().cores()))
                 .orElse(null);
     }
 }
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -44,7 +44,7 @@
                 machine.name(),
                 machine.type(),
                 machine.zone(),
-                machine.spot(),
+                machine.isSpot(),
                 leased.cores(),
                 leased.gpus(),
                 leased.ram(),
--- a/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
@@ -29,7 +29,7 @@
         long avoidanceMs = heartbeatPeriodMs * FAILURE_AVOIDANCE_PERIODS;
         Map<String, Integer> zones = spec.isConstrained() ? tasksByZone(job, turn.lease()) : Map.of();
         Predicate<Machine> admits = machine -> spec.allowsAmongFellows(machine.zone(), zones)
-                && (machine.spot() || job.mayUseOnDemand())
+                && (machine.isSpot() || job.mayUseOnDemand())
                 && !machine.health().hasFailedWithin(spec.id(), now, avoidanceMs)
                 && reservations.mayUse(turn, machine);
         return spec.isUrgent()
--- a/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
@@ -55,7 +55,7 @@
                 if (assignment.isStopRequested()) {
                     beingFreedCores += spec.demand().cores();
                 } else if (assignment.mayBePreempted(now) && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
-                    victims.add(new Victim<>(assignment, spec, machine.type(), machine.zone(), machine.spot()));
+                    victims.add(new Victim<>(assignment, spec, machine.type(), machine.zone(), machine.isSpot()));
                 }
             }
         }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -92,7 +92,8 @@
     private List<Machine> schedulableMachines(long now) {
         List<Machine> schedulable = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.room().cores() > Resources.SLACK && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+            if (machine.freeResources().cores() > Resources.SLACK
+                    && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
                 schedulable.add(machine);
             }
         }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -165,8 +165,8 @@
         Quota quota = deployment.quota(spec.team());
         return !job.isBlocked()
                 && machine.isSchedulable(now, context.heartbeatPeriodMs())
-                && spec.demand().fitsIn(machine.room())
-                && spec.allows(machine.type(), machine.zone(), machine.spot())
+                && spec.demand().fitsIn(machine.freeResources())
+                && spec.allows(machine.type(), machine.zone(), machine.isSpot())
                 && (!spec.isConstrained() || spec.allowsAmongFellows(machine.zone(), cluster.tasksByZone(spec.id())))
                 && quota != null
                 && quota.allows(cluster.usage(spec.team()).plus(spec.demand()));
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
@@ -41,12 +41,12 @@
         }
 
         @Override
-        public boolean spot() {
+        public boolean isSpot() {
             return leased.getSpot();
         }
 
         @Override
-        public Resources room() {
+        public Resources freeResources() {
             return free;
         }
 
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -116,7 +116,7 @@
 
     private boolean isSpotMachineRented(JobSpec spec) {
         for (Machine machine : cluster.machines()) {
-            if (machine.spot()
+            if (machine.isSpot()
                     && machine.state() != Machine.State.RELEASED
                     && spec.demand().fitsIn(machine.size())
                     && spec.allows(machine.type(), machine.zone(), true)) {
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -62,7 +62,7 @@
 
     /** A spot machine is kept for as long as another would now take to boot; an on-demand one hardly at all. */
     private double keepIdleMs(Machine machine) {
-        return machine.spot() || provisioning.isLate(machine.pool())
+        return machine.isSpot() || provisioning.isLate(machine.pool())
                 ? provisioning.expectedBootMs(machine.type())
                 : ON_DEMAND_IDLE_PERIODS * heartbeatPeriodMs;
     }
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public boolean spot() {
+    public boolean isSpot() {
         return pool.spot();
     }
 
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public Resources room() {
+    public Resources freeResources() {
         return free;
     }
 
--- a/src/main/java/notchpick/scheduling/CandidateNode.java
+++ b/src/main/java/notchpick/scheduling/CandidateNode.java
@@ -8,9 +8,9 @@
 
     String zone();
 
-    boolean spot();
+    boolean isSpot();
 
-    Resources room();
+    Resources freeResources();
 
     Set<String> images();
 }
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -47,7 +47,7 @@
             }
         }
         // Ordinary machines cost most, so they go first.
-        movable.sort(Comparator.<Candidate<S>>comparingInt(c -> c.site().spot() ? 1 : 0)
+        movable.sort(Comparator.<Candidate<S>>comparingInt(c -> c.site().isSpot() ? 1 : 0)
                 .thenComparingDouble(c -> c.tasks().stream()
                         .mapToDouble(task -> task.demand().cores())
                         .sum()));
@@ -80,11 +80,11 @@
             List<S> inUse = new ArrayList<>();
             for (Candidate<S> machine : machines) {
                 boolean used = machine.tasks() == null || !machine.tasks().isEmpty();
-                if (used && machine.site().room().cores() > Resources.SLACK) {
+                if (used && machine.site().freeResources().cores() > Resources.SLACK) {
                     inUse.add(machine.site());
                 }
             }
-            inUse.sort(Comparator.comparingDouble(site -> site.room().cores()));
+            inUse.sort(Comparator.comparingDouble(site -> site.freeResources().cores()));
             open.addAll(inUse);
         }
 
@@ -94,12 +94,12 @@
             for (JobSpec task : tasks) {
                 S place = null;
                 for (S site : open) {
-                    Resources free = left.getOrDefault(site, room.getOrDefault(site, site.room()));
+                    Resources free = left.getOrDefault(site, room.getOrDefault(site, site.freeResources()));
                     if (site != leaving
                             && task.demand().fitsIn(free)
                             && site.images().contains(task.image())
-                            && (leaving == null || site.spot() || !leaving.spot())
-                            && task.allows(site.type(), site.zone(), site.spot())) {
+                            && (leaving == null || site.isSpot() || !leaving.isSpot())
+                            && task.allows(site.type(), site.zone(), site.isSpot())) {
                         place = site;
                         left.put(site, free.minus(task.demand()));
                         break;
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -59,12 +59,12 @@
 
     public PlacementIndex(Collection<S> sites) {
         for (S site : sites) {
-            put(new Entry<>(site.room().cores(), entries.size(), site));
+            put(new Entry<>(site.freeResources().cores(), entries.size(), site));
         }
     }
 
     private Kind<S> kind(S site) {
-        return site.spot() ? cheap : ordinary;
+        return site.isSpot() ? cheap : ordinary;
     }
 
     private void put(Entry<S> entry) {
@@ -82,7 +82,7 @@
         }
         kind(site).remove(entry);
         change.run();
-        put(new Entry<>(site.room().cores(), entry.number(), site));
+        put(new Entry<>(site.freeResources().cores(), entry.number(), site));
     }
 
     /** Takes a site out of the index, which must hold it. */
@@ -140,8 +140,8 @@
             long siteDelay = delay == null ? 0 : delay.applyAsLong(site);
             if (siteDelay < bestDelay
                     && (having || !site.images().contains(spec.image()))
-                    && spec.demand().fitsIn(site.room())
-                    && spec.allows(site.type(), site.zone(), site.spot())
+                    && spec.demand().fitsIn(site.freeResources())
+                    && spec.allows(site.type(), site.zone(), site.isSpot())
                     && admits.test(site)) {
                 best = site;
                 bestDelay = siteDelay;
--- a/src/main/java/notchpick/storage/Records.java
+++ b/src/main/java/notchpick/storage/Records.java
@@ -181,7 +181,7 @@
                             machine -> machines.putArray(machine.name())
                                     .add(machine.type())
                                     .add(machine.zone())
-                                    .add(machine.spot())
+                                    .add(machine.isSpot())
                                     .addArray())
                     .add(job)
                     .add(assignment.task())
--- a/src/test/java/notchpick/scheduling/ConsolidationTest.java
+++ b/src/test/java/notchpick/scheduling/ConsolidationTest.java
@@ -12,7 +12,7 @@
 
 /** Half-empty machines are emptied into others, more at a time the more there are. */
 class ConsolidationTest {
-    private record Site(String name, Resources room) implements CandidateNode {
+    private record Site(String name, Resources freeResources) implements CandidateNode {
         @Override
         public String type() {
             return "m8";
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public boolean spot() {
+        public boolean isSpot() {
             return true;
         }
 
--- a/src/test/java/notchpick/scheduling/PlacementIndexTest.java
+++ b/src/test/java/notchpick/scheduling/PlacementIndexTest.java
@@ -38,12 +38,12 @@
         }
 
         @Override
-        public boolean spot() {
+        public boolean isSpot() {
             return spot;
         }
 
         @Override
-        public Resources room() {
+        public Resources freeResources() {
             return room;
         }
 
