--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -104,12 +104,12 @@
 
     /** Serves users, workers and health checks. */
     public void serve(Request call, Consumer<Response> reply) {
-        tell(new FromOutside(call, reply, loop.now()));
+        tell(new FromOutside(call, reply, loop.nowMs()));
     }
 
     /** Serves the other controllers. */
     public void servePeer(Request call, Consumer<Response> reply) {
-        tell(new FromPeer(call, reply, loop.now()));
+        tell(new FromPeer(call, reply, loop.nowMs()));
     }
 
     @Override
@@ -138,7 +138,7 @@
     private void outside(Request call, Consumer<Response> reply, long at) {
         String path = call.path();
         if (path.equals("/hello")) {
-            if (loop.now() - at > WorkerProtocol.PATIENCE_MS) {
+            if (loop.nowMs() - at > WorkerProtocol.PATIENCE_MS) {
                 // Its worker has given it up; to look at it would only make the next ones late too.
                 reply.accept(new Response(503, new byte[0]));
             } else if (call.method().equals("POST")) {
@@ -191,7 +191,7 @@
 
     /** Reports that another controller passes on. They go no further from here. */
     private void passedReports(ReportBatch batch, Consumer<Response> reply, long at) {
-        long restMs = batch.getPatienceMs() - (loop.now() - at);
+        long restMs = batch.getPatienceMs() - (loop.nowMs() - at);
         ResultCollector<Outcome> outcomes = new ResultCollector<>(
                 batch.getReports().size(),
                 outcome(new Response(503, new byte[0])),
@@ -235,7 +235,7 @@
                     passed.getMethod(),
                     passed.getPath(),
                     PeerProtocol.content(passed.getContent()),
-                    passed.getTimeoutMs() - (loop.now() - at),
+                    passed.getTimeoutMs() - (loop.nowMs() - at),
                     outcome(reply));
         } else if (body instanceof LinkTable table) {
             peers.tell(new PeerMembership.LinksTold(
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -99,7 +99,7 @@
         double leaderLeaseS = leaderLeaseMs / MS_PER_S;
         this.cluster = new ClusterState(this::assignmentEnded);
         this.context = context(term);
-        this.authority = new LeaderAuthority(loop::now, deployment, leaderLeaseS, term.leaseUntil());
+        this.authority = new LeaderAuthority(loop::nowMs, deployment, leaderLeaseS, term.leaseUntil());
         this.writer = writer(environment, term);
         this.autoscaler = new Autoscaler(context, environment.cloud(), writer, this::machineGone, this::reviewScaling);
         this.leases =
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -92,7 +92,7 @@
     }
 
     private boolean isObjectiveAttainable(JobSpec spec) {
-        double ageS = spec.ageS(context.loop().wallTime());
+        double ageS = spec.ageS(context.loop().wallTimeMs());
         return context.deployment()
                 .objectives()
                 .canBeKept(spec, ageS, context.runtimes().runS(spec));
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -110,7 +110,7 @@
         }
         List<Job> ordered = new ArrayList<>();
         double cores = expectedCores(team, capacity, activeTeams);
-        JobOrder.sorted(waiting, context.loop().wallTime(), deployment.objectives(), cores)
+        JobOrder.sorted(waiting, context.loop().wallTimeMs(), deployment.objectives(), cores)
                 .forEach(next -> ordered.add(next.job()));
         return new TeamTurn(team, deployment.quota(team), ordered, leases.open(team), cluster.usage(team));
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -144,7 +144,7 @@
             if (job != null && cancelled.size() < maxCascadeJobs) {
                 cancelled.add(id);
                 JobRecord record =
-                        JobRecord.open(job.spec()).cancelled(context.loop().wallTime());
+                        JobRecord.open(job.spec()).cancelled(context.loop().wallTimeMs());
                 writes.add(Write.put(Records.JOB + id, Records.job(record)).unguarded());
                 writes.add(Write.delete(Records.OPEN + id).at(job.version()));
             }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -172,7 +172,7 @@
             if (job != null) {
                 closed(id);
                 dependencies.ended(
-                        id, JobRecord.open(job.spec()).cancelled(context.loop().wallTime()));
+                        id, JobRecord.open(job.spec()).cancelled(context.loop().wallTimeMs()));
             }
         }
     }
@@ -192,7 +192,7 @@
     /** The last transition of a job; conditional on its description, so that it can't cross a cancellation. */
     private Prepared prepareEnd(Job job) {
         String id = job.id();
-        JobRecord record = JobRecord.done(job.spec(), context.loop().wallTime());
+        JobRecord record = JobRecord.done(job.spec(), context.loop().wallTimeMs());
         List<Write> writes = List.of(
                 Write.put(Records.JOB + id, Records.job(record)).unguarded(),
                 Write.delete(Records.OPEN + id).at(job.version()));
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -43,7 +43,7 @@
         double aheadS = 0;
         Map<String, Resources> demandByTeam = new HashMap<>();
         List<Need> needs = new ArrayList<>();
-        long wallTime = context.loop().wallTime();
+        long wallTime = context.loop().wallTimeMs();
         for (Waiting<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
@@ -102,7 +102,7 @@
         if (!spec.isUrgent()) {
             return false;
         }
-        double ageS = spec.ageS(context.loop().wallTime());
+        double ageS = spec.ageS(context.loop().wallTimeMs());
         double bootS = types.shortestBootS();
         // What a machine rented now could still finish in time.
         double slackS = deployment.objectives().slackS(spec, ageS + bootS, waiting.runS());
--- a/src/main/java/notchpick/coordination/leader/term/TermContext.java
+++ b/src/main/java/notchpick/coordination/leader/term/TermContext.java
@@ -23,7 +23,7 @@
         RuntimeEstimator runtimes) {
     /** The steady clock, in milliseconds. */
     public long now() {
-        return loop.now();
+        return loop.nowMs();
     }
 
     public long heartbeatPeriodMs() {
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -99,7 +99,7 @@
 
     /** How long requests have gone by a peer; 0: they don't. */
     public long relayedForMs() {
-        return by == null ? 0 : loop.now() - bySince;
+        return by == null ? 0 : loop.nowMs() - bySince;
     }
 
     @Override
@@ -109,7 +109,7 @@
             then.accept(new Response(TURNED_AWAY, new byte[0]));
             return;
         }
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         caller.call(call, timeoutMs, answer -> {
             links.stateEnded(answer, sentAt);
             then.accept(answer);
@@ -118,7 +118,7 @@
 
     @Override
     public void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then) {
-        Sent sent = new Sent(call, loop.now(), timeoutMs, hasty, then);
+        Sent sent = new Sent(call, loop.nowMs(), timeoutMs, hasty, then);
         open.add(sent);
         if (by == null) {
             direct(sent);
@@ -157,7 +157,7 @@
 
     private void direct(Sent sent) {
         sent.out++;
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         caller.call(sent.call, Math.max(1, sent.until - sentAt), here(answer -> {
             links.stateEnded(answer, sentAt);
             ownLink(isServed(answer));
@@ -172,13 +172,13 @@
     /** Back to the own link only when it has answered for a whole lease: one that flaps is no help. */
     private void ownLink(boolean served) {
         if (served) {
-            answeredAt = loop.now();
+            answeredAt = loop.nowMs();
         }
         if (by == null || !served) {
             answersSince = 0;
         } else if (answersSince == 0) {
-            answersSince = loop.now();
-        } else if (loop.now() - answersSince >= settleMs) {
+            answersSince = loop.nowMs();
+        } else if (loop.nowMs() - answersSince >= settleMs) {
             log.info("the state service is reached directly again");
             by = null;
         }
@@ -186,7 +186,7 @@
 
     /** Sends by a peer that has not been tried; false if there is none. */
     private boolean detour(Sent sent) {
-        if (loop.now() < noPeerUntil || loop.now() >= sent.until) {
+        if (loop.nowMs() < noPeerUntil || loop.nowMs() >= sent.until) {
             return false;
         }
         for (String node : peers.wayToState()) {
@@ -208,7 +208,7 @@
     }
 
     private void through(String node, Sent sent) {
-        long restMs = sent.until - loop.now();
+        long restMs = sent.until - loop.nowMs();
         sent.by = node;
         sent.tried.add(node);
         sent.out++;
@@ -233,7 +233,7 @@
             return;
         }
         if (answer.status() == TURNED_AWAY) {
-            noPeerUntil = loop.now() + backOffMs;
+            noPeerUntil = loop.nowMs() + backOffMs;
         }
         if (node.equals(by)) {
             // It does not help any more; the next hasty request finds another, or the own link.
@@ -246,7 +246,7 @@
     private void change(String to) {
         log.info("the state service is reached {}", to == null ? "directly, if at all" : "through " + to);
         by = to;
-        bySince = loop.now();
+        bySince = loop.nowMs();
         answersSince = 0;
         for (Sent sent : List.copyOf(open)) {
             if (!Objects.equals(sent.by, to) && !sent.hasty) {
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -134,7 +134,7 @@
     /** What was long ago says nothing of a worker's way now. */
     private void forget() {
         redirects /= 2;
-        long now = loop.now();
+        long now = loop.nowMs();
         Iterator<Visit> all = visits.values().iterator();
         while (all.hasNext()) {
             Visit visit = all.next();
@@ -156,7 +156,7 @@
             redirect(came, null);
             return;
         }
-        long now = loop.now();
+        long now = loop.nowMs();
         Visit visit = visits.get(report.machine());
         if (visit == null || visit.term != term) {
             visit = new Visit(term);
@@ -202,7 +202,7 @@
     }
 
     private boolean isRecent(long at, long withinMs) {
-        return at != 0 && loop.now() - at <= withinMs;
+        return at != 0 && loop.nowMs() - at <= withinMs;
     }
 
     /** Whether the worker's last report was passed on here. */
@@ -211,7 +211,7 @@
     }
 
     private void sendHome(Came came, Visit visit, String leader) {
-        visit.sentHomeAt = loop.now();
+        visit.sentHomeAt = loop.nowMs();
         redirects++;
         redirect(came, leader);
     }
@@ -231,7 +231,7 @@
         if (isRecent(lastAt.getOrDefault(what, 0L), leaseMs / 2)) {
             return false;
         }
-        lastAt.put(what, loop.now());
+        lastAt.put(what, loop.nowMs());
         return true;
     }
 
@@ -310,7 +310,7 @@
             long restMs = WorkerProtocol.PATIENCE_MS;
             while (!waiting.isEmpty() && batch.size() < BATCH && bytes < BATCH_BYTES) {
                 Waiting next = waiting.poll();
-                long left = (long) (next.came().at() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_RATIO) - loop.now());
+                long left = (long) (next.came().at() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_RATIO) - loop.nowMs());
                 if (left < WorkerProtocol.PATIENCE_MS / 4 || leader == null || !peers.canPass(leader)) {
                     // It could not be answered in time; the next controller may do better.
                     next.came().reply().accept(TRY_ANOTHER);
@@ -351,7 +351,7 @@
             return;
         }
         if (outcome.getStatus() == 200) {
-            one.visit().passedAt = loop.now();
+            one.visit().passedAt = loop.nowMs();
         }
         one.came().reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
     }
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -108,7 +108,7 @@
         } else if (message instanceof StepDown stepDown) {
             if (leading) {
                 log.info("gives way: {}", stepDown.why());
-                standAsideUntil = loop.now() + 4 * leaseMs;
+                standAsideUntil = loop.nowMs() + 4 * leaseMs;
                 resign();
             }
         } else if (message instanceof TermSeen seen && seen.term() > term) {
@@ -174,7 +174,7 @@
             if (!(result instanceof Missing<Entry>)) {
                 vacantSince = 0;
             } else if (vacantSince == 0) {
-                vacantSince = loop.now();
+                vacantSince = loop.nowMs();
             }
             if (result instanceof Ok<Entry> ok) {
                 String holder = ok.value().value().path("node").asText();
@@ -192,8 +192,8 @@
                 watch(ok.value().version());
                 lookLater();
             } else if (result instanceof Missing<Entry>
-                    && loop.now() >= standAsideUntil
-                    && loop.now() - vacantSince >= handicapMs.getAsLong()) {
+                    && loop.nowMs() >= standAsideUntil
+                    && loop.nowMs() - vacantSince >= handicapMs.getAsLong()) {
                 stand();
             } else {
                 if (result instanceof Missing<Entry>) {
@@ -230,7 +230,7 @@
     }
 
     private void stand(long formerTerm, long termVersion) {
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         state.grantLease(leaseMs, here(granted -> {
             if (!(granted instanceof Ok<Long> ok)) {
                 lookLater();
@@ -275,7 +275,7 @@
         if (!leading || during != tenure) {
             return;
         }
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         state.renewLease(lease, here(result -> {
             if (!leading || during != tenure) {
                 return;
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -34,16 +34,16 @@
     }
 
     void stateEnded(Response answer, long sentAt) {
-        state.ended(answer, sentAt, loop.now());
+        state.ended(answer, sentAt, loop.nowMs());
     }
 
     void peerEnded(String node, Response answer, long sentAt) {
-        peers.get(node).ended(answer, sentAt, loop.now());
+        peers.get(node).ended(answer, sentAt, loop.nowMs());
     }
 
     /** The balancer has asked whether this controller is ready. */
     public void usersHeard() {
-        users.heard(loop.now());
+        users.heard(loop.nowMs());
     }
 
     /**
@@ -51,18 +51,18 @@
      * answered. That a report comes in says nothing of the way back.
      */
     public void workerHeard(String zone) {
-        workers.computeIfAbsent(zone, z -> new LinkHealth(periodMs)).heard(loop.now());
+        workers.computeIfAbsent(zone, z -> new LinkHealth(periodMs)).heard(loop.nowMs());
     }
 
     /** Whether a peer has answered within this time, and the last call to it was answered too. */
     boolean answers(String node, long withinMs) {
         LinkHealth link = peers.get(node);
-        return link != null && link.condition() == LinkHealth.Condition.UP && link.isFresh(loop.now(), withinMs);
+        return link != null && link.condition() == LinkHealth.Condition.UP && link.isFresh(loop.nowMs(), withinMs);
     }
 
     /** Since any worker last got an answer from here; -1: none ever. */
     public long workersAgeMs() {
-        long now = loop.now();
+        long now = loop.nowMs();
         return workers.values().stream()
                 .mapToLong(link -> link.ageMs(now))
                 .min()
@@ -80,7 +80,7 @@
     }
 
     private LinkRow row(LinkKind kind, String name, LinkHealth link) {
-        long now = loop.now();
+        long now = loop.nowMs();
         return new LinkRow(
                 kind,
                 name,
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -99,7 +99,7 @@
 
     private void note(LinkTable table) {
         if (address(table.getNode()) != null) {
-            told.put(table.getNode(), new Told(table, loop.now()));
+            told.put(table.getNode(), new Told(table, loop.nowMs()));
         }
     }
 
@@ -124,7 +124,7 @@
     /** What a peer has lately told of its links, or null. */
     public LinkTable linksOf(String node) {
         Told entry = told.get(node);
-        return entry == null || loop.now() - entry.at() > 2 * PULSES_FOR_LINKS * periodMs ? null : entry.table();
+        return entry == null || loop.nowMs() - entry.at() > 2 * PULSES_FOR_LINKS * periodMs ? null : entry.table();
     }
 
     /**
@@ -140,7 +140,7 @@
                 if (row.getKind() == kind
                         && (name == null || row.getName().equals(name))
                         && row.getCondition() == LinkCondition.UP) {
-                    long age = row.getAgeMs() + loop.now() - told.get(node).at();
+                    long age = row.getAgeMs() + loop.nowMs() - told.get(node).at();
                     least = least < 0 ? age : Math.min(least, age);
                 }
             }
@@ -161,7 +161,7 @@
     }
 
     private void pulse() {
-        long now = loop.now();
+        long now = loop.nowMs();
         lagMs = pulsedAt == 0 ? 0 : Math.max(0, now - pulsedAt - periodMs);
         pulsedAt = now;
         byte[] body = PeerProtocol.bytes(own.get());
@@ -175,7 +175,7 @@
     }
 
     private void hear(Pulse pulse) {
-        Last heardNow = new Last(pulse, loop.now());
+        Last heardNow = new Last(pulse, loop.nowMs());
         last.put(pulse.getNode(), heardNow);
         if (!pulse.getProgress().isEmpty()) {
             shown = heardNow;
@@ -186,7 +186,7 @@
     }
 
     private boolean fresh(Last entry) {
-        return entry != null && loop.now() - entry.at() <= FRESH_PULSES * periodMs;
+        return entry != null && loop.nowMs() - entry.at() <= FRESH_PULSES * periodMs;
     }
 
     /** The peers that have lately been heard of. */
@@ -243,7 +243,7 @@
     }
 
     private void call(String node, String address, byte[] body, long timeoutMs, Consumer<Response> then) {
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, answer -> {
             links.peerEnded(node, answer, sentAt);
             then.accept(answer);
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -68,7 +68,7 @@
         this.outcomes = outcomes;
         this.timer = timer;
         this.gapMs = (long) Math.ceil(1000 / (requestsPerS * PART_OF_REQUESTS));
-        this.askedAt = loop.now() - gapMs;
+        this.askedAt = loop.nowMs() - gapMs;
     }
 
     /** Tells how the job stood at some moment after this call. */
@@ -80,7 +80,7 @@
     }
 
     private void send() {
-        askedAt = loop.now();
+        askedAt = loop.nowMs();
         // Who asks from here on is answered by the next request.
         List<Asker> asking = waiting;
         waiting = new ArrayList<>();
@@ -142,7 +142,7 @@
     private void sendLater() {
         due = !waiting.isEmpty();
         if (due) {
-            timer.after(Math.max(0, askedAt + gapMs - loop.now()), this::send);
+            timer.after(Math.max(0, askedAt + gapMs - loop.nowMs()), this::send);
         }
     }
 
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -123,7 +123,7 @@
         }
         JobSpec spec;
         try {
-            spec = UserProtocol.submission(body, loop.wallTime());
+            spec = UserProtocol.submission(body, loop.wallTimeMs());
         } catch (InvalidMessageException e) {
             unlessKnown(id, error(400, e.getMessage()), reply);
             return;
@@ -223,7 +223,7 @@
                         Json.bytes(UserProtocol.status(id, word(job.record().status())))));
                 return;
             }
-            JobRecord cancelled = job.record().cancelled(loop.wallTime());
+            JobRecord cancelled = job.record().cancelled(loop.wallTimeMs());
             Transaction transaction = new Transaction()
                     .guard(Records.OPEN + id, job.version())
                     .put(Records.JOB + id, Records.job(cancelled))
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -43,7 +43,7 @@
         this.requestsPerMs = requestsPerS / 1000;
         this.burst = requestsPerS;
         this.budget = burst;
-        this.budgetAt = loop.now();
+        this.budgetAt = loop.nowMs();
     }
 
     /** What became of a request. */
@@ -127,7 +127,7 @@
     }
 
     private void refill() {
-        long now = loop.now();
+        long now = loop.nowMs();
         budget = Math.min(burst, budget + (now - budgetAt) * requestsPerMs);
         budgetAt = now;
     }
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -135,7 +135,7 @@
         this.maxWrites = maxWrites;
         this.writesPerMs = writesPerS / 1000;
         this.deposed = deposed;
-        this.budgetAt = loop.now();
+        this.budgetAt = loop.nowMs();
         this.budget = maxWrites;
     }
 
@@ -157,7 +157,7 @@
     private record Sent(String name, Change change, Prepared prepared) {}
 
     private void flush() {
-        long now = loop.now();
+        long now = loop.nowMs();
         budget = Math.min(2.0 * maxWrites, budget + (now - budgetAt) * writesPerMs);
         budgetAt = now;
         if (waiting.isEmpty()) {
--- a/src/main/java/notchpick/transport/SerialEventLoop.java
+++ b/src/main/java/notchpick/transport/SerialEventLoop.java
@@ -23,12 +23,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     @Override
-    public long wallTime() {
+    public long wallTimeMs() {
         return System.currentTimeMillis();
     }
 
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -187,8 +187,8 @@
     }
 
     private void addReadyMachine(String name) {
-        Machine machine = new Machine(name, new NodePool("m8", "east", true), new Resources(8, 0, 64), loop.now());
-        machine.markReady(loop.now());
+        Machine machine = new Machine(name, new NodePool("m8", "east", true), new Resources(8, 0, 64), loop.nowMs());
+        machine.markReady(loop.nowMs());
         machine.setReconciled(true);
         cluster.addMachine(machine);
     }
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -49,12 +49,12 @@
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
-            public long now() {
+            public long nowMs() {
                 return 1_000_000 + (long) (now * rate);
             }
 
             @Override
-            public long wallTime() {
+            public long wallTimeMs() {
                 return 1_700_000_000_000L + now + offsetMs;
             }
 
