--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -92,7 +92,8 @@
     private List<Machine> schedulableMachines(long now) {
         List<Machine> schedulable = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.room().cores() > Resources.SLACK && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+            if (machine.freeResources().cores() > Resources.SLACK
+                    && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
                 schedulable.add(machine);
             }
         }
@@ -109,7 +110,7 @@
         }
         List<Job> ordered = new ArrayList<>();
         double cores = expectedCores(team, capacity, activeTeams);
-        JobOrder.sorted(waiting, context.loop().wallTime(), deployment.objectives(), cores)
+        JobOrder.sorted(waiting, context.loop().wallTimeMs(), deployment.objectives(), cores)
                 .forEach(next -> ordered.add(next.job()));
         return new TeamTurn(team, deployment.quota(team), ordered, leases.open(team), cluster.usage(team));
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -13,11 +13,11 @@
 import notchpick.model.Machine;
 import notchpick.model.MachineTypeCatalog;
 import notchpick.scheduling.FleetPlanner.Need;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobOrder;
 import notchpick.scheduling.JobOrder.Waiting;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
 /** Estimates what the open jobs could use, and which of them can't do with spot machines alone. */
@@ -26,10 +26,10 @@
     private final Deployment deployment;
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
-    private final Predicate<Pool> refused;
+    private final Predicate<NodePool> refused;
 
     /** @param refused pools of which the cloud has lately given less than was asked for */
-    DemandEstimator(TermContext context, Predicate<Pool> refused) {
+    DemandEstimator(TermContext context, Predicate<NodePool> refused) {
         this.context = context;
         this.deployment = context.deployment();
         this.cluster = context.cluster();
@@ -43,7 +43,7 @@
         double aheadS = 0;
         Map<String, Resources> demandByTeam = new HashMap<>();
         List<Need> needs = new ArrayList<>();
-        long wallTime = context.loop().wallTime();
+        long wallTime = context.loop().wallTimeMs();
         for (Waiting<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
@@ -102,7 +102,7 @@
         if (!spec.isUrgent()) {
             return false;
         }
-        double ageS = spec.ageS(context.loop().wallTime());
+        double ageS = spec.ageS(context.loop().wallTimeMs());
         double bootS = types.shortestBootS();
         // What a machine rented now could still finish in time.
         double slackS = deployment.objectives().slackS(spec, ageS + bootS, waiting.runS());
@@ -116,7 +116,7 @@
 
     private boolean isSpotMachineRented(JobSpec spec) {
         for (Machine machine : cluster.machines()) {
-            if (machine.spot()
+            if (machine.isSpot()
                     && machine.state() != Machine.State.RELEASED
                     && spec.demand().fitsIn(machine.size())
                     && spec.allows(machine.type(), machine.zone(), true)) {
@@ -131,7 +131,7 @@
             for (String zone : type.zones()) {
                 if (spec.allows(type.name(), zone, true)
                         && spec.demand().fitsIn(type.size())
-                        && !refused.test(new Pool(type.name(), zone, true))) {
+                        && !refused.test(new NodePool(type.name(), zone, true))) {
                     return true;
                 }
             }
