--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -10,7 +10,7 @@
 import notchpick.model.ClusterState;
 import notchpick.model.Machine;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
-import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives;
 import org.junit.jupiter.api.Test;
@@ -57,7 +57,7 @@
     }
 
     private Machine knownMachine(long incarnation, long sequence) {
-        Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Resources(8, 0, 64), 0);
+        Machine machine = new Machine("m-1", new NodePool("m8", "east", true), new Resources(8, 0, 64), 0);
         machine.heartbeatAccepted(incarnation, sequence, null, now);
         cluster.addMachine(machine);
         return machine;
--- a/src/test/java/notchpick/model/TaskAssignmentTest.java
+++ b/src/test/java/notchpick/model/TaskAssignmentTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import notchpick.model.TaskAssignment.Phase;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.TestJobs;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
 class TaskAssignmentTest {
     private static final long UNDISTURBED_MS = 35_000;
 
-    private final Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Resources(8, 0, 64), 0);
+    private final Machine machine = new Machine("m-1", new NodePool("m8", "east", true), new Resources(8, 0, 64), 0);
 
     private TaskAssignment assignment(Phase phase) {
         JobSpec spec = TestJobs.job("run-1")
