--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -16,7 +16,10 @@
 import notchpick.coordination.membership.HeartbeatRouter;
 import notchpick.coordination.membership.LeaderElection;
 import notchpick.coordination.membership.LinkMonitor;
+import notchpick.coordination.membership.LocalStatus;
+import notchpick.coordination.membership.PeerClient;
 import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.membership.PeerRegistry;
 import notchpick.coordination.userapi.UserRequestHandler;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.InvalidMessageException;
@@ -47,7 +50,7 @@
 import notchpick.transport.ResultCollector;
 
 /** Wires the actors of one controller together and passes requests on to them. */
-public final class Controller extends Actor<Controller.Message> implements LeaderElection.Listener {
+public final class Controller extends Actor<Controller.Message> implements LeaderElection.Listener, LocalStatus {
     /** What arrives from outside. */
     public sealed interface Message {}
 
@@ -71,6 +74,8 @@
     private final FailoverStateStoreTransport routes;
     private final LeaderElection elector;
     private final HeartbeatRouter reportRoutes;
+    private final PeerClient peerClient;
+    private final PeerRegistry peerRegistry;
     private final PeerMembership peers;
     private final UserRequestHandler userRequests;
     private final long leaderLeaseMs;
@@ -84,8 +89,10 @@
         HttpCaller inTurn = (call, timeoutMs, then) -> caller.call(call, timeoutMs, here(then));
         this.leaderLeaseMs = deployment.leaderLeaseMs(tuning);
         this.links = new LinkMonitor(loop, deployment);
-        this.peers = new PeerMembership(loop, deployment, inTurn, this::pulse, this::heard, links, this::linkTable);
-        this.routes = new FailoverStateStoreTransport(loop, inTurn, links, peers, leaderLeaseMs);
+        this.peerClient = new PeerClient(loop, deployment, inTurn, links);
+        this.peerRegistry = new PeerRegistry(loop, deployment, links);
+        this.peers = new PeerMembership(loop, deployment, peerClient, peerRegistry, this, this::heard);
+        this.routes = new FailoverStateStoreTransport(loop, inTurn, links, peerRegistry, peerClient, leaderLeaseMs);
         this.state = new StateStoreClient(
                 routes, loop, deployment.stateAddress(), STATE_TIMEOUT_MS, deployment.requestsPerS());
         this.cloud = new CloudClient(inTurn, deployment.cloudAddress(), CLOUD_TIMEOUT_MS);
@@ -95,10 +102,11 @@
                 state,
                 random,
                 leaderLeaseMs,
-                new ElectionPriority(links, peers, routes, deployment.heartbeatPeriodMs(), leaderLeaseMs),
+                new ElectionPriority(links, peerRegistry, routes, deployment.heartbeatPeriodMs(), leaderLeaseMs),
                 this);
-        this.reportRoutes = new HeartbeatRouter(loop, deployment, elector, peers, links);
-        this.leaderEnvironment = new LeaderEnvironment(loop, deployment, tuning, state, cloud, peers, links, routes);
+        this.reportRoutes = new HeartbeatRouter(loop, deployment, elector, peerRegistry, peerClient, links);
+        this.leaderEnvironment =
+                new LeaderEnvironment(loop, deployment, tuning, state, cloud, peerRegistry, peerClient, links, routes);
         this.userRequests = new UserRequestHandler(loop, deployment, state, this::progress);
     }
 
@@ -147,14 +155,14 @@
                 reply.accept(new Response(405, new byte[0]));
             }
         } else if (path.equals("/ready")) {
-            links.usersHeard();
+            links.readinessProbeReceived();
             reply.accept(new Response(call.method().equals("GET") ? isReady() ? 200 : 503 : 405, new byte[0]));
-        } else if (elector.isForeign()) {
+        } else if (elector.isFormatIncompatible()) {
             reply.accept(new Response(503, Json.bytes(UserProtocol.error("records of another version")), 1));
-        } else if (!state.reachable() && peers.withState() != null) {
+        } else if (!state.reachable() && peerRegistry.peerReachingStateStore().isPresent()) {
             // Cut off from the state service while a peer is not: let the peer answer.
-            peers.relay(
-                    peers.withState(),
+            peerClient.relay(
+                    peerRegistry.peerReachingStateStore().get(),
                     call,
                     RELAY_TIMEOUT_MS,
                     answer -> reply.accept(
@@ -168,14 +176,16 @@
 
     /** In an outage that all share, leaving the balancer's list would help nobody. */
     private boolean isReady() {
-        return userRequests.ready() && !elector.isForeign() && (state.reachable() || peers.withState() == null);
+        return userRequests.ready()
+                && !elector.isFormatIncompatible()
+                && (state.reachable() || peerRegistry.peerReachingStateStore().isEmpty());
     }
 
     private void report(Request call, Consumer<Response> toWorker, long at) {
         // Whoever is told to try another controller would leave its connection behind, and there are thousands.
         Consumer<Response> reply = answer -> toWorker.accept(answer.status() == 200 ? answer : answer.last());
         if (leader == null) {
-            reportRoutes.tell(new HeartbeatRouter.Came(call, reply, at));
+            reportRoutes.tell(new HeartbeatRouter.HeartbeatReceived(call, reply, at));
             return;
         }
         reported(call.body(), reply, false);
@@ -224,7 +234,7 @@
     private void peer(Request call, Consumer<Response> reply, long at) {
         Object body = call.path().equals(PeerProtocol.PATH) ? PeerProtocol.body(call.body()) : null;
         if (body instanceof Pulse pulse) {
-            peers.tell(new PeerMembership.Heard(pulse));
+            peers.tell(new PeerMembership.HeartbeatReceived(pulse));
             reply.accept(new Response(200, PeerProtocol.bytes(pulse(List.of()))));
         } else if (body instanceof Grant grant) {
             reply.accept(new Response(200, PeerProtocol.bytes(TaskPlacer.place(grant, deployment.node()))));
@@ -238,7 +248,7 @@
                     passed.getTimeoutMs() - (loop.now() - at),
                     outcome(reply));
         } else if (body instanceof LinkTable table) {
-            peers.tell(new PeerMembership.LinksTold(
+            peers.tell(new PeerMembership.LinkTableReceived(
                     table, own -> reply.accept(new Response(200, PeerProtocol.bytes(own)))));
         } else if (body instanceof Relay relay) {
             byte[] content = relay.getContent().getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -255,7 +265,8 @@
         }
     }
 
-    private Pulse pulse() {
+    @Override
+    public Pulse heartbeat() {
         return pulse(leader == null ? List.of() : leader.progress());
     }
 
@@ -265,22 +276,28 @@
                 deployment.node(),
                 elector.term(),
                 elector.leader(),
-                state.reachable() && routes.by() == null,
+                state.reachable() && !routes.isRelayed(),
                 reportRoutes.redirects(),
                 progress);
     }
 
-    private LinkTable linkTable() {
+    @Override
+    public LinkTable linkTable() {
         return new LinkTable(
-                deployment.node(), elector.term(), elector.leader(), routes.by(), peers.lagMs(), links.rows());
+                deployment.node(),
+                elector.term(),
+                elector.leader(),
+                routes.relay(),
+                peers.heartbeatLagMs(),
+                links.linkRows());
     }
 
     private void heard(Pulse pulse) {
-        elector.tell(new LeaderElection.TermSeen(pulse.getTerm(), pulse.getLeader()));
+        elector.tell(new LeaderElection.TermObserved(pulse.getTerm(), pulse.getLeader()));
     }
 
     private Progress progress(String job) {
-        return leader != null ? leader.progress(job) : peers.progress(job);
+        return leader != null ? leader.progress(job) : peerRegistry.progress(job);
     }
 
     // ---- machine types: kept in the state service, so that a cloud that is down keeps nobody out ----
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -102,8 +102,12 @@
         this.authority = new LeaderAuthority(loop::now, deployment, leaderLeaseS, term.leaseUntil());
         this.writer = writer(environment, term);
         this.autoscaler = new Autoscaler(context, environment.cloud(), writer, this::machineGone, this::reviewScaling);
-        this.leases =
-                new ResourceLeases(context, environment.tuning(), environment.peers(), new ResourceLeaseListener());
+        this.leases = new ResourceLeases(
+                context,
+                environment.tuning(),
+                environment.peers(),
+                environment.peerClient(),
+                new ResourceLeaseListener());
         this.allocator = new ResourceAllocator(context, environment.tuning(), leases);
         this.rounds = new AllocationScheduler(context, authority, allocator, this::replyToHeartbeats);
         this.jobs = jobTracker(environment, leaderLeaseMs / WATCHES_PER_LEASE);
--- a/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
@@ -4,7 +4,8 @@
 import notchpick.coordination.Tuning;
 import notchpick.coordination.membership.FailoverStateStoreTransport;
 import notchpick.coordination.membership.LinkMonitor;
-import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.membership.PeerClient;
+import notchpick.coordination.membership.PeerRegistry;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.StateStoreClient;
 import notchpick.transport.EventLoop;
@@ -16,6 +17,7 @@
         Tuning tuning,
         StateStoreClient stateStore,
         CloudClient cloud,
-        PeerMembership peers,
+        PeerRegistry peers,
+        PeerClient peerClient,
         LinkMonitor links,
         FailoverStateStoreTransport stateStoreTransport) {}
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -3,10 +3,9 @@
 import java.util.Optional;
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.coordination.leader.term.TermContext;
-import notchpick.coordination.membership.ElectionPriority;
 import notchpick.coordination.membership.FailoverStateStoreTransport;
 import notchpick.coordination.membership.LinkMonitor;
-import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.membership.PeerRegistry;
 import notchpick.model.Machine;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 
@@ -19,10 +18,12 @@
     private static final double MAX_UNREAD_CANCEL_RATIO = 0.25;
     /** A leader that workers bypass for this part of their lease steps down. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
+    /** A leader that needs relays for so many worker leases steps down in favour of one that does not. */
+    private static final int MAX_RELAYED_LEASES = 2;
 
     private final TermContext context;
     private final LeaderAuthority authority;
-    private final PeerMembership peers;
+    private final PeerRegistry peers;
     private final LinkMonitor links;
     private final FailoverStateStoreTransport stateStoreTransport;
     private final double maxBypassedMs;
@@ -35,7 +36,7 @@
     StepDownPolicy(
             TermContext context,
             LeaderAuthority authority,
-            PeerMembership peers,
+            PeerRegistry peers,
             LinkMonitor links,
             FailoverStateStoreTransport stateStoreTransport) {
         this.context = context;
@@ -45,7 +46,7 @@
         this.stateStoreTransport = stateStoreTransport;
         long workerLeaseMs = context.deployment().workerLeaseMs();
         this.maxBypassedMs = workerLeaseMs * MAX_BYPASSED_LEASE_RATIO;
-        this.maxRelayedMs = (double) ElectionPriority.LEANING_LEASES * workerLeaseMs;
+        this.maxRelayedMs = (double) MAX_RELAYED_LEASES * workerLeaseMs;
         this.lastHeartbeatAt = context.now();
         this.bypassedSince = context.now();
     }
@@ -73,7 +74,7 @@
         if (!relayed && machine.reportsDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
             relayedOnlySince = 0;
             machine.health().replyReceived();
-            links.workerHeard(heartbeat.zone());
+            links.workerReplyDelivered(heartbeat.zone());
         }
         machine.setReportsDirectly(!relayed);
     }
@@ -125,7 +126,7 @@
     private boolean othersMayBeBetterConnected() {
         return peers.redirects() > 0
                 || !context.deployment().peers().isEmpty()
-                        && peers.live().isEmpty()
+                        && peers.livePeers().isEmpty()
                         && context.cluster().machines().stream()
                                 .anyMatch(machine -> machine.state() == Machine.State.READY);
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -6,7 +6,8 @@
 import notchpick.coordination.Deployment.Quota;
 import notchpick.coordination.Tuning;
 import notchpick.coordination.leader.term.TermContext;
-import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.membership.PeerClient;
+import notchpick.coordination.membership.PeerRegistry;
 import notchpick.model.ClusterState;
 import notchpick.model.Job;
 import notchpick.model.Machine;
@@ -40,7 +41,7 @@
     private final TermContext context;
     private final Deployment deployment;
     private final ClusterState cluster;
-    private final PeerMembership peers;
+    private final PeerClient peerClient;
     private final Listener listener;
     private final long leaseMs;
     private final LeaseHolderSelector holders;
@@ -48,14 +49,15 @@
     private final Map<Long, ResourceLease> leases = new HashMap<>();
     private long lastNumber;
 
-    public ResourceLeases(TermContext context, Tuning tuning, PeerMembership peers, Listener listener) {
+    public ResourceLeases(
+            TermContext context, Tuning tuning, PeerRegistry peers, PeerClient peerClient, Listener listener) {
         this.context = context;
         this.deployment = context.deployment();
         this.cluster = context.cluster();
-        this.peers = peers;
+        this.peerClient = peerClient;
         this.listener = listener;
         this.leaseMs = tuning.resourceLeaseMs();
-        this.holders = new LeaseHolderSelector(context, peers::live);
+        this.holders = new LeaseHolderSelector(context, peers::livePeers);
         this.encoder = new GrantEncoder(context, leaseMs);
         this.lastNumber = context.number() << LEASE_BITS;
     }
@@ -86,7 +88,7 @@
             placed(TaskPlacer.place(grant, lease.holder()));
             return;
         }
-        peers.ask(lease.holder(), grant, leaseMs, reply -> {
+        peerClient.send(lease.holder(), grant, leaseMs, reply -> {
             if (reply instanceof Placements placements) {
                 context.timer().after(0, () -> placed(placements));
             }
--- a/src/main/java/notchpick/coordination/membership/ElectionPriority.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionPriority.java
@@ -1,48 +1,51 @@
 package notchpick.coordination.membership;
 
-import java.util.function.LongSupplier;
 import notchpick.protocol.peer.LinkKind;
 
-/** How well this controller is connected to lead, compared with the others. Who is worse off lets others go first. */
-public final class ElectionPriority implements LongSupplier {
-    /** A leader that relies on others for so many worker leases lets one lead that need not. */
-    public static final int LEANING_LEASES = 2;
+/**
+ * Delays the campaign of a controller that is worse connected than others, so that a well connected one is elected. The
+ * delay ends: a controller that is badly connected still leads if nobody else does.
+ */
+public final class ElectionPriority implements ElectionDelay {
+    /** A controller that no workers reach, while they reach a peer, waits for this part of the leader lease. */
+    private static final int UNREACHED_BY_WORKERS_LEASE_PART = 8;
+    /** Workers reach a controller if one received a reply from it within so many heartbeat periods. */
+    private static final int WORKER_LINK_PERIODS = 2;
 
     private final LinkMonitor links;
-    private final PeerMembership peers;
-    private final FailoverStateStoreTransport routes;
-    private final long reportMs;
+    private final PeerRegistry peers;
+    private final FailoverStateStoreTransport stateStoreTransport;
+    private final long workerLinkMs;
     private final long leaderLeaseMs;
 
     public ElectionPriority(
             LinkMonitor links,
-            PeerMembership peers,
-            FailoverStateStoreTransport routes,
-            long reportMs,
+            PeerRegistry peers,
+            FailoverStateStoreTransport stateStoreTransport,
+            long heartbeatPeriodMs,
             long leaderLeaseMs) {
         this.links = links;
         this.peers = peers;
-        this.routes = routes;
-        this.reportMs = reportMs;
+        this.stateStoreTransport = stateStoreTransport;
+        this.workerLinkMs = WORKER_LINK_PERIODS * heartbeatPeriodMs;
         this.leaderLeaseMs = leaderLeaseMs;
     }
 
-    /** How long it leaves the field to others after the leader's key is gone. */
     @Override
-    public long getAsLong() {
-        if (routes.by() != null) {
+    public long delayMs() {
+        if (stateStoreTransport.isRelayed()) {
             return leaderLeaseMs;
         }
-        return hearsWorkers(links.workersAgeMs()) || peers.live().stream().noneMatch(this::hearsWorkers)
-                ? 0
-                : leaderLeaseMs / 8;
+        boolean isBestReached = isReachedByWorkers(links.workerLinkAgeMs())
+                || peers.livePeers().stream().noneMatch(this::isReachedByWorkers);
+        return isBestReached ? 0 : leaderLeaseMs / UNREACHED_BY_WORKERS_LEASE_PART;
     }
 
-    private boolean hearsWorkers(long ageMs) {
-        return ageMs >= 0 && ageMs <= 2 * reportMs;
+    private boolean isReachedByWorkers(String peer) {
+        return isReachedByWorkers(peers.linkAgeMs(peer, LinkKind.WORKERS));
     }
 
-    private boolean hearsWorkers(String peer) {
-        return hearsWorkers(peers.linkAgeMs(peer, LinkKind.WORKERS, null));
+    private boolean isReachedByWorkers(long workerLinkAgeMs) {
+        return workerLinkAgeMs >= 0 && workerLinkAgeMs <= workerLinkMs;
     }
 }
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -1,10 +1,9 @@
 package notchpick.coordination.membership;
 
 import java.nio.ByteBuffer;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.protocol.PeerProtocol;
@@ -18,239 +17,227 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * Sends requests to the state service by this controller's own link, and by way of a peer when that one is cut or
- * refused while the peer's is not. A refused request has surely not been executed and is sent again by a peer at
- * once. One that stays silent may have been: it is given up as lost as soon as a hasty request, which may be sent
- * twice, has come back by another way. Whoever sent it bears that it is carried out late, as always.
+ * Sends requests to the state store over the direct link, and over a peer as relay while the direct link is cut or
+ * refused and the peer's is not.
+ *
+ * <p>A refused request has surely not been executed, and goes over a relay at once. One without a response may have been
+ * executed: only hedged requests, which may be executed twice, are sent over a second path. When such a request shows
+ * that a relay works and the direct link does not, all requests take that path, and those that are still in flight on
+ * the former one are given up as lost. Every sender allows for a lost request that is executed late.
  */
 public final class FailoverStateStoreTransport extends Actor<Void> implements StateStoreTransport {
-    private static final int TURNED_AWAY = 503;
-    /** A hasty request that is silent for so long, as a part of the leader's lease, is sent by another way as well. */
-    private static final double HEDGE_RATIO = 0.08;
-    /** As a part of the leader's lease: after peers were refused too, none is asked for so long. */
-    private static final double BACK_OFF_RATIO = 0.25;
-    /** A peer answers before its asker gives up. */
-    private static final double REPLY_RATIO = 0.1;
-
-    /** One request until its sender has been answered. */
-    private static final class Sent {
-        private final Request call;
-        private final long at;
-        private final long until;
-        private final boolean hasty;
-        private final Consumer<Response> then;
-        /** The peers it has gone by. */
-        private final Set<String> tried = new HashSet<>();
-        /** The way it has gone by last: a peer, or null for the own link. */
-        private String by;
-        /** How many of its copies are out. */
-        private int out;
-
-        private boolean peerAnswered;
-        private boolean over;
-
-        Sent(Request call, long at, long timeoutMs, boolean hasty, Consumer<Response> then) {
-            this.call = call;
-            this.at = at;
-            this.until = at + timeoutMs;
-            this.hasty = hasty;
-            this.then = then;
-        }
-    }
+    private static final int SERVICE_UNAVAILABLE = 503;
+    /** A hedged request is sent over another path after this part of the leader lease without a response. */
+    private static final double HEDGE_DELAY_RATIO = 0.08;
+    /** The circuit breaker stays open for this part of the leader lease. */
+    private static final double BREAKER_OPEN_RATIO = 0.25;
+    /** This part of a relayed request's time is kept for the way back of its response. */
+    private static final double REPLY_TIME_RATIO = 0.1;
 
     private final HttpCaller caller;
     private final LinkMonitor links;
-    private final PeerMembership peers;
-    private final long hedgeMs;
-    private final long backOffMs;
-    private final long settleMs;
-    private final Set<Sent> open = new LinkedHashSet<>();
-    /** The peer by which requests go; null: the own link. */
-    private String by;
-
-    private long bySince;
-    /** When the own link last brought an answer that was no refusal. */
-    private long answeredAt = Long.MIN_VALUE;
-    /** Since when the own link has answered without fail, while requests went by a peer; 0: it does not. */
-    private long answersSince;
-
-    private long noPeerUntil = Long.MIN_VALUE;
+    private final PeerRegistry peers;
+    private final PeerClient peerClient;
+    private final long hedgeDelayMs;
+    private final StateStorePath path;
+    private final Set<StateStoreRequest> openRequests = new LinkedHashSet<>();
 
     public FailoverStateStoreTransport(
-            EventLoop loop, HttpCaller caller, LinkMonitor links, PeerMembership peers, long leaderLeaseMs) {
+            EventLoop loop,
+            HttpCaller caller,
+            LinkMonitor links,
+            PeerRegistry peers,
+            PeerClient peerClient,
+            long leaderLeaseMs) {
         super(loop);
         this.caller = caller;
         this.links = links;
         this.peers = peers;
-        this.hedgeMs = (long) (leaderLeaseMs * HEDGE_RATIO);
-        this.backOffMs = (long) (leaderLeaseMs * BACK_OFF_RATIO);
-        this.settleMs = leaderLeaseMs;
+        this.peerClient = peerClient;
+        this.hedgeDelayMs = (long) (leaderLeaseMs * HEDGE_DELAY_RATIO);
+        this.path = new StateStorePath(leaderLeaseMs, (long) (leaderLeaseMs * BREAKER_OPEN_RATIO));
     }
 
     @Override
     protected void receive(Void message) {
-        throw new IllegalStateException("it is sent requests, and told nothing");
+        throw new IllegalStateException("the transport takes requests by its methods and no messages");
     }
 
-    /** The peer by which the state service is reached; null: directly, or not at all. */
-    public String by() {
-        return by;
+    /** The peer over which the state store is reached; null if directly, or not at all. */
+    public String relay() {
+        return path.relay();
     }
 
-    /** How long requests have gone by a peer; 0: they don't. */
+    /** Whether the state store is reached over a peer. */
+    public boolean isRelayed() {
+        return path.isRelayed();
+    }
+
+    /** How long requests have gone over a peer, in milliseconds; 0 if they do not. */
     public long relayedForMs() {
-        return by == null ? 0 : loop.now() - bySince;
+        return path.relayedForMs(loop.now());
     }
 
     @Override
     public void sendHere(Request call, long timeoutMs, Consumer<Response> then) {
-        if (by != null) {
-            // Whoever asks must look for another: one hop is all there is.
-            then.accept(new Response(TURNED_AWAY, new byte[0]));
+        if (path.isRelayed()) {
+            // Whoever asks must try another peer: a request is relayed once at the most.
+            then.accept(new Response(SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
         long sentAt = loop.now();
-        caller.call(call, timeoutMs, answer -> {
-            links.stateEnded(answer, sentAt);
-            then.accept(answer);
+        caller.call(call, timeoutMs, response -> {
+            links.stateStoreRequestCompleted(response, sentAt);
+            then.accept(response);
         });
     }
 
     @Override
     public void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then) {
-        Sent sent = new Sent(call, loop.now(), timeoutMs, hasty, then);
-        open.add(sent);
-        if (by == null) {
-            direct(sent);
+        StateStoreRequest request = new StateStoreRequest(call, loop.now(), timeoutMs, hasty, then);
+        openRequests.add(request);
+        if (!path.isRelayed()) {
+            sendDirectly(request);
         } else {
-            through(by, sent);
-            if (hasty) {
-                // Shows whether the own link is back.
-                direct(sent);
+            sendToRelay(path.relay(), request);
+            if (request.isHedged()) {
+                // Probes whether the direct link is back.
+                sendDirectly(request);
             }
         }
-        if (hasty) {
-            after(hedgeMs, () -> hedge(sent));
+        if (request.isHedged()) {
+            after(hedgeDelayMs, () -> hedge(request));
         }
     }
 
-    private void end(Sent sent, Response answer) {
-        if (!sent.over) {
-            sent.over = true;
-            open.remove(sent);
-            sent.then.accept(answer);
-        }
+    private void complete(StateStoreRequest request, Response response) {
+        openRequests.remove(request);
+        request.complete(response);
     }
 
-    /** One copy has come to nothing; the last of them is the request's end, unless there is another way. */
-    private void failed(Sent sent, Response answer) {
-        sent.out--;
-        boolean mayGoAgain = sent.hasty || answer.isUnsent() || answer.status() == TURNED_AWAY;
-        if (!sent.over && !(mayGoAgain && detour(sent)) && sent.out == 0) {
-            end(sent, answer);
-        }
+    private static boolean isServed(Response response) {
+        return !response.isNone() && response.status() != SERVICE_UNAVAILABLE;
     }
 
-    private static boolean isServed(Response answer) {
-        return !answer.isNone() && answer.status() != TURNED_AWAY;
+    /** A copy has failed. The last one completes the request, unless there is another path to try. */
+    private void copyFailed(StateStoreRequest request, Response response) {
+        request.copyFailed();
+        boolean mayRetry = request.isHedged() || response.isUnsent() || response.status() == SERVICE_UNAVAILABLE;
+        if (!request.isCompleted() && !(mayRetry && sendToUntriedRelay(request)) && !request.hasCopiesInFlight()) {
+            complete(request, response);
+        }
     }
 
-    private void direct(Sent sent) {
-        sent.out++;
+    // ---- the direct link ----------------------------------------------------------------------
+
+    private void sendDirectly(StateStoreRequest request) {
+        request.sentDirectly();
         long sentAt = loop.now();
-        caller.call(sent.call, Math.max(1, sent.until - sentAt), here(answer -> {
-            links.stateEnded(answer, sentAt);
-            ownLink(isServed(answer));
-            if (isServed(answer)) {
-                end(sent, answer);
+        caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), here(response -> {
+            links.stateStoreRequestCompleted(response, sentAt);
+            if (isServed(response)) {
+                directServed();
+                complete(request, response);
             } else {
-                failed(sent, answer);
+                path.directFailed();
+                copyFailed(request, response);
             }
         }));
     }
 
-    /** Back to the own link only when it has answered for a whole lease: one that flaps is no help. */
-    private void ownLink(boolean served) {
-        if (served) {
-            answeredAt = loop.now();
+    private void directServed() {
+        path.directServed(loop.now());
+        if (path.isDirectRestored(loop.now())) {
+            log.info(
+                    "state store path changed: path=direct reason=\"direct link restored\" relayedMs={}",
+                    relayedForMs());
+            path.switchTo(null, loop.now());
         }
-        if (by == null || !served) {
-            answersSince = 0;
-        } else if (answersSince == 0) {
-            answersSince = loop.now();
-        } else if (loop.now() - answersSince >= settleMs) {
-            log.info("the state service is reached directly again");
-            by = null;
+    }
+
+    // ---- relays -------------------------------------------------------------------------------
+
+    private void hedge(StateStoreRequest request) {
+        if (path.isRelayed()
+                && request.wasLastRelayedBy(path.relay())
+                && request.isCompleted()
+                && !request.isServedByRelay()) {
+            switchPath(null, "direct link faster than relay");
+        } else if (!request.isCompleted() && sendToUntriedRelay(request)) {
+            after(hedgeDelayMs, () -> hedge(request));
         }
     }
 
-    /** Sends by a peer that has not been tried; false if there is none. */
-    private boolean detour(Sent sent) {
-        if (loop.now() < noPeerUntil || loop.now() >= sent.until) {
+    /** Sends a copy over a relay that the request has not tried; false if there is none. */
+    private boolean sendToUntriedRelay(StateStoreRequest request) {
+        long now = loop.now();
+        if (path.isBreakerOpen(now) || request.remainingMs(now) <= 0) {
             return false;
         }
-        for (String node : peers.wayToState()) {
-            if (!sent.tried.contains(node)) {
-                through(node, sent);
-                return true;
-            }
+        Optional<String> relay = peers.stateStoreRelays().stream()
+                .filter(peer -> !request.hasTried(peer))
+                .findFirst();
+        relay.ifPresent(peer -> sendToRelay(peer, request));
+        return relay.isPresent();
+    }
+
+    private void sendToRelay(String relay, StateStoreRequest request) {
+        long remainingMs = request.remainingMs(loop.now());
+        request.sentTo(relay);
+        Request call = request.request();
+        ByteBuffer content = call.body() == null ? null : ByteBuffer.wrap(call.body());
+        long relayTimeoutMs = (long) (remainingMs * (1 - REPLY_TIME_RATIO));
+        peerClient.send(
+                relay,
+                new StateCall(call.method(), call.path(), content, relayTimeoutMs),
+                Math.max(1, remainingMs),
+                here(reply -> relayReplied(relay, request, reply)));
+    }
+
+    private void relayReplied(String relay, StateStoreRequest request, Object reply) {
+        Response response = reply instanceof Outcome outcome
+                ? new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent()))
+                : Response.NONE;
+        if (isServed(response)) {
+            relayServed(relay, request, response);
+        } else {
+            relayFailed(relay, request, response);
         }
-        return false;
     }
 
-    private void hedge(Sent sent) {
-        if (by != null && by.equals(sent.by) && sent.over && !sent.peerAnswered) {
-            // The own link was sooner than the peer.
-            change(null);
-        } else if (!sent.over && detour(sent)) {
-            after(hedgeMs, () -> hedge(sent));
+    private void relayServed(String relay, StateStoreRequest request, Response response) {
+        request.servedByRelay();
+        boolean isFirst = !request.isCompleted();
+        complete(request, response);
+        // One slow response among others is no reason to leave the direct link.
+        boolean isPathDown = path.isRelayed() || !path.hasDirectServedSince(request.sentAt());
+        if (isFirst && !path.isRelayedBy(relay) && isPathDown) {
+            switchPath(relay, "relay served a request that the former path did not");
         }
     }
 
-    private void through(String node, Sent sent) {
-        long restMs = sent.until - loop.now();
-        sent.by = node;
-        sent.tried.add(node);
-        sent.out++;
-        ByteBuffer content = sent.call.body() == null ? null : ByteBuffer.wrap(sent.call.body());
-        StateCall call =
-                new StateCall(sent.call.method(), sent.call.path(), content, (long) (restMs * (1 - REPLY_RATIO)));
-        peers.ask(node, call, Math.max(1, restMs), here(reply -> answered(node, sent, reply)));
-    }
-
-    private void answered(String node, Sent sent, Object reply) {
-        Response answer = reply instanceof Outcome outcome
-                ? new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent()))
-                : Response.NONE;
-        if (isServed(answer)) {
-            sent.peerAnswered = true;
-            boolean first = !sent.over;
-            end(sent, answer);
-            // One slow answer among others is no reason to leave the own link.
-            if (first && !node.equals(by) && (answeredAt < sent.at || by != null)) {
-                change(node);
-            }
-            return;
+    private void relayFailed(String relay, StateStoreRequest request, Response response) {
+        if (response.status() == SERVICE_UNAVAILABLE) {
+            path.openBreaker(loop.now());
         }
-        if (answer.status() == TURNED_AWAY) {
-            noPeerUntil = loop.now() + backOffMs;
+        if (path.isRelayedBy(relay)) {
+            // The next hedged request finds another relay, or the direct link.
+            switchPath(null, "relay failed");
         }
-        if (node.equals(by)) {
-            // It does not help any more; the next hasty request finds another, or the own link.
-            change(null);
-        }
-        failed(sent, answer);
-    }
-
-    /** From now on requests go by this peer, or by the own link; those still out on the former way are lost. */
-    private void change(String to) {
-        log.info("the state service is reached {}", to == null ? "directly, if at all" : "through " + to);
-        by = to;
-        bySince = loop.now();
-        answersSince = 0;
-        for (Sent sent : List.copyOf(open)) {
-            if (!Objects.equals(sent.by, to) && !sent.hasty) {
-                end(sent, Response.NONE);
+        copyFailed(request, response);
+    }
+
+    /** Changes the path; requests on the former one that are not hedged are given up as lost. */
+    private void switchPath(String newRelay, String reason) {
+        log.info(
+                "state store path changed: path={} reason=\"{}\" openRequests={}",
+                newRelay == null ? "direct" : "relay:" + newRelay,
+                reason,
+                openRequests.size());
+        path.switchTo(newRelay, loop.now());
+        for (StateStoreRequest request : List.copyOf(openRequests)) {
+            if (!request.wasLastRelayedBy(newRelay) && !request.isHedged()) {
+                complete(request, Response.NONE);
             }
         }
     }
--- /dev/null
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -0,0 +1,181 @@
+package notchpick.coordination.membership;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Queue;
+import java.util.function.Consumer;
+import notchpick.coordination.Deployment;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.WorkerProtocol;
+import notchpick.protocol.peer.Outcome;
+import notchpick.protocol.peer.Outcomes;
+import notchpick.protocol.peer.ReportBatch;
+import notchpick.transport.Actor;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Response;
+
+/**
+ * Relays workers' heartbeats to the leader in batches, which cost the leader less than the same heartbeats one by one,
+ * and passes its replies back. Few batches are in flight at a time, so that a slow leader is not overloaded. What can't
+ * be replied to before the worker gives up is refused, and the worker tries another controller.
+ */
+final class HeartbeatRelayQueue extends Actor<Void> {
+    /**
+     * A heartbeat to be relayed.
+     *
+     * @param receivedAt when it came, in milliseconds of the steady clock
+     * @param route is told when the leader has replied
+     */
+    record RelayedHeartbeat(byte[] body, Consumer<Response> reply, long receivedAt, WorkerRoute route) {}
+
+    private record Batch(List<RelayedHeartbeat> heartbeats, long timeoutMs) {}
+
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    /** A worker that gets it tries another controller. */
+    private static final Response REFUSED = new Response(SERVICE_UNAVAILABLE, new byte[0]);
+    /** So many heartbeats wait; one more displaces the oldest. */
+    private static final int MAX_QUEUED = 1000;
+
+    private static final int MAX_BATCH_SIZE = 64;
+    private static final int MAX_BATCH_BYTES = 256 << 10;
+    private static final int MAX_BATCHES_IN_FLIGHT = 4;
+    /** Heartbeats are collected for this part of the heartbeat period. */
+    private static final double BATCH_DELAY_RATIO = 0.02;
+    /** This part of a worker's timeout is kept for the way back of its reply. */
+    private static final double REPLY_TIME_RATIO = 0.125;
+    /** A heartbeat is relayed if at least this part of its worker's timeout is left. */
+    private static final int MIN_REMAINING_TIMEOUT_PART = 4;
+
+    private final LeaderElection election;
+    private final PeerRegistry peers;
+    private final PeerClient peerClient;
+    private final long batchDelayMs;
+    private final Queue<RelayedHeartbeat> queue = new ArrayDeque<>();
+    private boolean sendScheduled;
+    private int batchesInFlight;
+    private long relayedInPeriod;
+    private long relayedInLastPeriod;
+
+    HeartbeatRelayQueue(
+            EventLoop loop, Deployment deployment, LeaderElection election, PeerRegistry peers, PeerClient peerClient) {
+        super(loop);
+        this.election = election;
+        this.peers = peers;
+        this.peerClient = peerClient;
+        this.batchDelayMs = (long) (deployment.heartbeatPeriodMs() * BATCH_DELAY_RATIO);
+    }
+
+    @Override
+    protected void receive(Void message) {
+        throw new IllegalStateException("the relay queue takes heartbeats by its methods and no messages");
+    }
+
+    /** Another heartbeat period has passed: the count of relayed heartbeats begins anew. */
+    void endPeriod() {
+        if (relayedInPeriod > 0) {
+            log.info(
+                    "heartbeats relayed: count={} leader={} reason=\"workers do not reach the leader\"",
+                    relayedInPeriod,
+                    election.leader());
+        }
+        relayedInLastPeriod = relayedInPeriod;
+        relayedInPeriod = 0;
+    }
+
+    /** Whether a whole batch or more was relayed in the last period. */
+    boolean isBusy() {
+        return relayedInLastPeriod >= MAX_BATCH_SIZE;
+    }
+
+    /** Queues a heartbeat, or refuses it if the leader can't be reached from here. */
+    void add(RelayedHeartbeat heartbeat, String leader) {
+        if (!peers.canRelay(leader)) {
+            heartbeat.reply().accept(REFUSED);
+            return;
+        }
+        if (queue.size() >= MAX_QUEUED) {
+            queue.poll().reply().accept(REFUSED);
+        }
+        queue.add(heartbeat);
+        if (!sendScheduled) {
+            sendScheduled = true;
+            after(batchDelayMs, this::sendBatches);
+        }
+    }
+
+    private void sendBatches() {
+        sendScheduled = false;
+        String leader = election.leader();
+        while (!queue.isEmpty() && batchesInFlight < MAX_BATCHES_IN_FLIGHT) {
+            Batch batch = takeBatch(leader);
+            if (!batch.heartbeats().isEmpty()) {
+                send(leader, batch);
+            }
+        }
+    }
+
+    /** Takes a batch off the queue, and refuses what can't be replied to in time. */
+    private Batch takeBatch(String leader) {
+        List<RelayedHeartbeat> heartbeats = new ArrayList<>();
+        int bytes = 0;
+        long timeoutMs = WorkerProtocol.PATIENCE_MS;
+        while (!queue.isEmpty() && heartbeats.size() < MAX_BATCH_SIZE && bytes < MAX_BATCH_BYTES) {
+            RelayedHeartbeat next = queue.poll();
+            long remainingMs = remainingMs(next);
+            if (remainingMs < WorkerProtocol.PATIENCE_MS / MIN_REMAINING_TIMEOUT_PART
+                    || leader == null
+                    || !peers.canRelay(leader)) {
+                next.reply().accept(REFUSED);
+            } else {
+                heartbeats.add(next);
+                bytes += next.body().length;
+                timeoutMs = Math.min(timeoutMs, remainingMs);
+            }
+        }
+        return new Batch(heartbeats, timeoutMs);
+    }
+
+    private long remainingMs(RelayedHeartbeat heartbeat) {
+        return (long) (heartbeat.receivedAt() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_TIME_RATIO) - loop.now());
+    }
+
+    private void send(String leader, Batch batch) {
+        List<RelayedHeartbeat> heartbeats = batch.heartbeats();
+        batchesInFlight++;
+        relayedInPeriod += heartbeats.size();
+        List<ByteBuffer> bodies = heartbeats.stream()
+                .map(heartbeat -> ByteBuffer.wrap(heartbeat.body()))
+                .toList();
+        // The leader has less time than its reply is waited for.
+        long leaderTimeoutMs = (long) (batch.timeoutMs() * (1 - REPLY_TIME_RATIO));
+        peerClient.send(leader, new ReportBatch(leaderTimeoutMs, bodies), batch.timeoutMs(), here(reply -> {
+            batchesInFlight--;
+            batchReplied(heartbeats, reply);
+            sendBatches();
+        }));
+    }
+
+    private void batchReplied(List<RelayedHeartbeat> heartbeats, Object reply) {
+        if (!(reply instanceof Outcomes outcomes) || outcomes.getEach().size() != heartbeats.size()) {
+            heartbeats.forEach(heartbeat -> heartbeat.reply().accept(REFUSED));
+            return;
+        }
+        for (int i = 0; i < heartbeats.size(); i++) {
+            replied(heartbeats.get(i), outcomes.getEach().get(i));
+        }
+    }
+
+    private void replied(RelayedHeartbeat heartbeat, Outcome outcome) {
+        if (outcome.getStatus() <= 0) {
+            heartbeat.reply().accept(REFUSED);
+            return;
+        }
+        if (outcome.getStatus() == OK) {
+            heartbeat.route().relayed(loop.now());
+        }
+        heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
+    }
+}
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -1,7 +1,7 @@
 package notchpick.coordination.membership;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Random;
-import java.util.function.LongSupplier;
 import notchpick.coordination.Deployment;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
@@ -10,287 +10,330 @@
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Missing;
 import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Result;
 import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.storage.Records;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
 /**
- * Stands for leadership and keeps it. The leadership key hangs on a lease of the state service; the
- * term rises with every election in the same transaction.
+ * Elects the leader through the state store. The leader key is attached to a lease of the state store, which its holder
+ * renews; the term rises with each election, in the transaction that creates the key. A controller polls and watches the
+ * key, and campaigns when it is missing. {@link ElectionState} holds what is known.
  */
 public final class LeaderElection extends Actor<LeaderElection.Message> {
-    /** What the elector is told. */
+    /** What this actor is told. */
     public sealed interface Message {}
 
-    /** Start to look who leads. */
+    /** The process has started: the leader key is polled from now on. */
     public record Begin() implements Message {}
 
-    /** The leader can't do its work, or must not go on; somebody else should lead. */
-    public record StepDown(String why) implements Message {}
+    /** Another controller should lead, for this reason. */
+    public record StepDown(String reason) implements Message {}
 
-    /** Some controller knows of this term. */
-    public record TermSeen(long term, String leader) implements Message {}
+    /** A peer knows of this term. */
+    public record TermObserved(long term, String leader) implements Message {}
 
-    /** What the elector tells. */
+    /** Is told when this controller starts and stops to lead. */
     public interface Listener {
         /** This controller leads from now on. */
         void elected(ElectedTerm term);
 
-        /** The leader lease is surely held until then. */
+        /** The leader lease is surely held until then, in milliseconds of the steady clock. */
         void leaseRenewed(long leaseUntilMs);
 
         /** This controller does not lead any more. */
         void deposed();
     }
 
-    /** The wait after the leader's key is gone, as a part of the time between two looks at the most. */
-    private static final int CROWD_PART = 4;
+    /** The leader key is polled so many times in the time of a leader lease at the most. */
+    private static final int POLLS_PER_LEASE = 12;
+    /** The leader lease is renewed so many times in its own time. */
+    private static final int RENEWALS_PER_LEASE = 5;
+    /** After a resignation a controller does not campaign for so many leader leases, so that another is elected. */
+    private static final int HOLDOFF_LEASES = 4;
+    /** The jitter before an election that a watch has caused, at the most, as a part of the poll interval. */
+    private static final int WATCH_JITTER_PART = 4;
+
+    private static final String NODE_FIELD = "node";
+    private static final String TERM_FIELD = "term";
+    private static final String FORMAT_FIELD = "format";
 
     private final String node;
-    private final StateStoreClient state;
+    private final StateStoreClient stateStore;
     private final Random random;
     private final Listener listener;
     private final long leaseMs;
-    private final long pollMs;
-    private final LongSupplier handicapMs;
-
-    private boolean leading;
-    private long lease;
-    private long term;
-    private String leader;
-    private long standAsideUntil;
-    private long tenure;
-    private boolean foreign;
+    private final long pollIntervalMs;
+    private final ElectionDelay electionDelay;
+    private final ElectionState state;
+    private boolean formatIncompatible;
     private boolean watching;
-    /** Since when nobody has been seen to lead; 0: somebody is. */
-    private long vacantSince;
-    /** Counts the looks that were put off; a newer one takes the place of an older. */
-    private long looks;
+    /** The number of the last poll that was scheduled; it replaces those scheduled before. */
+    private long lastScheduledPoll;
 
-    /** @param handicapMs how long to leave the field to those that are better connected */
+    /** @param electionDelay how long to leave an election to controllers that are better connected */
     public LeaderElection(
             EventLoop loop,
             String node,
-            StateStoreClient state,
+            StateStoreClient stateStore,
             Random random,
             long leaseMs,
-            LongSupplier handicapMs,
+            ElectionDelay electionDelay,
             Listener listener) {
         super(loop);
         this.node = node;
-        this.state = state;
+        this.stateStore = stateStore;
         this.random = random;
         this.leaseMs = leaseMs;
-        this.pollMs = leaseMs / 12;
-        this.handicapMs = handicapMs;
+        this.pollIntervalMs = leaseMs / POLLS_PER_LEASE;
+        this.electionDelay = electionDelay;
         this.listener = listener;
+        this.state = new ElectionState(node);
     }
 
-    /** Who leads, as far as is known; null: nobody. */
+    /** Who leads, as far as is known; null if nobody does. */
     public String leader() {
-        return leader;
+        return state.leader();
     }
 
+    /** The latest term known. */
     public long term() {
-        return term;
+        return state.term();
     }
 
-    /** Whether the state service holds what another version left, which must not be touched. */
-    public boolean isForeign() {
-        return foreign;
+    /** Whether the state store holds records in a format of another version, which must not be touched. */
+    public boolean isFormatIncompatible() {
+        return formatIncompatible;
     }
 
     @Override
     protected void receive(Message message) {
         if (message instanceof Begin) {
-            look();
+            poll();
         } else if (message instanceof StepDown stepDown) {
-            if (leading) {
-                log.info("gives way: {}", stepDown.why());
-                standAsideUntil = loop.now() + 4 * leaseMs;
-                resign();
-            }
-        } else if (message instanceof TermSeen seen && seen.term() > term) {
-            // A leader that can't reach the state service learns here that its time is over.
-            term = seen.term();
-            leader = seen.leader();
-            if (leading) {
-                log.info("term {} has begun elsewhere", term);
-                resign();
-            }
+            stepDown(stepDown.reason());
+        } else if (message instanceof TermObserved observed) {
+            termObserved(observed);
+        }
+    }
+
+    private void stepDown(String reason) {
+        if (state.isLeading()) {
+            log.info("stepping down: term={} reason=\"{}\"", state.term(), reason);
+            state.holdOffUntil(loop.now() + HOLDOFF_LEASES * leaseMs);
+            resign();
+        }
+    }
+
+    /** A leader that can't reach the state store learns here that its term is over. */
+    private void termObserved(TermObserved observed) {
+        long formerTerm = state.term();
+        if (state.termObserved(observed.term(), observed.leader()) && state.isLeading()) {
+            log.info(
+                    "leader deposed: term={} reason=\"a later term has begun\" laterTerm={} leader={}",
+                    formerTerm,
+                    observed.term(),
+                    observed.leader());
+            resign();
         }
     }
 
     private void resign() {
-        leading = false;
-        tenure++;
-        leader = node.equals(leader) ? null : leader;
+        state.resigned();
         listener.deposed();
-        state.endLease(lease, here(ended -> {}));
-        lookIn(pollMs);
+        stateStore.endLease(state.lease(), here(ended -> {}));
+        schedulePoll(pollIntervalMs);
     }
 
-    private void lookLater() {
-        lookIn(pollMs + random.nextInt((int) pollMs));
+    // ---- polling and watching the leader key --------------------------------------------------
+
+    private void schedulePoll() {
+        schedulePoll(pollIntervalMs + random.nextInt((int) pollIntervalMs));
     }
 
-    private void lookIn(long delayMs) {
-        long due = ++looks;
+    private void schedulePoll(long delayMs) {
+        long number = ++lastScheduledPoll;
         after(delayMs, () -> {
-            if (due == looks) {
-                look();
+            if (number == lastScheduledPoll) {
+                poll();
             }
         });
     }
 
+    private void poll() {
+        if (state.isLeading()) {
+            return;
+        }
+        stateStore.getHastily(Records.LEADER, here(result -> {
+            if (!state.isLeading()) {
+                leaderKeyPolled(result);
+            }
+        }));
+    }
+
+    private void leaderKeyPolled(Result<Entry> result) {
+        if (result instanceof Ok<Entry> ok) {
+            state.leaderKeyNotMissing();
+            leaderKeyRead(ok.value());
+        } else if (result instanceof Missing<Entry>) {
+            leaderKeyMissing();
+        } else {
+            state.leaderKeyNotMissing();
+            schedulePoll();
+        }
+    }
+
+    private void leaderKeyRead(Entry key) {
+        String holder = key.value().path(NODE_FIELD).asText();
+        if (state.isHolder(holder)) {
+            // Left by a former incarnation of this controller, or by an election of which the reply was lost.
+            state.leaderGone();
+            stateStore.endLease(key.lease(), here(ended -> schedulePoll()));
+            return;
+        }
+        state.leaderRead(key.value().path(TERM_FIELD).asLong(), holder);
+        watch(key.version());
+        schedulePoll();
+    }
+
+    private void leaderKeyMissing() {
+        long now = loop.now();
+        state.leaderKeyMissing(now);
+        if (state.isHoldoffOver(now) && state.isVacantFor(electionDelay.delayMs(), now)) {
+            campaign();
+        } else {
+            state.leaderGone();
+            schedulePoll();
+        }
+    }
+
     /**
-     * Hears at once that the leader's key is gone. Who has been there all along so comes before who just starts,
-     * and in a roll before the version that only looks now and then. A short wait by chance spares a crowd.
+     * Learns of the leader key's deletion sooner than by polling. A controller that has been running so comes before one
+     * that is just starting, and in a rolling upgrade before versions that poll only. The jitter keeps the controllers
+     * from campaigning all at the same moment.
      */
     private void watch(long version) {
         if (watching) {
             return;
         }
         watching = true;
-        state.changes(Records.LEADER, version, leaseMs, here(result -> {
+        stateStore.changes(Records.LEADER, version, leaseMs, here(result -> {
             watching = false;
-            if (!leading
-                    && result instanceof Ok<Changes> ok
-                    && ok.value().log().stream().anyMatch(change -> change.value() == null)) {
-                lookIn(random.nextInt((int) Math.max(1, pollMs / CROWD_PART)));
+            if (!state.isLeading() && result instanceof Ok<Changes> ok && isLeaderKeyDeleted(ok.value())) {
+                schedulePoll(random.nextInt((int) Math.max(1, pollIntervalMs / WATCH_JITTER_PART)));
             }
         }));
     }
 
-    private void look() {
-        if (leading) {
-            return;
-        }
-        state.getHastily(Records.LEADER, here(result -> {
-            if (leading) {
-                return;
-            }
-            if (!(result instanceof Missing<Entry>)) {
-                vacantSince = 0;
-            } else if (vacantSince == 0) {
-                vacantSince = loop.now();
-            }
+    private static boolean isLeaderKeyDeleted(Changes changes) {
+        return changes.log().stream().anyMatch(change -> change.value() == null);
+    }
+
+    // ---- campaigning --------------------------------------------------------------------------
+
+    private void campaign() {
+        stateStore.get(Records.TERM, here(result -> {
             if (result instanceof Ok<Entry> ok) {
-                String holder = ok.value().value().path("node").asText();
-                long known = ok.value().value().path("term").asLong();
-                if (holder.equals(node)) {
-                    // Left by a former life of this controller, or by an election whose answer was lost.
-                    leader = null;
-                    state.endLease(ok.value().lease(), here(ended -> lookLater()));
-                    return;
-                }
-                if (known >= term) {
-                    term = known;
-                    leader = holder;
+                JsonNode record = ok.value().value();
+                checkFormat(record.path(FORMAT_FIELD).asInt(1));
+                if (formatIncompatible) {
+                    schedulePoll();
+                } else {
+                    requestLease(record.path(TERM_FIELD).asLong(), ok.value().version());
                 }
-                watch(ok.value().version());
-                lookLater();
-            } else if (result instanceof Missing<Entry>
-                    && loop.now() >= standAsideUntil
-                    && loop.now() - vacantSince >= handicapMs.getAsLong()) {
-                stand();
+            } else if (result instanceof Missing<Entry>) {
+                requestLease(0, 0);
             } else {
-                if (result instanceof Missing<Entry>) {
-                    leader = null;
-                }
-                lookLater();
+                schedulePoll();
             }
         }));
     }
 
-    private void stand() {
-        state.get(Records.TERM, here(result -> {
-            if (result instanceof Ok<Entry> ok) {
-                int format = ok.value().value().path("format").asInt(1);
-                boolean known = foreign;
-                foreign = format != Records.FORMAT;
-                if (foreign && !known) {
-                    log.error(
-                            "the state service holds records of form {}, this version reads form {}: not serving",
-                            format,
-                            Records.FORMAT);
-                }
-                if (foreign) {
-                    lookLater();
-                    return;
-                }
-                stand(ok.value().value().path("term").asLong(), ok.value().version());
-            } else if (result instanceof Missing<Entry>) {
-                stand(0, 0);
+    private void checkFormat(int format) {
+        boolean wasIncompatible = formatIncompatible;
+        formatIncompatible = format != Records.FORMAT;
+        if (formatIncompatible && !wasIncompatible) {
+            log.error(
+                    "not serving: reason=\"incompatible records in the state store\" format={} supportedFormat={}",
+                    format,
+                    Records.FORMAT);
+        }
+    }
+
+    private void requestLease(long formerTerm, long termVersion) {
+        long sentAt = loop.now();
+        stateStore.grantLease(leaseMs, here(result -> {
+            if (result instanceof Ok<Long> granted) {
+                commitElection(formerTerm + 1, termVersion, granted.value(), sentAt);
             } else {
-                lookLater();
+                schedulePoll();
             }
         }));
     }
 
-    private void stand(long formerTerm, long termVersion) {
-        long sentAt = loop.now();
-        state.grantLease(leaseMs, here(granted -> {
-            if (!(granted instanceof Ok<Long> ok)) {
-                lookLater();
-                return;
+    /** Writes the leader key if nobody else has, and no election has taken place since the term was read. */
+    private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAt) {
+        Transaction transaction = new Transaction()
+                .guard(Records.LEADER, 0)
+                .guard(Records.TERM, termVersion)
+                .put(Records.LEADER, Json.object().put(NODE_FIELD, node).put(TERM_FIELD, newTerm), newLease)
+                .put(Records.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, Records.FORMAT));
+        stateStore.commit(transaction, here(result -> {
+            if (result instanceof Ok<Long> version) {
+                state.elected(newTerm, newLease);
+                log.info("leader elected: term={} leader={} lease={}", newTerm, node, newLease);
+                listener.elected(new ElectedTerm(newTerm, version.value(), safelyHeldUntil(leaseRequestedAt)));
+                scheduleRenewal(state.generation());
+            } else {
+                electionLost(result, newLease);
             }
-            long newLease = ok.value();
-            long newTerm = formerTerm + 1;
-            Transaction transaction = new Transaction()
-                    .guard(Records.LEADER, 0)
-                    .guard(Records.TERM, termVersion)
-                    .put(Records.LEADER, Json.object().put("node", node).put("term", newTerm), newLease)
-                    .put(Records.TERM, Json.object().put("term", newTerm).put("format", Records.FORMAT));
-            state.commit(transaction, here(result -> {
-                if (result instanceof Ok<Long> version) {
-                    leading = true;
-                    tenure++;
-                    lease = newLease;
-                    term = newTerm;
-                    leader = node;
-                    log.info("leads term {}", term);
-                    listener.elected(
-                            new ElectedTerm(term, version.value(), sentAt + Deployment.leaseSafelyHeldMs(leaseMs)));
-                    renewLater(tenure);
-                } else {
-                    // Without an answer the key may appear yet; then it goes with this lease.
-                    state.endLease(newLease, here(ended -> {}));
-                    if (result instanceof Conflict<Long>) {
-                        look();
-                    } else {
-                        lookLater();
-                    }
-                }
-            }));
         }));
     }
 
-    private void renewLater(long during) {
-        after(leaseMs / 5, () -> renew(during));
+    private void electionLost(Result<Long> result, long unusedLease) {
+        // If the reply was lost the key may still appear, and is deleted with this lease.
+        stateStore.endLease(unusedLease, here(ended -> {}));
+        if (result instanceof Conflict<Long>) {
+            poll();
+        } else {
+            schedulePoll();
+        }
+    }
+
+    // ---- renewing the leader lease ------------------------------------------------------------
+
+    private long safelyHeldUntil(long requestedAt) {
+        return requestedAt + Deployment.leaseSafelyHeldMs(leaseMs);
     }
 
-    private void renew(long during) {
-        if (!leading || during != tenure) {
+    private void scheduleRenewal(long generation) {
+        after(leaseMs / RENEWALS_PER_LEASE, () -> renewLease(generation));
+    }
+
+    private void renewLease(long generation) {
+        if (!state.isLeadingSince(generation)) {
             return;
         }
         long sentAt = loop.now();
-        state.renewLease(lease, here(result -> {
-            if (!leading || during != tenure) {
-                return;
-            }
-            if (result instanceof Ok<Boolean>) {
-                listener.leaseRenewed(sentAt + Deployment.leaseSafelyHeldMs(leaseMs));
-            } else if (result instanceof Missing<Boolean>) {
-                log.info("lost the lease of term {}", term);
-                leading = false;
-                leader = null;
-                listener.deposed();
-                look();
-                return;
+        stateStore.renewLease(state.lease(), here(result -> {
+            if (state.isLeadingSince(generation)) {
+                leaseRenewalCompleted(result, sentAt, generation);
             }
-            renewLater(during);
         }));
     }
+
+    private void leaseRenewalCompleted(Result<Boolean> result, long sentAt, long generation) {
+        if (result instanceof Missing<Boolean>) {
+            log.info("leader lease lost: term={} lease={}", state.term(), state.lease());
+            state.leaseExpired();
+            listener.deposed();
+            poll();
+            return;
+        }
+        if (result instanceof Ok<Boolean>) {
+            listener.leaseRenewed(safelyHeldUntil(sentAt));
+        }
+        scheduleRenewal(generation);
+    }
 }
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -2,9 +2,9 @@
 
 import notchpick.transport.HttpCaller.Response;
 
-/** One link of this controller, judged by the traffic that flows over it anyway. */
+/** The health of one link of this controller, judged by the traffic that flows over it anyway. Times are handed in. */
 final class LinkHealth {
-    /** The words of the wire, but not its classes: these are made from a schema, which a start can't wait for. */
+    /** The names of the wire, but not its enum: that one is built from a schema, which would slow the start down. */
     enum Condition {
         UNKNOWN,
         UP,
@@ -13,83 +13,86 @@
         SILENT
     }
 
-    /** The newest delay weighs so much in the mean. */
-    private static final double NEWEST = 0.2;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final double MS_PER_S = 1000.0;
+    /** The weight of the newest latency in the moving average. */
+    private static final double LATENCY_WEIGHT = 0.2;
 
-    private static final int TURNED_AWAY = 503;
+    private static final long NEVER = -1;
 
-    private final long periodMs;
+    private final long ratePeriodMs;
     private Condition condition = Condition.UNKNOWN;
-    private long at = -1;
-    private double delayMs = -1;
-    private long periodStart;
-    private int signs;
-    private double perS;
+    private long lastActivityAt = NEVER;
+    private double meanLatencyMs = -1;
+    private long ratePeriodStart;
+    private int activitiesInPeriod;
+    private double ratePerS;
 
-    /** @param periodMs what the rate of signs is counted over */
-    LinkHealth(long periodMs) {
-        this.periodMs = periodMs;
+    /** @param ratePeriodMs the period over which the rate of activity is counted */
+    LinkHealth(long ratePeriodMs) {
+        this.ratePeriodMs = ratePeriodMs;
     }
 
-    /** A call over this link came to an end. */
-    void ended(Response answer, long sentAt, long now) {
-        if (answer.isUnsent()) {
+    /** A request over this link has completed, with or without a response. */
+    void requestCompleted(Response response, long sentAt, long now) {
+        if (response.isUnsent()) {
             condition = Condition.REFUSED;
-        } else if (answer.isNone()) {
+        } else if (response.isNone()) {
             condition = Condition.SILENT;
         } else {
-            sign(now);
-            condition = answer.status() == TURNED_AWAY ? Condition.TURNED_AWAY : Condition.UP;
-            double delay = now - sentAt;
-            delayMs = delayMs < 0 ? delay : delayMs + NEWEST * (delay - delayMs);
+            recordActivity(now);
+            condition = response.status() == SERVICE_UNAVAILABLE ? Condition.TURNED_AWAY : Condition.UP;
+            double latencyMs = now - sentAt;
+            meanLatencyMs =
+                    meanLatencyMs < 0 ? latencyMs : meanLatencyMs + LATENCY_WEIGHT * (latencyMs - meanLatencyMs);
         }
     }
 
-    /** Something came in over this link. */
-    void heard(long now) {
-        sign(now);
+    /** A message has come in over this link. */
+    void messageReceived(long now) {
+        recordActivity(now);
         condition = Condition.UP;
     }
 
-    private void sign(long now) {
-        count(now);
-        signs++;
-        at = now;
+    private void recordActivity(long now) {
+        updateRate(now);
+        activitiesInPeriod++;
+        lastActivityAt = now;
     }
 
-    private void count(long now) {
-        long span = now - periodStart;
-        if (span >= periodMs) {
-            // A period without any sign leaves nothing of what was counted before it.
-            perS = span < 2 * periodMs ? signs * 1000.0 / span : 0;
-            signs = 0;
-            periodStart = now;
+    private void updateRate(long now) {
+        long elapsedMs = now - ratePeriodStart;
+        if (elapsedMs >= ratePeriodMs) {
+            // After a whole period without activity, nothing counted before it says what the rate is now.
+            ratePerS = elapsedMs < 2 * ratePeriodMs ? activitiesInPeriod * MS_PER_S / elapsedMs : 0;
+            activitiesInPeriod = 0;
+            ratePeriodStart = now;
         }
     }
 
-    /** That nothing is known of a link does not say that it is down. */
+    /** The condition by the newest request or message; {@link Condition#UNKNOWN} does not mean that the link is down. */
     Condition condition() {
         return condition;
     }
 
-    /** Whether the last sign came within this time; false if there never was one. */
-    boolean isFresh(long now, long withinMs) {
-        return at >= 0 && now - at <= withinMs;
+    /** Whether the last activity is no older than this; false if there has been none. */
+    boolean isActiveWithin(long withinMs, long now) {
+        return lastActivityAt >= 0 && now - lastActivityAt <= withinMs;
     }
 
-    /** Since the last sign; -1: there never was one. */
+    /** The time since the last activity, in milliseconds; -1 if there has been none. */
     long ageMs(long now) {
-        return at < 0 ? -1 : now - at;
+        return lastActivityAt < 0 ? NEVER : now - lastActivityAt;
     }
 
-    /** -1: not known. */
-    long delayMs() {
-        return Math.round(delayMs);
+    /** The mean time until a response came, in milliseconds; -1 if none has come. */
+    long meanLatencyMs() {
+        return Math.round(meanLatencyMs);
     }
 
-    /** How many calls a second went over the link lately. */
-    double perS(long now) {
-        count(now);
-        return perS;
+    /** Activity per second over the last period. */
+    double ratePerS(long now) {
+        updateRate(now);
+        return ratePerS;
     }
 }
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -13,68 +13,72 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * The links of this controller, as it sees them itself. These are opinions: they say whom to ask and by which way,
- * never that a task, a room or a term is free.
+ * The health of this controller's own links. It chooses whom to ask and over which path, and never says that a task, a
+ * machine's resources or a term is free.
  */
 public final class LinkMonitor {
     private final EventLoop loop;
-    private final long periodMs;
-    private final LinkHealth state;
+    private final long heartbeatPeriodMs;
+    private final LinkHealth stateStore;
     private final LinkHealth users;
     private final Map<String, LinkHealth> peers = new HashMap<>();
-    /** Of workers that report here themselves and get the answers, by their zone. */
-    private final Map<String, LinkHealth> workers = new TreeMap<>();
+    /** By zone, the link to those workers that send heartbeats directly here and receive the replies. */
+    private final Map<String, LinkHealth> workersByZone = new TreeMap<>();
 
     public LinkMonitor(EventLoop loop, Deployment deployment) {
         this.loop = loop;
-        this.periodMs = deployment.heartbeatPeriodMs();
-        this.state = new LinkHealth(periodMs);
-        this.users = new LinkHealth(periodMs);
-        deployment.peers().forEach(peer -> peers.put(peer.node(), new LinkHealth(periodMs)));
+        this.heartbeatPeriodMs = deployment.heartbeatPeriodMs();
+        this.stateStore = new LinkHealth(heartbeatPeriodMs);
+        this.users = new LinkHealth(heartbeatPeriodMs);
+        deployment.peers().forEach(peer -> peers.put(peer.node(), new LinkHealth(heartbeatPeriodMs)));
     }
 
-    void stateEnded(Response answer, long sentAt) {
-        state.ended(answer, sentAt, loop.now());
+    /** A request sent directly to the state store has completed. */
+    void stateStoreRequestCompleted(Response response, long sentAt) {
+        stateStore.requestCompleted(response, sentAt, loop.now());
     }
 
-    void peerEnded(String node, Response answer, long sentAt) {
-        peers.get(node).ended(answer, sentAt, loop.now());
+    /** A request to a peer has completed. */
+    void peerRequestCompleted(String peer, Response response, long sentAt) {
+        peers.get(peer).requestCompleted(response, sentAt, loop.now());
     }
 
-    /** The balancer has asked whether this controller is ready. */
-    public void usersHeard() {
-        users.heard(loop.now());
+    /** The users' load balancer has asked whether this controller is ready. */
+    public void readinessProbeReceived() {
+        users.messageReceived(loop.now());
     }
 
     /**
-     * A worker of this zone has got an answer from here: it came by itself with the report that follows the one
-     * answered. That a report comes in says nothing of the way back.
+     * A worker of this zone has received a reply from here: the heartbeat that follows the one replied to has come to
+     * the same place. A heartbeat alone says nothing of the way back.
      */
-    public void workerHeard(String zone) {
-        workers.computeIfAbsent(zone, z -> new LinkHealth(periodMs)).heard(loop.now());
+    public void workerReplyDelivered(String zone) {
+        workersByZone
+                .computeIfAbsent(zone, name -> new LinkHealth(heartbeatPeriodMs))
+                .messageReceived(loop.now());
     }
 
-    /** Whether a peer has answered within this time, and the last call to it was answered too. */
-    boolean answers(String node, long withinMs) {
-        LinkHealth link = peers.get(node);
-        return link != null && link.condition() == LinkHealth.Condition.UP && link.isFresh(loop.now(), withinMs);
+    /** Whether a peer has responded within this time, and the last request to it got a response too. */
+    boolean isPeerResponsive(String peer, long withinMs) {
+        LinkHealth link = peers.get(peer);
+        return link != null && link.condition() == LinkHealth.Condition.UP && link.isActiveWithin(withinMs, loop.now());
     }
 
-    /** Since any worker last got an answer from here; -1: none ever. */
-    public long workersAgeMs() {
+    /** The time since any worker last received a reply from here, in milliseconds; -1 if none ever has. */
+    public long workerLinkAgeMs() {
         long now = loop.now();
-        return workers.values().stream()
+        return workersByZone.values().stream()
                 .mapToLong(link -> link.ageMs(now))
                 .min()
                 .orElse(-1);
     }
 
-    /** One row for each link, as told to others. */
-    public List<LinkRow> rows() {
+    /** One row for each link, for the link table that controllers exchange. */
+    public List<LinkRow> linkRows() {
         List<LinkRow> rows = new ArrayList<>();
-        rows.add(row(LinkKind.STATE, "", state));
+        rows.add(row(LinkKind.STATE, "", stateStore));
         new TreeMap<>(peers).forEach((node, link) -> rows.add(row(LinkKind.PEER, node, link)));
-        workers.forEach((zone, link) -> rows.add(row(LinkKind.WORKERS, zone, link)));
+        workersByZone.forEach((zone, link) -> rows.add(row(LinkKind.WORKERS, zone, link)));
         rows.add(row(LinkKind.USERS, "", users));
         return rows;
     }
@@ -86,7 +90,7 @@
                 name,
                 LinkCondition.valueOf(link.condition().name()),
                 link.ageMs(now),
-                link.delayMs(),
-                link.perS(now));
+                link.meanLatencyMs(),
+                link.ratePerS(now));
     }
 }
--- /dev/null
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -0,0 +1,88 @@
+package notchpick.coordination.membership;
+
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+import notchpick.coordination.Deployment;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.peer.Relay;
+import notchpick.protocol.peer.Relayed;
+import notchpick.transport.Actor;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
+
+/** Sends requests to the other controllers, and lets the link monitor know how each one completes. */
+public final class PeerClient extends Actor<Void> {
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    /** After how many seconds a user whose relayed request found the service unavailable should retry. */
+    private static final int RETRY_AFTER_S = 1;
+
+    private final Deployment deployment;
+    private final HttpCaller caller;
+    private final LinkMonitor links;
+
+    public PeerClient(EventLoop loop, Deployment deployment, HttpCaller caller, LinkMonitor links) {
+        super(loop);
+        this.deployment = deployment;
+        this.caller = caller;
+        this.links = links;
+    }
+
+    @Override
+    protected void receive(Void message) {
+        throw new IllegalStateException("the peer client takes requests by its methods and no messages");
+    }
+
+    /**
+     * Sends a message to a peer and calls back exactly once.
+     *
+     * @param onReply gets the peer's message, or null if none came in time
+     */
+    public void send(String peer, Object message, long timeoutMs, Consumer<Object> onReply) {
+        post(peer, address(peer), PeerProtocol.bytes(message), timeoutMs, onReply);
+    }
+
+    /** Sends the same message to all peers; calls back once for each, as {@link #send} does. */
+    void broadcast(Object message, long timeoutMs, Consumer<Object> onReply) {
+        byte[] body = PeerProtocol.bytes(message);
+        for (Deployment.Peer peer : deployment.peers()) {
+            post(peer.node(), peer.address(), body, timeoutMs, onReply);
+        }
+    }
+
+    private String address(String peer) {
+        for (Deployment.Peer candidate : deployment.peers()) {
+            if (candidate.node().equals(peer)) {
+                return candidate.address();
+            }
+        }
+        return null;
+    }
+
+    private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
+        long sentAt = loop.now();
+        Consumer<Response> onResponse =
+                here(response -> onReply.accept(response.status() == OK ? PeerProtocol.body(response.body()) : null));
+        caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
+            links.peerRequestCompleted(peer, response, sentAt);
+            onResponse.accept(response);
+        });
+    }
+
+    /** Relays a user's request to a peer, which answers it in place of this controller. */
+    public void relay(String peer, Request request, long timeoutMs, Consumer<Response> onResponse) {
+        String content = request.body() == null ? "" : new String(request.body(), StandardCharsets.UTF_8);
+        send(peer, new Relay(request.method(), request.path(), content), timeoutMs, reply -> {
+            if (reply instanceof Relayed relayed) {
+                onResponse.accept(new Response(
+                        relayed.getStatus(),
+                        relayed.getContent().getBytes(StandardCharsets.UTF_8),
+                        relayed.getStatus() == SERVICE_UNAVAILABLE ? RETRY_AFTER_S : 0));
+            } else {
+                onResponse.accept(Response.NONE);
+            }
+        });
+    }
+}
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -13,7 +13,10 @@
 import notchpick.coordination.Tuning;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.coordination.membership.LinkMonitor;
+import notchpick.coordination.membership.LocalStatus;
+import notchpick.coordination.membership.PeerClient;
 import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.membership.PeerRegistry;
 import notchpick.model.ClusterState;
 import notchpick.model.Job;
 import notchpick.model.Machine;
@@ -22,6 +25,7 @@
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.Envelope;
 import notchpick.protocol.peer.Grant;
+import notchpick.protocol.peer.LinkTable;
 import notchpick.protocol.peer.Placed;
 import notchpick.protocol.peer.Placements;
 import notchpick.protocol.peer.Pulse;
@@ -67,7 +71,9 @@
             5,
             3,
             100);
-    private final PeerMembership peers = new PeerMembership(
+    private final LinkMonitor links = new LinkMonitor(loop, deployment);
+    private final PeerRegistry peerRegistry = new PeerRegistry(loop, deployment, links);
+    private final PeerClient peerClient = new PeerClient(
             loop,
             deployment,
             (call, timeoutMs, then) -> {
@@ -77,15 +83,29 @@
                     then.accept(Response.NONE);
                 }
             },
-            () -> pulse("n-0"),
-            pulse -> {},
-            new LinkMonitor(loop, deployment),
-            () -> null);
+            links);
+    private final PeerMembership membership = new PeerMembership(
+            loop,
+            deployment,
+            peerClient,
+            peerRegistry,
+            new LocalStatus() {
+                @Override
+                public Pulse heartbeat() {
+                    return pulse("n-0");
+                }
+
+                @Override
+                public LinkTable linkTable() {
+                    return null;
+                }
+            },
+            heartbeat -> {});
     private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
     private final TermContext context =
             new TermContext(TERM, loop, loop::after, deployment, cluster, machineTypes, new RuntimeEstimator());
     private final ResourceLeases leases =
-            new ResourceLeases(context, Tuning.DEFAULT, peers, new ResourceLeases.Listener() {
+            new ResourceLeases(context, Tuning.DEFAULT, peerRegistry, peerClient, new ResourceLeases.Listener() {
                 @Override
                 public void taskPlaced(TaskAssignment assignment) {
                     bound.add(assignment);
@@ -107,7 +127,7 @@
 
     /** Team b's jobs are held by the peer, which is alive. */
     private Job leaseToPeer(int tasks) {
-        peers.tell(new PeerMembership.Heard(pulse("n-1")));
+        membership.tell(new PeerMembership.HeartbeatReceived(pulse("n-1")));
         addReadyMachine("m-1");
         Job job = new Job(TestJobs.job("run-1").team("b").tasks(tasks).build(), 1);
         cluster.addJob(job);
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -50,7 +50,7 @@
     @Test
     void leavesTheFirstVersionsRecordsAlone() {
         left(Json.object().put("term", 7));
-        assertTrue(elector.isForeign());
+        assertTrue(elector.isFormatIncompatible());
         assertEquals(0, elections);
         assertEquals(1, state.writes());
     }
@@ -58,7 +58,7 @@
     @Test
     void goesOnFromItsOwn() {
         left(Json.object().put("term", 7).put("format", Records.FORMAT));
-        assertFalse(elector.isForeign());
+        assertFalse(elector.isFormatIncompatible());
         assertEquals(1, elections);
         assertEquals(8, state.value(Records.TERM).path("term").asInt());
     }
