--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -162,7 +162,7 @@
                 && request.wasLastRelayedBy(path.relay())
                 && request.isCompleted()
                 && !request.isServedByRelay()) {
-            switchPath(null, "direct link faster than relay");
+            switchToDirect("direct link faster than relay");
         } else if (!request.isCompleted() && sendToUntriedRelay(request)) {
             after(hedgeDelayMs, () -> hedge(request));
         }
@@ -212,7 +212,7 @@
         // One slow response among others is no reason to leave the direct link.
         boolean isPathDown = path.isRelayed() || !path.hasDirectServedSince(request.sentAt());
         if (isFirst && !path.isRelayedBy(relay) && isPathDown) {
-            switchPath(relay, "relay served a request that the former path did not");
+            switchToRelay(relay);
         }
     }
 
@@ -222,18 +222,30 @@
         }
         if (path.isRelayedBy(relay)) {
             // The next hedged request finds another relay, or the direct link.
-            switchPath(null, "relay failed");
+            switchToDirect("relay failed");
         }
         copyFailed(request, response);
     }
 
-    /** Changes the path; requests on the former one that are not hedged are given up as lost. */
-    private void switchPath(String newRelay, String reason) {
+    private void switchToRelay(String relay) {
+        log.warn(
+                "state store path changed: path=relay relay={} reason=\"no response over the former path\" openRequests={}",
+                relay,
+                openRequests.size());
+        switchPath(relay);
+    }
+
+    private void switchToDirect(String reason) {
         log.info(
-                "state store path changed: path={} reason=\"{}\" openRequests={}",
-                newRelay == null ? "direct" : "relay:" + newRelay,
+                "state store path changed: path=direct reason=\"{}\" relayedMs={} openRequests={}",
                 reason,
+                relayedForMs(),
                 openRequests.size());
+        switchPath(null);
+    }
+
+    /** Changes the path; requests on the former one that are not hedged are given up as lost. */
+    private void switchPath(String newRelay) {
         path.switchTo(newRelay, loop.now());
         for (StateStoreRequest request : List.copyOf(openRequests)) {
             if (!request.wasLastRelayedBy(newRelay) && !request.isHedged()) {
