--- /dev/null
+++ b/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
@@ -0,0 +1,86 @@
+package notchpick.coordination.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class ElectionStateTest {
+    private final ElectionState state = new ElectionState("n-0");
+
+    @Test
+    void vacancyCountsOnlyWhileTheKeyIsKnownToBeMissing() {
+        state.leaderKeyMissing(100);
+        state.leaderKeyMissing(150);
+        assertTrue(state.isVacantFor(50, 150));
+        state.leaderKeyNotMissing();
+        state.leaderKeyMissing(200);
+        assertFalse(state.isVacantFor(50, 249));
+        assertTrue(state.isVacantFor(50, 250));
+    }
+
+    @Test
+    void ignoresTheHolderOfAnOlderTerm() {
+        state.leaderRead(5, "n-1");
+        state.leaderRead(4, "n-2");
+        assertEquals("n-1", state.leader());
+        assertEquals(5, state.term());
+    }
+
+    @Test
+    void onlyALaterTermIsNews() {
+        state.leaderRead(5, "n-1");
+        assertFalse(state.termObserved(5, "n-2"));
+        assertEquals("n-1", state.leader());
+        assertTrue(state.termObserved(6, "n-2"));
+        assertEquals("n-2", state.leader());
+    }
+
+    @Test
+    void aNewLeadershipIsNotTakenForAFormerOne() {
+        state.elected(1, 11);
+        long generation = state.generation();
+        assertTrue(state.isLeadingSince(generation));
+        state.resigned();
+        assertFalse(state.isLeadingSince(generation));
+        state.elected(2, 12);
+        assertFalse(state.isLeadingSince(generation));
+        assertEquals(12, state.lease());
+    }
+
+    @Test
+    void aLeaseThatExpiredIsNotTakenForOneHeldAgain() {
+        state.elected(1, 11);
+        long generation = state.generation();
+        state.leaseExpired();
+        assertNull(state.leader());
+        state.elected(2, 12);
+        assertFalse(state.isLeadingSince(generation));
+    }
+
+    @Test
+    void resignationKeepsAnotherLeaderThatIsKnown() {
+        state.elected(1, 11);
+        state.termObserved(2, "n-1");
+        state.resigned();
+        assertEquals("n-1", state.leader());
+    }
+
+    @Test
+    void resignationLeavesNoLeaderOtherwise() {
+        state.elected(1, 11);
+        state.resigned();
+        assertNull(state.leader());
+        assertFalse(state.isLeading());
+    }
+
+    @Test
+    void holdsOffUntilItsTime() {
+        assertTrue(state.isHoldoffOver(0));
+        state.holdOffUntil(100);
+        assertFalse(state.isHoldoffOver(99));
+        assertTrue(state.isHoldoffOver(100));
+    }
+}
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -15,20 +15,21 @@
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
-/** A store of another form is refused, not misread. */
+/** A state store with records of another format is refused, not misread. */
 class LeaderElectionTest {
     private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
-    private final SimulatedStateStore state = new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
-    private final StateStoreClient api = new StateStoreClient(
-            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> state.handle(call, then)),
+    private final SimulatedStateStore stateStore =
+            new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
+    private final StateStoreClient client = new StateStoreClient(
+            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> stateStore.handle(call, then)),
             loop,
             "s:1",
             1500,
             250);
     private int elections;
-    private final LeaderElection elector =
-            new LeaderElection(loop, "n-0", api, new Random(1), 3000, () -> 0, new LeaderElection.Listener() {
+    private final LeaderElection election =
+            new LeaderElection(loop, "n-0", client, new Random(1), 3000, () -> 0, new LeaderElection.Listener() {
                 @Override
                 public void elected(ElectedTerm term) {
                     elections++;
@@ -41,25 +42,25 @@
                 public void deposed() {}
             });
 
-    private void left(ObjectNode term) {
-        api.commit(new Transaction().put(Records.TERM, term), result -> {});
-        elector.tell(new LeaderElection.Begin());
+    private void startWithTermRecord(ObjectNode term) {
+        client.commit(new Transaction().put(Records.TERM, term), result -> {});
+        election.tell(new LeaderElection.Begin());
         simulation.runUntil(10_000);
     }
 
     @Test
-    void leavesTheFirstVersionsRecordsAlone() {
-        left(Json.object().put("term", 7));
-        assertTrue(elector.isFormatIncompatible());
+    void leavesRecordsOfAnIncompatibleFormatAlone() {
+        startWithTermRecord(Json.object().put("term", 7));
+        assertTrue(election.isFormatIncompatible());
         assertEquals(0, elections);
-        assertEquals(1, state.writes());
+        assertEquals(1, stateStore.writes());
     }
 
     @Test
-    void goesOnFromItsOwn() {
-        left(Json.object().put("term", 7).put("format", Records.FORMAT));
-        assertFalse(elector.isFormatIncompatible());
+    void continuesFromTheTermOfItsOwnFormat() {
+        startWithTermRecord(Json.object().put("term", 7).put("format", Records.FORMAT));
+        assertFalse(election.isFormatIncompatible());
         assertEquals(1, elections);
-        assertEquals(8, state.value(Records.TERM).path("term").asInt());
+        assertEquals(8, stateStore.value(Records.TERM).path("term").asInt());
     }
 }
--- /dev/null
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -0,0 +1,64 @@
+package notchpick.coordination.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class StateStorePathTest {
+    private static final long SETTLE_MS = 3000;
+    private static final long BREAKER_OPEN_MS = 750;
+
+    private final StateStorePath path = new StateStorePath(SETTLE_MS, BREAKER_OPEN_MS);
+
+    @Test
+    void isDirectAtFirst() {
+        assertFalse(path.isRelayed());
+        assertEquals(0, path.relayedForMs(100));
+        assertFalse(path.isBreakerOpen(100));
+        assertFalse(path.hasDirectServedSince(1));
+    }
+
+    @Test
+    void countsHowLongItIsRelayed() {
+        path.switchTo("n-1", 100);
+        assertTrue(path.isRelayedBy("n-1"));
+        assertFalse(path.isRelayedBy("n-2"));
+        assertEquals(50, path.relayedForMs(150));
+    }
+
+    @Test
+    void restoresTheDirectLinkOnceItHasServedForTheSettleTime() {
+        path.switchTo("n-1", 100);
+        path.directServed(200);
+        path.directServed(200 + SETTLE_MS - 1);
+        assertFalse(path.isDirectRestored(200 + SETTLE_MS - 1));
+        path.directServed(200 + SETTLE_MS);
+        assertTrue(path.isDirectRestored(200 + SETTLE_MS));
+    }
+
+    @Test
+    void doesNotRestoreADirectLinkThatFlaps() {
+        path.switchTo("n-1", 100);
+        path.directServed(200);
+        path.directFailed();
+        path.directServed(300);
+        assertFalse(path.isDirectRestored(200 + SETTLE_MS));
+        assertTrue(path.isDirectRestored(300 + SETTLE_MS));
+    }
+
+    @Test
+    void whatTheDirectLinkServedBeforeTheSwitchDoesNotRestoreIt() {
+        path.directServed(100);
+        path.switchTo("n-1", 200);
+        assertFalse(path.isDirectRestored(200 + SETTLE_MS));
+    }
+
+    @Test
+    void breakerClosesAfterItsTime() {
+        path.openBreaker(100);
+        assertTrue(path.isBreakerOpen(100 + BREAKER_OPEN_MS - 1));
+        assertFalse(path.isBreakerOpen(100 + BREAKER_OPEN_MS));
+    }
+}
--- /dev/null
+++ b/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
@@ -0,0 +1,54 @@
+package notchpick.coordination.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class WorkerRouteTest {
+    private static final long INITIAL_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 1000;
+
+    private final WorkerRoute route = new WorkerRoute(4);
+
+    @Test
+    void isNotRelayedAtFirst() {
+        assertEquals(4, route.term());
+        assertFalse(route.isEverRelayed());
+        assertFalse(route.isRelayedWithin(1000, 50));
+    }
+
+    @Test
+    void isNotRelayedAnyMoreOnceRedirectedToTheLeader() {
+        route.relayed(100);
+        assertTrue(route.isRelayedWithin(50, 150));
+        assertFalse(route.isRelayedWithin(50, 151));
+        route.redirectedToLeader(120);
+        assertFalse(route.isRelayedWithin(50, 150));
+        assertTrue(route.isRedirectedToLeaderWithin(30, 150));
+    }
+
+    @Test
+    void backoffDoublesUpToItsMaximum() {
+        route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+        assertFalse(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS - 1));
+        assertTrue(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS));
+        route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+        assertFalse(route.isRedirectBackoffOver(4 * INITIAL_BACKOFF_MS - 1));
+        for (int i = 0; i < 100; i++) {
+            route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+        }
+        assertFalse(route.isRedirectBackoffOver(MAX_BACKOFF_MS - 1));
+        assertTrue(route.isRedirectBackoffOver(MAX_BACKOFF_MS));
+    }
+
+    @Test
+    void knowsTheNextHeartbeatByItsNumber() {
+        route.heartbeatReceived(7, 100);
+        assertTrue(route.isNextInSequence(8));
+        assertFalse(route.isNextInSequence(9));
+        assertTrue(route.hasHeartbeatWithin(10, 110));
+        assertFalse(route.hasHeartbeatWithin(10, 111));
+    }
+}
