--- /dev/null
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -0,0 +1,132 @@
+package notchpick.coordination.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Optional;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Deployment.Peer;
+import notchpick.protocol.peer.LinkCondition;
+import notchpick.protocol.peer.LinkKind;
+import notchpick.protocol.peer.LinkRow;
+import notchpick.protocol.peer.LinkTable;
+import notchpick.protocol.peer.Progress;
+import notchpick.protocol.peer.Pulse;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.simulation.SimulatedTime;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Response;
+import org.junit.jupiter.api.Test;
+
+/** What a peer has said counts for a while only. */
+class PeerRegistryTest {
+    /** Heartbeats come four times in a worker's heartbeat period of 4 s; three of them may be missed. */
+    private static final long LIVE_MS = 3000;
+    /** Link tables come once in 4 s; one may be missed. */
+    private static final long LINK_TABLE_VALID_MS = 8000;
+
+    private static final Deployment DEPLOYMENT = new Deployment(
+            "n-0",
+            "",
+            "",
+            List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2")),
+            "",
+            "",
+            List.of("east", "west"),
+            List.of(),
+            ServiceObjectives.NONE,
+            4,
+            20,
+            40,
+            100,
+            100,
+            1000,
+            12,
+            1,
+            1,
+            100);
+
+    private final SimulatedTime simulation = new SimulatedTime();
+    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final LinkMonitor links = new LinkMonitor(loop, DEPLOYMENT);
+    private final PeerRegistry peers = new PeerRegistry(loop, DEPLOYMENT, links);
+
+    private static Pulse heartbeat(String node, boolean stateStoreReachable, int redirects, Progress... progress) {
+        return new Pulse(node, 4L, "n-1", stateStoreReachable, redirects, List.of(progress));
+    }
+
+    private static LinkTable table(String node, LinkRow... rows) {
+        return new LinkTable(node, 4L, "n-1", null, 0L, List.of(rows));
+    }
+
+    private static LinkRow workers(String zone, LinkCondition condition, long ageMs) {
+        return new LinkRow(LinkKind.WORKERS, zone, condition, ageMs, 1L, 1.0);
+    }
+
+    @Test
+    void aPeerIsLiveForThreeHeartbeatPeriods() {
+        peers.heartbeatReceived(heartbeat("n-2", true, 3));
+        peers.heartbeatReceived(heartbeat("n-1", false, 2));
+        simulation.runUntil(LIVE_MS);
+        assertEquals(List.of("n-1", "n-2"), peers.livePeers());
+        assertEquals(Optional.of("n-2"), peers.peerReachingStateStore());
+        assertEquals(5, peers.redirects());
+        simulation.runUntil(LIVE_MS + 1);
+        assertEquals(List.of(), peers.livePeers());
+        assertEquals(Optional.empty(), peers.peerReachingStateStore());
+        assertEquals(0, peers.redirects());
+    }
+
+    @Test
+    void progressIsThatOfTheLastHeartbeatThatHasAny() {
+        peers.heartbeatReceived(heartbeat("n-1", true, 0, new Progress("a", 1, 2)));
+        peers.heartbeatReceived(heartbeat("n-1", true, 0, new Progress("b", 3, 4)));
+        peers.heartbeatReceived(heartbeat("n-2", true, 0));
+        assertNull(peers.progress("a"));
+        assertEquals(new Progress("b", 3, 4), peers.progress("b"));
+        simulation.runUntil(LIVE_MS + 1);
+        assertNull(peers.progress("b"));
+    }
+
+    @Test
+    void aLinkAgesSinceItsTableCame() {
+        peers.linkTableReceived(
+                table("n-1", workers("east", LinkCondition.UP, 700), workers("west", LinkCondition.UP, 200)));
+        simulation.runUntil(100);
+        assertEquals(800, peers.linkAgeMs("n-1", LinkKind.WORKERS, "east"));
+        assertEquals(300, peers.linkAgeMs("n-1", LinkKind.WORKERS));
+        assertEquals(-1, peers.linkAgeMs("n-1", LinkKind.PEER));
+        simulation.runUntil(LINK_TABLE_VALID_MS + 1);
+        assertEquals(-1, peers.linkAgeMs("n-1", LinkKind.WORKERS));
+    }
+
+    @Test
+    void aLinkThatIsNotUpHasNoAge() {
+        peers.linkTableReceived(table("n-1", workers("east", LinkCondition.SILENT, 10)));
+        assertEquals(-1, peers.linkAgeMs("n-1", LinkKind.WORKERS, "east"));
+    }
+
+    @Test
+    void ignoresLinkTablesOfStrangers() {
+        peers.linkTableReceived(table("n-9", workers("east", LinkCondition.UP, 10)));
+        assertFalse(peers.hasLinkTable("n-9"));
+    }
+
+    @Test
+    void aRelayMustRespondAndReachTheStateStoreAndSendLinkTables() {
+        peers.heartbeatReceived(heartbeat("n-1", true, 0));
+        peers.heartbeatReceived(heartbeat("n-2", false, 0));
+        peers.linkTableReceived(table("n-1"));
+        peers.linkTableReceived(table("n-2"));
+        assertEquals(List.of(), peers.stateStoreRelays());
+        links.peerRequestCompleted("n-1", new Response(200, new byte[0]), loop.now());
+        links.peerRequestCompleted("n-2", new Response(200, new byte[0]), loop.now());
+        assertEquals(List.of("n-1"), peers.stateStoreRelays());
+        assertTrue(peers.canRelay("n-2"));
+        links.peerRequestCompleted("n-1", Response.NONE, loop.now());
+        assertEquals(List.of(), peers.stateStoreRelays());
+    }
+}
