--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -75,7 +75,7 @@
 
     /** How long requests have gone over a peer, in milliseconds; 0 if they do not. */
     public long relayedForMs() {
-        return path.relayedForMs(loop.now());
+        return path.relayedForMs(loop.nowMs());
     }
 
     @Override
@@ -85,7 +85,7 @@
             then.accept(new Response(SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         caller.call(call, timeoutMs, response -> {
             links.stateStoreRequestCompleted(response, sentAt);
             then.accept(response);
@@ -94,7 +94,7 @@
 
     @Override
     public void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then) {
-        StateStoreRequest request = new StateStoreRequest(call, loop.now(), timeoutMs, hasty, then);
+        StateStoreRequest request = new StateStoreRequest(call, loop.nowMs(), timeoutMs, hasty, then);
         openRequests.add(request);
         if (!path.isRelayed()) {
             sendDirectly(request);
@@ -132,7 +132,7 @@
 
     private void sendDirectly(StateStoreRequest request) {
         request.sentDirectly();
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), here(response -> {
             links.stateStoreRequestCompleted(response, sentAt);
             if (isServed(response)) {
@@ -146,12 +146,12 @@
     }
 
     private void directServed() {
-        path.directServed(loop.now());
-        if (path.isDirectRestored(loop.now())) {
+        path.directServed(loop.nowMs());
+        if (path.isDirectRestored(loop.nowMs())) {
             log.info(
                     "state store path changed: path=direct reason=\"direct link restored\" relayedMs={}",
                     relayedForMs());
-            path.switchTo(null, loop.now());
+            path.switchTo(null, loop.nowMs());
         }
     }
 
@@ -170,7 +170,7 @@
 
     /** Sends a copy over a relay that the request has not tried; false if there is none. */
     private boolean sendToUntriedRelay(StateStoreRequest request) {
-        long now = loop.now();
+        long now = loop.nowMs();
         if (path.isBreakerOpen(now) || request.remainingMs(now) <= 0) {
             return false;
         }
@@ -182,7 +182,7 @@
     }
 
     private void sendToRelay(String relay, StateStoreRequest request) {
-        long remainingMs = request.remainingMs(loop.now());
+        long remainingMs = request.remainingMs(loop.nowMs());
         request.sentTo(relay);
         Request call = request.request();
         ByteBuffer content = call.body() == null ? null : ByteBuffer.wrap(call.body());
@@ -218,7 +218,7 @@
 
     private void relayFailed(String relay, StateStoreRequest request, Response response) {
         if (response.status() == SERVICE_UNAVAILABLE) {
-            path.openBreaker(loop.now());
+            path.openBreaker(loop.nowMs());
         }
         if (path.isRelayedBy(relay)) {
             // The next hedged request finds another relay, or the direct link.
@@ -246,7 +246,7 @@
 
     /** Changes the path; requests on the former one that are not hedged are given up as lost. */
     private void switchPath(String newRelay) {
-        path.switchTo(newRelay, loop.now());
+        path.switchTo(newRelay, loop.nowMs());
         for (StateStoreRequest request : List.copyOf(openRequests)) {
             if (!request.wasLastRelayedBy(newRelay) && !request.isHedged()) {
                 complete(request, Response.NONE);
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -139,7 +139,7 @@
     }
 
     private long remainingMs(RelayedHeartbeat heartbeat) {
-        return (long) (heartbeat.receivedAt() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_TIME_RATIO) - loop.now());
+        return (long) (heartbeat.receivedAt() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_TIME_RATIO) - loop.nowMs());
     }
 
     private void send(String leader, Batch batch) {
@@ -174,7 +174,7 @@
             return;
         }
         if (outcome.getStatus() == OK) {
-            heartbeat.route().relayed(loop.now());
+            heartbeat.route().relayed(loop.nowMs());
         }
         heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
     }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -78,7 +78,7 @@
 
     private void endPeriod() {
         redirects /= 2;
-        policy.removeStaleRoutes(loop.now());
+        policy.removeStaleRoutes(loop.nowMs());
         relayQueue.endPeriod();
     }
 
@@ -88,7 +88,7 @@
             redirect(received, null);
             return;
         }
-        Decision decision = policy.decide(heartbeat, leader, election.term(), relayQueue.isBusy(), loop.now());
+        Decision decision = policy.decide(heartbeat, leader, election.term(), relayQueue.isBusy(), loop.nowMs());
         if (decision instanceof RedirectToLeader) {
             redirects++;
             redirect(received, leader);
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -121,7 +121,7 @@
     private void stepDown(String reason) {
         if (state.isLeading()) {
             log.info("stepping down: term={} reason=\"{}\"", state.term(), reason);
-            state.holdOffUntil(loop.now() + HOLDOFF_LEASES * leaseMs);
+            state.holdOffUntil(loop.nowMs() + HOLDOFF_LEASES * leaseMs);
             resign();
         }
     }
@@ -198,7 +198,7 @@
     }
 
     private void leaderKeyMissing() {
-        long now = loop.now();
+        long now = loop.nowMs();
         state.leaderKeyMissing(now);
         if (state.isHoldoffOver(now) && state.isVacantFor(electionDelay.delayMs(), now)) {
             campaign();
@@ -262,7 +262,7 @@
     }
 
     private void requestLease(long formerTerm, long termVersion) {
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         stateStore.grantLease(leaseMs, here(result -> {
             if (result instanceof Ok<Long> granted) {
                 commitElection(formerTerm + 1, termVersion, granted.value(), sentAt);
@@ -315,7 +315,7 @@
         if (!state.isLeadingSince(generation)) {
             return;
         }
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         stateStore.renewLease(state.lease(), here(result -> {
             if (state.isLeadingSince(generation)) {
                 leaseRenewalCompleted(result, sentAt, generation);
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -35,17 +35,17 @@
 
     /** A request sent directly to the state store has completed. */
     void stateStoreRequestCompleted(Response response, long sentAt) {
-        stateStore.requestCompleted(response, sentAt, loop.now());
+        stateStore.requestCompleted(response, sentAt, loop.nowMs());
     }
 
     /** A request to a peer has completed. */
     void peerRequestCompleted(String peer, Response response, long sentAt) {
-        peers.get(peer).requestCompleted(response, sentAt, loop.now());
+        peers.get(peer).requestCompleted(response, sentAt, loop.nowMs());
     }
 
     /** The users' load balancer has asked whether this controller is ready. */
     public void readinessProbeReceived() {
-        users.messageReceived(loop.now());
+        users.messageReceived(loop.nowMs());
     }
 
     /**
@@ -55,18 +55,20 @@
     public void workerReplyDelivered(String zone) {
         workersByZone
                 .computeIfAbsent(zone, name -> new LinkHealth(heartbeatPeriodMs))
-                .messageReceived(loop.now());
+                .messageReceived(loop.nowMs());
     }
 
     /** Whether a peer has responded within this time, and the last request to it got a response too. */
     boolean isPeerResponsive(String peer, long withinMs) {
         LinkHealth link = peers.get(peer);
-        return link != null && link.condition() == LinkHealth.Condition.UP && link.isActiveWithin(withinMs, loop.now());
+        return link != null
+                && link.condition() == LinkHealth.Condition.UP
+                && link.isActiveWithin(withinMs, loop.nowMs());
     }
 
     /** The time since any worker last received a reply from here, in milliseconds; -1 if none ever has. */
     public long workerLinkAgeMs() {
-        long now = loop.now();
+        long now = loop.nowMs();
         return workersByZone.values().stream()
                 .mapToLong(link -> link.ageMs(now))
                 .min()
@@ -84,7 +86,7 @@
     }
 
     private LinkRow row(LinkKind kind, String name, LinkHealth link) {
-        long now = loop.now();
+        long now = loop.nowMs();
         return new LinkRow(
                 kind,
                 name,
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -62,7 +62,7 @@
     }
 
     private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
-        long sentAt = loop.now();
+        long sentAt = loop.nowMs();
         Consumer<Response> onResponse =
                 here(response -> onReply.accept(response.status() == OK ? PeerProtocol.body(response.body()) : null));
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -79,7 +79,7 @@
     }
 
     private void sendHeartbeats() {
-        long now = loop.now();
+        long now = loop.nowMs();
         heartbeatLagMs = lastHeartbeatAt == 0 ? 0 : Math.max(0, now - lastHeartbeatAt - periodMs);
         lastHeartbeatAt = now;
         client.broadcast(localStatus.heartbeat(), timeoutMs, reply -> {
--- a/src/main/java/notchpick/coordination/membership/PeerRegistry.java
+++ b/src/main/java/notchpick/coordination/membership/PeerRegistry.java
@@ -51,7 +51,7 @@
 
     /** A peer's heartbeat has arrived. */
     void heartbeatReceived(Pulse heartbeat) {
-        ReceivedHeartbeat received = new ReceivedHeartbeat(heartbeat, clock.now());
+        ReceivedHeartbeat received = new ReceivedHeartbeat(heartbeat, clock.nowMs());
         heartbeats.put(heartbeat.getNode(), received);
         if (!heartbeat.getProgress().isEmpty()) {
             lastProgressHeartbeat = received;
@@ -63,7 +63,7 @@
     /** A link table has arrived; one from a sender that is no peer is ignored. */
     void linkTableReceived(LinkTable table) {
         if (isPeer(table.getNode())) {
-            linkTables.put(table.getNode(), new ReceivedLinkTable(table, clock.now()));
+            linkTables.put(table.getNode(), new ReceivedLinkTable(table, clock.nowMs()));
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     private boolean isRecent(ReceivedHeartbeat received) {
-        return received != null && clock.now() - received.receivedAt() <= liveMs;
+        return received != null && clock.nowMs() - received.receivedAt() <= liveMs;
     }
 
     /** A live peer that reaches the state store. */
@@ -119,7 +119,7 @@
 
     private ReceivedLinkTable recentLinkTable(String peer) {
         ReceivedLinkTable received = linkTables.get(peer);
-        return received == null || clock.now() - received.receivedAt() > linkTableValidMs ? null : received;
+        return received == null || clock.nowMs() - received.receivedAt() > linkTableValidMs ? null : received;
     }
 
     /** The least age of a peer's links of this kind, as {@link #linkAgeMs(String, LinkKind, String)} gives it. */
@@ -138,7 +138,7 @@
         if (received == null) {
             return UNKNOWN_AGE;
         }
-        long sinceReceivedMs = clock.now() - received.receivedAt();
+        long sinceReceivedMs = clock.nowMs() - received.receivedAt();
         long least = UNKNOWN_AGE;
         for (LinkRow row : received.table().getLinks()) {
             if (row.getKind() == kind
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -66,11 +66,11 @@
     private Decision decide(String machine, long fencingToken, boolean isRelayBusy) {
         Heartbeat heartbeat =
                 new Heartbeat(machine, "", "m8", "east", true, 1, ++sequence, fencingToken, null, List.of());
-        return policy.decide(heartbeat, LEADER, TERM, isRelayBusy, loop.now());
+        return policy.decide(heartbeat, LEADER, TERM, isRelayBusy, loop.nowMs());
     }
 
     private void leaderCanRelay() {
-        links.peerRequestCompleted(LEADER, new Response(200, new byte[0]), loop.now());
+        links.peerRequestCompleted(LEADER, new Response(200, new byte[0]), loop.nowMs());
         peers.linkTableReceived(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
     }
 
@@ -126,11 +126,11 @@
     @Test
     void redirectsOneWorkerOfAZoneToProbeTheLeaderAfterItsBackoff() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.now());
-        relay("m-2").route().relayed(loop.now());
+        relay("m-1").route().relayed(loop.nowMs());
+        relay("m-2").route().relayed(loop.nowMs());
         advance(PERIOD_MS);
-        relay("m-1").route().relayed(loop.now());
-        relay("m-2").route().relayed(loop.now());
+        relay("m-1").route().relayed(loop.nowMs());
+        relay("m-2").route().relayed(loop.nowMs());
         advance(PERIOD_MS);
         assertInstanceOf(RedirectToLeader.class, decide("m-1", TERM));
         assertInstanceOf(RelayToLeader.class, decide("m-2", TERM));
@@ -139,7 +139,7 @@
     @Test
     void reportsAReplyDeliveredWhenTheNextHeartbeatComesToTheSamePlace() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.now());
+        relay("m-1").route().relayed(loop.nowMs());
         assertEquals(-1, links.workerLinkAgeMs());
         advance(PERIOD_MS);
         relay("m-1");
