--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -38,7 +38,7 @@
 import notchpick.protocol.peer.ReportBatch;
 import notchpick.protocol.peer.StateCall;
 import notchpick.scheduling.MachineType;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller;
@@ -287,7 +287,7 @@
 
     private void learnTypes() {
         if (types == null) {
-            state.get(Records.TYPES, here(result -> {
+            state.get(StateKeys.MACHINE_TYPES, here(result -> {
                 if (types == null && result instanceof Ok<Entry> ok) {
                     typesKnown(CloudClient.types(ok.value().value()));
                 }
@@ -311,7 +311,7 @@
                 JsonNode kept = CloudClient.typesJson(known);
                 // Half a list would tell users that their jobs fit nothing.
                 if (Json.bytes(kept).length <= deployment.valueBytes()) {
-                    state.commit(new StateStoreClient.Transaction().put(Records.TYPES, kept), result -> {});
+                    state.commit(new StateStoreClient.Transaction().put(StateKeys.MACHINE_TYPES, kept), result -> {});
                 }
             }
             after(types == null ? RETRY_MS : againMs, this::learnTypes);
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -11,7 +11,8 @@
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.storage.Records;
+import notchpick.storage.JobRecordCodec;
+import notchpick.storage.StateKeys;
 
 /**
  * How jobs ended that are not open any more: read from the state service, those of neighbouring ids by one request,
@@ -64,8 +65,8 @@
             then.accept(found);
             return;
         }
-        String first = Records.JOB + left.first();
-        state.list(Records.JOB, before(first), left.size() == 1 ? 1 : PAGE, result -> {
+        String first = StateKeys.JOB_RECORDS + left.first();
+        state.list(StateKeys.JOB_RECORDS, before(first), left.size() == 1 ? 1 : PAGE, result -> {
             if (!(result instanceof Ok<Listing> ok)) {
                 then.accept(null);
                 return;
@@ -73,15 +74,16 @@
             String last = first;
             for (Entry entry : ok.value().entries()) {
                 last = entry.key();
-                String job = last.substring(Records.JOB.length());
+                String job = last.substring(StateKeys.JOB_RECORDS.length());
                 if (left.remove(job)) {
-                    found.put(job, Records.job(entry.value()));
+                    found.put(job, JobRecordCodec.decode(entry.value()));
                     note(job, found.get(job));
                 }
             }
             if (ok.value().more()) {
                 // What this page has passed over is not there.
-                left.headSet(last.substring(Records.JOB.length()), true).clear();
+                left.headSet(last.substring(StateKeys.JOB_RECORDS.length()), true)
+                        .clear();
             } else {
                 left.clear();
             }
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -24,10 +24,11 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.RuntimeEstimator;
+import notchpick.storage.CommitmentsCodec;
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Prepared;
 import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.HttpCaller.Response;
 
@@ -218,9 +219,9 @@
     }
 
     private void saveCommitments() {
-        writer.write(Records.COMMITMENTS, () -> {
-            var value = Records.commitments(allocator.commitments(), deployment.valueBytes());
-            return new Prepared(List.of(Write.put(Records.COMMITMENTS, value)), () -> {}, () -> {});
+        writer.write(StateKeys.COMMITMENTS, () -> {
+            var value = CommitmentsCodec.encode(allocator.commitments(), deployment.valueBytes());
+            return new Prepared(List.of(Write.put(StateKeys.COMMITMENTS, value)), () -> {}, () -> {});
         });
     }
 
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -15,8 +15,10 @@
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.protocol.StateStoreClient.Missing;
 import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.storage.CommitmentsCodec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.Records;
+import notchpick.storage.ReleasedMachinesCodec;
+import notchpick.storage.StateKeys;
 
 /**
  * Reads what a former leader left, one kind of records after the other. Jobs come first: what the others then tell of
@@ -52,36 +54,36 @@
 
     /** @param recovered is given the revision from which changes of open jobs must be watched, once all is read */
     void begin(LongConsumer recovered) {
-        list(Records.OPEN, (open, sentAt) -> {
+        list(StateKeys.OPEN_JOBS, (open, sentAt) -> {
             jobs.loadOpenJobs(open, sentAt);
             loadCompletions(() -> recovered.accept(open.revision()));
         });
     }
 
     private void loadCompletions(Runnable then) {
-        list(Records.DONE_TASKS, (completions, sentAt) -> {
+        list(StateKeys.COMPLETIONS, (completions, sentAt) -> {
             jobs.loadCompletions(completions);
             loadLaunches(then);
         });
     }
 
     private void loadLaunches(Runnable then) {
-        list(Records.STARTS, (recorded, sentAt) -> {
+        list(StateKeys.LAUNCHES, (recorded, sentAt) -> {
             launches.load(recorded);
             loadReleased(then);
         });
     }
 
     private void loadReleased(Runnable then) {
-        get(Records.RELEASED, released -> {
-            autoscaler.loadReleased(Records.released(released));
+        get(StateKeys.RELEASED_MACHINES, released -> {
+            autoscaler.loadReleased(ReleasedMachinesCodec.decode(released));
             loadCommitments(then);
         });
     }
 
     private void loadCommitments(Runnable then) {
-        get(Records.COMMITMENTS, commitments -> {
-            allocator.loadCommitments(Records.commitments(commitments));
+        get(StateKeys.COMMITMENTS, commitments -> {
+            allocator.loadCommitments(CommitmentsCodec.decode(commitments));
             then.run();
         });
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -17,9 +17,10 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Conditions;
+import notchpick.storage.LaunchRecord;
+import notchpick.storage.LaunchRecordCodec;
 import notchpick.storage.PackedRecords;
-import notchpick.storage.Records;
-import notchpick.storage.Records.Hint;
+import notchpick.storage.StateKeys;
 
 /** Keeps durable which tasks may be on which machines; a launch command goes out only once its record is. */
 public final class TaskLaunchLog {
@@ -46,8 +47,8 @@
         Deployment deployment = context.deployment();
         this.records = new PackedRecords<>(
                 writer,
-                Records.STARTS,
-                new PackedRecords.Form<>(Records::startBytes, Records::starts),
+                StateKeys.LAUNCHES,
+                new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
                 PackedRecords.Fill.EMPTIEST,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
@@ -66,7 +67,7 @@
             String id = assignment.spec().id();
             Job job = cluster.job(id);
             if (assignment.phase() == Phase.PLANNED && job != null) {
-                versions.put(Records.OPEN + id, job.version());
+                versions.put(StateKeys.OPEN_JOBS + id, job.version());
             }
         }
         return versions;
@@ -74,7 +75,7 @@
 
     private void jobsEnded(List<String> descriptionKeys) {
         listener.jobsFoundEnded(descriptionKeys.stream()
-                .map(key -> key.substring(Records.OPEN.length()))
+                .map(key -> key.substring(StateKeys.OPEN_JOBS.length()))
                 .toList());
     }
 
@@ -83,7 +84,7 @@
         for (Entry entry : listing.entries()) {
             writer.known(entry.key(), entry.version());
             Set<TaskAssignment> loaded = new LinkedHashSet<>();
-            for (Hint launch : Records.hints(entry.value())) {
+            for (LaunchRecord launch : LaunchRecordCodec.decode(entry.value())) {
                 Machine machine = cluster.machineOrAdd(launch.machine(), name -> readyMachine(launch));
                 machine.markLaunchedToByFormerLeader();
                 Job job = cluster.job(launch.job().id());
@@ -96,7 +97,7 @@
         }
     }
 
-    private Machine readyMachine(Hint launch) {
+    private Machine readyMachine(LaunchRecord launch) {
         long now = context.now();
         Machine machine = new Machine(
                 launch.machine(),
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -11,10 +11,11 @@
 import notchpick.model.ClusterState;
 import notchpick.model.CompletionRange;
 import notchpick.model.Job;
+import notchpick.storage.CompletionCodec;
 import notchpick.storage.FencedWriter;
 import notchpick.storage.PackedRecords;
-import notchpick.storage.Records;
-import notchpick.storage.Records.DoneRun;
+import notchpick.storage.RecordedCompletions;
+import notchpick.storage.StateKeys;
 
 /** Keeps durable which tasks of open jobs have completed. */
 final class CompletionLog {
@@ -36,8 +37,8 @@
         this.recorded = recorded;
         this.records = new PackedRecords<>(
                 writer,
-                Records.DONE_TASKS,
-                new PackedRecords.Form<>(Records::doneBytes, Records::done),
+                StateKeys.COMPLETIONS,
+                new PackedRecords.Form<>(CompletionCodec::maxBytes, CompletionCodec::encode),
                 PackedRecords.Fill.FULLEST,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
@@ -47,18 +48,18 @@
     /** Takes in a value that a former leader wrote. */
     void load(String key, JsonNode value) {
         Set<CompletionRange> loaded = new LinkedHashSet<>();
-        for (DoneRun run : Records.done(value)) {
-            Job job = cluster.job(run.job());
+        for (RecordedCompletions range : CompletionCodec.decode(value)) {
+            Job job = cluster.job(range.jobId());
             if (job == null) {
                 continue;
             }
-            run.bits().stream().forEach(bit -> {
-                job.complete(run.first() + bit);
-                job.completionRecorded(run.first() + bit);
+            range.completed().stream().forEach(bit -> {
+                job.complete(range.firstTask() + bit);
+                job.completionRecorded(range.firstTask() + bit);
             });
             // Another version may have written longer ranges.
-            int end = run.first() + Math.max(1, run.bits().length());
-            for (int first = run.first() - run.first() % rangeLength; first < end; first += rangeLength) {
+            int end = range.firstTask() + Math.max(1, range.completed().length());
+            for (int first = range.firstTask() - range.firstTask() % rangeLength; first < end; first += rangeLength) {
                 loaded.add(range(job, first));
             }
         }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -16,7 +16,8 @@
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Prepared;
 import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.JobRecordCodec;
+import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -145,8 +146,9 @@
                 cancelled.add(id);
                 JobRecord record =
                         JobRecord.open(job.spec()).cancelled(context.loop().wallTime());
-                writes.add(Write.put(Records.JOB + id, Records.job(record)).unguarded());
-                writes.add(Write.delete(Records.OPEN + id).at(job.version()));
+                writes.add(Write.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
+                        .unguarded());
+                writes.add(Write.delete(StateKeys.OPEN_JOBS + id).at(job.version()));
             }
         }
         if (cancelled.isEmpty()) {
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -17,7 +17,9 @@
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Prepared;
 import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.JobRecordCodec;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -129,9 +131,9 @@
     // ---- lifecycle of a job --------------------------------------------------------------------
 
     private void opened(String key, JsonNode description, long version) {
-        String id = key.substring(Records.OPEN.length());
+        String id = key.substring(StateKeys.OPEN_JOBS.length());
         if (!cluster.isOpen(id)) {
-            Job job = new Job(Records.spec(id, description), version);
+            Job job = new Job(JobSpecCodec.decode(id, description), version);
             cluster.addJob(job);
             dependencies.opened(job);
         }
@@ -194,8 +196,9 @@
         String id = job.id();
         JobRecord record = JobRecord.done(job.spec(), context.loop().wallTime());
         List<Write> writes = List.of(
-                Write.put(Records.JOB + id, Records.job(record)).unguarded(),
-                Write.delete(Records.OPEN + id).at(job.version()));
+                Write.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
+                        .unguarded(),
+                Write.delete(StateKeys.OPEN_JOBS + id).at(job.version()));
         return new Prepared(
                 writes,
                 () -> {
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -13,7 +13,7 @@
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.protocol.StateStoreClient.Missing;
 import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 
 /** Watches the descriptions of open jobs in the state store, and lists them anew where the watch has fallen behind. */
 final class JobWatch {
@@ -58,7 +58,7 @@
     void start(long sinceRevision) {
         listener.watchStarting();
         long sentAt = context.now();
-        stateStore.changes(Records.OPEN, sinceRevision, waitMs, inTurn(result -> {
+        stateStore.changes(StateKeys.OPEN_JOBS, sinceRevision, waitMs, inTurn(result -> {
             if (result instanceof Ok<Changes> ok) {
                 apply(ok.value(), sentAt);
                 start(Math.max(sinceRevision, ok.value().revision()));
@@ -75,7 +75,7 @@
             if (change.value() != null) {
                 listener.jobOpened(change.key(), change.value(), change.version());
             } else {
-                listener.jobClosed(change.key().substring(Records.OPEN.length()));
+                listener.jobClosed(change.key().substring(StateKeys.OPEN_JOBS.length()));
             }
         }
         authority.completeReadSentAt(sentAt);
@@ -87,14 +87,14 @@
     /** The state store has forgotten the changes since the last revision: all open jobs are read again. */
     private void relist() {
         long sentAt = context.now();
-        stateStore.listAll(Records.OPEN, inTurn(result -> {
+        stateStore.listAll(StateKeys.OPEN_JOBS, inTurn(result -> {
             if (!(result instanceof Ok<Listing> ok)) {
                 context.timer().after(RETRY_MS, this::relist);
                 return;
             }
             Set<String> open = new HashSet<>();
             for (Entry entry : ok.value().entries()) {
-                open.add(entry.key().substring(Records.OPEN.length()));
+                open.add(entry.key().substring(StateKeys.OPEN_JOBS.length()));
                 listener.jobOpened(entry.key(), entry.value(), entry.version());
             }
             context.cluster().jobIds().stream().filter(id -> !open.contains(id)).forEach(listener::jobClosed);
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -12,7 +12,8 @@
 import notchpick.storage.FencedWriter;
 import notchpick.storage.FencedWriter.Prepared;
 import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.ReleasedMachinesCodec;
+import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -58,7 +59,7 @@
             unrecorded |= machine.state() == Machine.State.RELEASED && !machine.isReleaseDurable();
         }
         if (unrecorded) {
-            writer.write(Records.RELEASED, this::prepareRecord);
+            writer.write(StateKeys.RELEASED_MACHINES, this::prepareRecord);
         }
         requestRelease();
     }
@@ -69,10 +70,10 @@
      */
     private Prepared prepareRecord() {
         List<Machine> recorded = released(true);
-        int bytes = recorded.stream().mapToInt(Records::releasedBytes).sum();
+        int bytes = recorded.stream().mapToInt(ReleasedMachinesCodec::maxBytes).sum();
         List<Machine> names = new ArrayList<>(recorded);
         for (Machine machine : released(false)) {
-            int size = Records.releasedBytes(machine);
+            int size = ReleasedMachinesCodec.maxBytes(machine);
             if (bytes + size <= context.deployment().valueBytes() - RECORD_FRAME_BYTES) {
                 names.add(machine);
                 bytes += size;
@@ -81,7 +82,8 @@
         if (names.size() == recorded.size()) {
             return null;
         }
-        Write write = Write.put(Records.RELEASED, Records.released(names)).bytes(bytes + RECORD_FRAME_BYTES);
+        Write write = Write.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
+                .bytes(bytes + RECORD_FRAME_BYTES);
         return new Prepared(
                 List.of(write),
                 () -> {
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -11,7 +11,7 @@
 import notchpick.protocol.StateStoreClient.Missing;
 import notchpick.protocol.StateStoreClient.Ok;
 import notchpick.protocol.StateStoreClient.Transaction;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
@@ -153,7 +153,7 @@
             return;
         }
         watching = true;
-        state.changes(Records.LEADER, version, leaseMs, here(result -> {
+        state.changes(StateKeys.LEADER, version, leaseMs, here(result -> {
             watching = false;
             if (!leading
                     && result instanceof Ok<Changes> ok
@@ -167,7 +167,7 @@
         if (leading) {
             return;
         }
-        state.getHastily(Records.LEADER, here(result -> {
+        state.getHastily(StateKeys.LEADER, here(result -> {
             if (leading) {
                 return;
             }
@@ -205,16 +205,16 @@
     }
 
     private void stand() {
-        state.get(Records.TERM, here(result -> {
+        state.get(StateKeys.TERM, here(result -> {
             if (result instanceof Ok<Entry> ok) {
                 int format = ok.value().value().path("format").asInt(1);
                 boolean known = foreign;
-                foreign = format != Records.FORMAT;
+                foreign = format != StateKeys.FORMAT;
                 if (foreign && !known) {
                     log.error(
                             "the state service holds records of form {}, this version reads form {}: not serving",
                             format,
-                            Records.FORMAT);
+                            StateKeys.FORMAT);
                 }
                 if (foreign) {
                     lookLater();
@@ -239,10 +239,10 @@
             long newLease = ok.value();
             long newTerm = formerTerm + 1;
             Transaction transaction = new Transaction()
-                    .guard(Records.LEADER, 0)
-                    .guard(Records.TERM, termVersion)
-                    .put(Records.LEADER, Json.object().put("node", node).put("term", newTerm), newLease)
-                    .put(Records.TERM, Json.object().put("term", newTerm).put("format", Records.FORMAT));
+                    .guard(StateKeys.LEADER, 0)
+                    .guard(StateKeys.TERM, termVersion)
+                    .put(StateKeys.LEADER, Json.object().put("node", node).put("term", newTerm), newLease)
+                    .put(StateKeys.TERM, Json.object().put("term", newTerm).put("format", StateKeys.FORMAT));
             state.commit(transaction, here(result -> {
                 if (result instanceof Ok<Long> version) {
                     leading = true;
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -20,7 +20,8 @@
 import notchpick.protocol.StateStoreClient.Ok;
 import notchpick.protocol.StateStoreClient.Result;
 import notchpick.scheduling.JobSpec;
-import notchpick.storage.Records;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 import notchpick.transport.Timer;
 
@@ -85,9 +86,9 @@
         List<Asker> asking = waiting;
         waiting = new ArrayList<>();
         if (revision < 0) {
-            state.listAll(Records.OPEN, result -> listed(asking, result));
+            state.listAll(StateKeys.OPEN_JOBS, result -> listed(asking, result));
         } else {
-            state.changes(Records.OPEN, revision, 0, result -> changed(asking, result));
+            state.changes(StateKeys.OPEN_JOBS, revision, 0, result -> changed(asking, result));
         }
     }
 
@@ -114,7 +115,7 @@
         if (result instanceof Ok<Changes> ok) {
             for (Change change : ok.value().log()) {
                 if (change.value() == null) {
-                    closed(change.key().substring(Records.OPEN.length()));
+                    closed(change.key().substring(StateKeys.OPEN_JOBS.length()));
                 } else {
                     opened(change.key(), change.value(), change.version());
                 }
@@ -127,8 +128,8 @@
     }
 
     private String opened(String key, JsonNode value, long version) {
-        String id = key.substring(Records.OPEN.length());
-        JobSpec spec = Records.spec(id, value);
+        String id = key.substring(StateKeys.OPEN_JOBS.length());
+        JobSpec spec = JobSpecCodec.decode(id, value);
         jobs.put(id, new Open(JobRecord.open(spec), version));
         dependencies.opened(id, spec.dependencies());
         return id;
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -12,7 +12,8 @@
 import notchpick.protocol.StateStoreClient.Result;
 import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.scheduling.JobSpec;
-import notchpick.storage.Records;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Timer;
 
 /**
@@ -68,7 +69,7 @@
         Set<String> ids = new HashSet<>();
         int bytes = 0;
         for (Submission submission : waiting) {
-            bytes += Records.specBytes(submission.spec());
+            bytes += JobSpecCodec.maxBytes(submission.spec());
             // A user's second try, sent before the first was answered, goes with the next and finds it known.
             if (batch.size() == most
                     || bytes > MAX_BYTES && !batch.isEmpty()
@@ -90,9 +91,9 @@
             String id = submission.spec().id();
             // One change only: what users may write is little, and conditions are free.
             transaction
-                    .guard(Records.JOB + id, 0)
-                    .guard(Records.OPEN + id, 0)
-                    .put(Records.OPEN + id, Records.spec(submission.spec()));
+                    .guard(StateKeys.JOB_RECORDS + id, 0)
+                    .guard(StateKeys.OPEN_JOBS + id, 0)
+                    .put(StateKeys.OPEN_JOBS + id, JobSpecCodec.encode(submission.spec()));
         }
         state.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
     }
@@ -104,8 +105,8 @@
             List<Submission> known = new ArrayList<>();
             for (Submission submission : batch) {
                 String id = submission.spec().id();
-                boolean isKnown = conflict.keys().contains(Records.JOB + id)
-                        || conflict.keys().contains(Records.OPEN + id);
+                boolean isKnown = conflict.keys().contains(StateKeys.JOB_RECORDS + id)
+                        || conflict.keys().contains(StateKeys.OPEN_JOBS + id);
                 (isKnown ? known : rest).add(submission);
             }
             // The others of the batch have done nothing wrong.
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -21,7 +21,9 @@
 import notchpick.protocol.peer.Progress;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
-import notchpick.storage.Records;
+import notchpick.storage.JobRecordCodec;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
@@ -132,7 +134,7 @@
             unlessKnown(id, later("the machine types are not known yet"), reply);
             return;
         }
-        if (Records.specBytes(spec) > deployment.valueBytes()) {
+        if (JobSpecCodec.maxBytes(spec) > deployment.valueBytes()) {
             unlessKnown(
                     id,
                     error(
@@ -225,9 +227,9 @@
             }
             JobRecord cancelled = job.record().cancelled(loop.wallTime());
             Transaction transaction = new Transaction()
-                    .guard(Records.OPEN + id, job.version())
-                    .put(Records.JOB + id, Records.job(cancelled))
-                    .delete(Records.OPEN + id);
+                    .guard(StateKeys.OPEN_JOBS + id, job.version())
+                    .put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(cancelled))
+                    .delete(StateKeys.OPEN_JOBS + id);
             state.commit(transaction, here(result -> {
                 if (result instanceof Ok<Long>) {
                     log.info("job {} cancelled", id);
@@ -261,9 +263,9 @@
             } else if (!state.hasSpare()) {
                 reply.accept(later("too many ask at once"));
             } else {
-                state.get(Records.JOB + id, here(ended -> {
+                state.get(StateKeys.JOB_RECORDS + id, here(ended -> {
                     if (ended instanceof Ok<Entry> ok) {
-                        JobRecord record = Records.job(ok.value().value());
+                        JobRecord record = JobRecordCodec.decode(ok.value().value());
                         outcomes.note(id, record);
                         then.accept(new Known(record, 0));
                     } else if (ended instanceof Missing<Entry>) {
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -168,7 +168,7 @@
             timer.after((long) Math.ceil((1 - budget) / writesPerMs), this::flush);
             return;
         }
-        Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
+        Transaction transaction = new Transaction().guard(StateKeys.LEADER, leaderVersion);
         List<Sent> batch = new ArrayList<>();
         int writes = 0;
         int bytes = 0;
@@ -252,7 +252,7 @@
             return;
         }
         List<String> stale = result instanceof Conflict<Long> conflict ? conflict.keys() : List.of();
-        if (stale.contains(Records.LEADER)) {
+        if (stale.contains(StateKeys.LEADER)) {
             deposed.run();
             return;
         }
--- /dev/null
+++ b/src/main/java/notchpick/storage/LaunchRecordCodec.java
@@ -0,0 +1,115 @@
+package notchpick.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import notchpick.model.Machine;
+import notchpick.model.TaskAssignment;
+import notchpick.protocol.Json;
+import notchpick.scheduling.FleetPlanner.Pool;
+import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Resources;
+
+/**
+ * Encodes launches, grouped by machine. Of each task's job a value holds what counts against its team's limit: the job
+ * may have ended, and its description be gone, when a new leader reads the value.
+ */
+public final class LaunchRecordCodec {
+    /** The tasks of a machine are one flat list of job, task and attempt. */
+    private static final int FIELDS_PER_TASK = 3;
+
+    private LaunchRecordCodec() {}
+
+    /** Encodes the launches of these assignments as one value. */
+    public static ObjectNode encode(Collection<TaskAssignment> assignments) {
+        ObjectNode node = Json.object();
+        ObjectNode jobs = node.putObject("jobs");
+        ObjectNode machines = node.putObject("machines");
+        Map<Machine, ArrayNode> tasks = new HashMap<>();
+        for (TaskAssignment assignment : assignments) {
+            JobSpec spec = assignment.spec();
+            if (!jobs.has(spec.id())) {
+                addJob(jobs, spec);
+            }
+            tasks.computeIfAbsent(assignment.machine(), machine -> addMachine(machines, machine))
+                    .add(spec.id())
+                    .add(assignment.task())
+                    .add(assignment.attempt());
+        }
+        return node;
+    }
+
+    private static void addJob(ObjectNode jobs, JobSpec spec) {
+        jobs.putArray(spec.id())
+                .add(spec.team())
+                .add(spec.demand().cores())
+                .add(spec.demand().gpus())
+                .add(spec.demand().ram());
+    }
+
+    /** Returns the list of the machine's tasks, still empty. */
+    private static ArrayNode addMachine(ObjectNode machines, Machine machine) {
+        return machines.putArray(machine.name())
+                .add(machine.type())
+                .add(machine.zone())
+                .add(machine.spot())
+                .addArray();
+    }
+
+    /** Decodes the launches that a value holds, in its order. */
+    public static List<LaunchRecord> decode(JsonNode node) {
+        Map<String, JobSpec> jobs = new HashMap<>();
+        node.path("jobs").fields().forEachRemaining(field -> {
+            jobs.put(field.getKey(), decodeJob(field.getKey(), field.getValue()));
+        });
+        List<LaunchRecord> launches = new ArrayList<>();
+        node.path("machines").fields().forEachRemaining(field -> {
+            decodeMachine(field.getKey(), field.getValue(), jobs, launches);
+        });
+        return launches;
+    }
+
+    private static JobSpec decodeJob(String id, JsonNode job) {
+        Resources demand = new Resources(
+                job.path(1).asDouble(), job.path(2).asDouble(), job.path(3).asDouble());
+        return JobSpec.builder(id)
+                .team(job.path(0).asText())
+                .tasks(0)
+                .demand(demand)
+                .spot(true)
+                .build();
+    }
+
+    private static void decodeMachine(
+            String name, JsonNode machine, Map<String, JobSpec> jobs, List<LaunchRecord> launches) {
+        Pool pool = new Pool(
+                machine.path(0).asText(),
+                machine.path(1).asText(),
+                machine.path(2).asBoolean());
+        JsonNode tasks = machine.path(3);
+        for (int i = 0; i + FIELDS_PER_TASK <= tasks.size(); i += FIELDS_PER_TASK) {
+            JobSpec job = jobs.get(tasks.get(i).asText());
+            int task = tasks.get(i + 1).asInt();
+            long attempt = tasks.get(i + 2).asLong();
+            launches.add(new LaunchRecord(name, pool, job, task, attempt));
+        }
+    }
+
+    /** An upper bound of the bytes that one launch adds to a value. */
+    public static int maxBytes(TaskAssignment assignment) {
+        JobSpec spec = assignment.spec();
+        Resources demand = spec.demand();
+        int job = Json.textBytes(spec.id()) * 2
+                + Json.textBytes(spec.team())
+                + (demand.cores() + "" + demand.gpus() + demand.ram()).length();
+        Machine machine = assignment.machine();
+        int place = Json.textBytes(machine.name()) + Json.textBytes(machine.type()) + Json.textBytes(machine.zone());
+        int numbers = (Integer.toString(assignment.task()) + assignment.attempt()).length();
+        return job + place + numbers + RecordFields.PUNCTUATION_BYTES;
+    }
+}
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -11,7 +11,7 @@
 import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
@@ -42,7 +42,7 @@
             });
 
     private void left(ObjectNode term) {
-        api.commit(new Transaction().put(Records.TERM, term), result -> {});
+        api.commit(new Transaction().put(StateKeys.TERM, term), result -> {});
         elector.tell(new LeaderElection.Begin());
         simulation.runUntil(10_000);
     }
@@ -57,9 +57,9 @@
 
     @Test
     void goesOnFromItsOwn() {
-        left(Json.object().put("term", 7).put("format", Records.FORMAT));
+        left(Json.object().put("term", 7).put("format", StateKeys.FORMAT));
         assertFalse(elector.isForeign());
         assertEquals(1, elections);
-        assertEquals(8, state.value(Records.TERM).path("term").asInt());
+        assertEquals(8, state.value(StateKeys.TERM).path("term").asInt());
     }
 }
--- a/src/test/java/notchpick/protocol/UserProtocolTest.java
+++ b/src/test/java/notchpick/protocol/UserProtocolTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import notchpick.scheduling.JobSpec;
-import notchpick.storage.Records;
+import notchpick.storage.JobSpecCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -30,7 +30,9 @@
         JobSpec spec = UserProtocol.submission(json(GOOD), 5);
         assertEquals(16, spec.tasks());
         assertEquals(900.0, spec.deadlineS());
-        assertEquals(spec, Records.spec("run-000412", json(Records.spec(spec).toString())));
+        assertEquals(
+                spec,
+                JobSpecCodec.decode("run-000412", json(JobSpecCodec.encode(spec).toString())));
     }
 
     @Test
@@ -44,7 +46,9 @@
         body.putArray("waitsOn").add("run-000398").add("run-000405").add("run-000398");
         JobSpec spec = UserProtocol.submission(body, 0);
         assertEquals(List.of("run-000398", "run-000405"), spec.dependencies());
-        assertEquals(spec, Records.spec("run-000412", json(Records.spec(spec).toString())));
+        assertEquals(
+                spec,
+                JobSpecCodec.decode("run-000412", json(JobSpecCodec.encode(spec).toString())));
     }
 
     @Test
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -25,7 +25,7 @@
 import notchpick.scheduling.ServiceObjectives;
 import notchpick.scheduling.ServiceObjectives.Kind;
 import notchpick.scheduling.ServiceObjectives.Objective;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
@@ -162,7 +162,7 @@
         }
         cloud = new SimulatedCloud(simulation::now, simulation::after, types, this::up, this::gone);
         network.serve(STATE, "state", state);
-        state.whenPut(Records.LEADER, () -> {
+        state.whenPut(StateKeys.LEADER, () -> {
             if (looksAtElections) {
                 lookAtLatest("looks-at-an-election");
             }
@@ -258,13 +258,13 @@
 
     /** The controller that holds the leader's key; null: none does. */
     public String leader() {
-        var value = state.value(Records.LEADER);
+        var value = state.value(StateKeys.LEADER);
         return value == null ? null : value.path("node").asText();
     }
 
     /** The newest term; 0: nobody has led yet. */
     public int term() {
-        var value = state.value(Records.TERM);
+        var value = state.value(StateKeys.TERM);
         return value == null ? 0 : value.path("term").asInt();
     }
 
@@ -622,8 +622,8 @@
             refusedAt = simulation.now();
             // What was cancelled a moment before has been seen by now.
             truths.keySet().stream()
-                    .filter(job -> refusedAt - state.deletedAt(Records.OPEN + job) <= SAME_MOMENT_MS)
-                    .filter(job -> state.deletedAt(Records.OPEN + job) >= 0 && rules.isCancelAsked(job))
+                    .filter(job -> refusedAt - state.deletedAt(StateKeys.OPEN_JOBS + job) <= SAME_MOMENT_MS)
+                    .filter(job -> state.deletedAt(StateKeys.OPEN_JOBS + job) >= 0 && rules.isCancelAsked(job))
                     .forEach(job -> meet("cancelled-just-before-the-refusal"));
         }
     }
@@ -676,7 +676,7 @@
     /** Under what circumstances a cancellation was confirmed. */
     private void noteCancellation(String job) {
         meet("cancellations");
-        long afterRefusalMs = state.deletedAt(Records.OPEN + job) - refusedAt;
+        long afterRefusalMs = state.deletedAt(StateKeys.OPEN_JOBS + job) - refusedAt;
         if (afterRefusalMs >= 0 && afterRefusalMs <= SAME_MOMENT_MS) {
             meet("cancelled-just-after-the-refusal");
         }
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -25,8 +25,6 @@
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
-import notchpick.storage.Records.DoneRun;
-import notchpick.storage.Records.Hint;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
@@ -47,8 +45,8 @@
     private final Set<TaskAssignment> durable = new HashSet<>();
     private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
             writer,
-            Records.STARTS,
-            new PackedRecords.Form<>(Records::startBytes, Records::starts),
+            StateKeys.LAUNCHES,
+            new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
             PackedRecords.Fill.EMPTIEST,
             VALUE_BYTES,
             MAX_WRITES,
@@ -82,8 +80,8 @@
 
     private Set<String> stored() {
         Set<String> tasks = new HashSet<>();
-        for (int i = 0; state.value(Records.STARTS + i) != null; i++) {
-            for (Hint hint : Records.hints(state.value(Records.STARTS + i))) {
+        for (int i = 0; state.value(StateKeys.LAUNCHES + i) != null; i++) {
+            for (LaunchRecord hint : LaunchRecordCodec.decode(state.value(StateKeys.LAUNCHES + i))) {
                 tasks.add(hint.machine() + " " + JobSpec.taskName(hint.job().id(), hint.task()));
             }
         }
@@ -122,7 +120,7 @@
         int count = 3000;
         int bytes = 0;
         for (int i = 0; i < count; i++) {
-            bytes += Records.startBytes(start(i));
+            bytes += LaunchRecordCodec.maxBytes(start(i));
             starts.save(start(i));
         }
         simulation.runUntil(10_000);
@@ -165,13 +163,13 @@
             for (int task = first; task < first + run.count(); task++) {
                 job.complete(task);
             }
-            JsonNode value = Records.done(List.of(run));
-            assertTrue(Json.bytes(value).length <= Records.doneBytes(run) + 64, "no larger than reckoned");
-            assertTrue(Records.doneBytes(run) + 64 <= VALUE_BYTES);
+            JsonNode value = CompletionCodec.encode(List.of(run));
+            assertTrue(Json.bytes(value).length <= CompletionCodec.maxBytes(run) + 64, "no larger than reckoned");
+            assertTrue(CompletionCodec.maxBytes(run) + 64 <= VALUE_BYTES);
             run.recorded();
-            DoneRun read = Records.done(value).get(0);
-            assertEquals(first, read.first());
-            assertEquals(run.count(), read.bits().cardinality());
+            RecordedCompletions read = CompletionCodec.decode(value).get(0);
+            assertEquals(first, read.firstTask());
+            assertEquals(run.count(), read.completed().cardinality());
         }
         assertEquals(100_000, job.durablyDoneTasks());
     }
@@ -191,8 +189,8 @@
                     Long.MAX_VALUE,
                     Phase.SENT);
             for (TaskAssignment one : List.of(assignment, odd)) {
-                int bytes = Json.bytes(Records.starts(List.of(one))).length;
-                assertTrue(bytes <= Records.startBytes(one) + 64, bytes + " bytes");
+                int bytes = Json.bytes(LaunchRecordCodec.encode(List.of(one))).length;
+                assertTrue(bytes <= LaunchRecordCodec.maxBytes(one) + 64, bytes + " bytes");
             }
         }
     }
@@ -203,9 +201,9 @@
         for (int i = 0; i < count; i++) {
             left.add(start(key * 10_000 + i));
         }
-        JsonNode value = Records.starts(left);
+        JsonNode value = LaunchRecordCodec.encode(left);
         assertTrue(Json.bytes(value).length > SHORT_BYTES);
-        state.holds(Records.STARTS + key, value);
+        state.holds(StateKeys.LAUNCHES + key, value);
         return left;
     }
 
@@ -214,8 +212,8 @@
     private PackedRecords<TaskAssignment> shortValues(FencedWriter writer) {
         return new PackedRecords<>(
                 writer,
-                Records.STARTS,
-                new PackedRecords.Form<>(Records::startBytes, Records::starts),
+                StateKeys.LAUNCHES,
+                new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
                 PackedRecords.Fill.EMPTIEST,
                 SHORT_BYTES,
                 4,
@@ -228,8 +226,8 @@
         state.limits(SHORT_BYTES, 4, 42);
         FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
-        values.loaded(Records.STARTS + 0, left);
-        small.known(Records.STARTS + 0, 1);
+        values.loaded(StateKeys.LAUNCHES + 0, left);
+        small.known(StateKeys.LAUNCHES + 0, 1);
         // At each moment all are there that are not over, in whatever value.
         List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
         over.forEach(values::drop);
@@ -247,7 +245,8 @@
         }
         assertTrue(durable.containsAll(changed));
         assertEquals(140, stored().size());
-        assertTrue(Json.bytes(state.value(Records.STARTS + 0)).length <= SHORT_BYTES, "the long one has been written");
+        assertTrue(
+                Json.bytes(state.value(StateKeys.LAUNCHES + 0)).length <= SHORT_BYTES, "the long one has been written");
         assertEquals(0, state.malformed());
     }
 
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -43,7 +43,6 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.TestJobs;
-import notchpick.storage.Records.DoneRun;
 import org.apache.avro.Schema;
 import org.apache.avro.SchemaNormalization;
 import org.apache.avro.generic.GenericDatumReader;
@@ -76,7 +75,7 @@
 
     @Test
     void descriptionsAreReadAsJobsThatNeedNothing() throws IOException {
-        JobSpec spec = Records.spec("run-000006", stored().get("open/run-000006"));
+        JobSpec spec = JobSpecCodec.decode("run-000006", stored().get("open/run-000006"));
         assertEquals(2, spec.tasks());
         assertEquals(List.of(), spec.dependencies());
         assertEquals(spec.submittedAt(), spec.readyAt());
@@ -85,23 +84,27 @@
 
     @Test
     void endsAreReadWithoutATime() throws IOException {
-        assertEquals(new JobRecord(JobStatus.DONE, 60, 60, 0, false), Records.job(stored().get("job/run-000002")));
-        assertEquals(new JobRecord(JobStatus.CANCELLED, 8, 0, 0, false), Records.job(stored().get("job/run-000004")));
+        assertEquals(
+                new JobRecord(JobStatus.DONE, 60, 60, 0, false), JobRecordCodec.decode(stored().get("job/run-000002")));
+        assertEquals(
+                new JobRecord(JobStatus.CANCELLED, 8, 0, 0, false),
+                JobRecordCodec.decode(stored().get("job/run-000004")));
     }
 
     @Test
     void sharedValuesAreRead() throws IOException {
-        assertEquals(8, Records.hints(stored().get("start/0")).size());
-        assertEquals(4, Records.released(stored().get("released")).size());
+        assertEquals(8, LaunchRecordCodec.decode(stored().get("start/0")).size());
+        assertEquals(4, ReleasedMachinesCodec.decode(stored().get("released")).size());
         assertEquals(
                 0.0252,
-                Records.commitments(stored().get("commitments")).get("b").cores(),
+                CommitmentsCodec.decode(stored().get("commitments")).get("b").cores(),
                 0.0001);
         assertEquals(1, CloudClient.types(stored().get("types")).size());
-        assertEquals(Records.FORMAT, stored().get("term").get("format").asInt());
-        DoneRun run = Records.done(stored().get("done/1")).get(0);
+        assertEquals(StateKeys.FORMAT, stored().get("term").get("format").asInt());
+        RecordedCompletions completions =
+                CompletionCodec.decode(stored().get("done/1")).get(0);
         List<Integer> done = new ArrayList<>();
-        run.bits().stream().forEach(done::add);
+        completions.completed().stream().forEach(done::add);
         assertEquals(List.of(0, 1, 6143, 6144, 12288, 19998), done);
     }
 
@@ -124,32 +127,33 @@
     @Test
     void whatIsWrittenHasTheFormThatIsRead() throws IOException {
         ObjectNode old = stored();
-        assertEquals(2, Records.FORMAT);
-        assertReadable("open/", Records.spec(spec(4)), old.get("open/run-000006"), List.of("needs"));
+        assertEquals(2, StateKeys.FORMAT);
+        assertReadable("open/", JobSpecCodec.encode(spec(4)), old.get("open/run-000006"), List.of("needs"));
         List<String> ignored = List.of("endedAt", "service");
-        assertReadable("job/", Records.job(JobRecord.done(spec(4), 7)), old.get("job/run-000002"), ignored);
+        assertReadable("job/", JobRecordCodec.encode(JobRecord.done(spec(4), 7)), old.get("job/run-000002"), ignored);
         JobRecord cancelled = JobRecord.open(spec(4)).cancelled(7);
-        assertReadable("job/", Records.job(cancelled), old.get("job/run-000004"), ignored);
+        assertReadable("job/", JobRecordCodec.encode(cancelled), old.get("job/run-000004"), ignored);
         assertEquals(
-                "done", Records.job(JobRecord.done(spec(4), 7)).get("state").asText());
-        assertEquals("cancelled", Records.job(cancelled).get("state").asText());
+                "done",
+                JobRecordCodec.encode(JobRecord.done(spec(4), 7)).get("state").asText());
+        assertEquals("cancelled", JobRecordCodec.encode(cancelled).get("state").asText());
         Job job = new Job(spec(20), 1);
         job.complete(3);
-        JsonNode marks = Records.done(List.of(new CompletionRange(job, 0, 20)));
+        JsonNode marks = CompletionCodec.encode(List.of(new CompletionRange(job, 0, 20)));
         assertReadable("done/", marks, old.get("done/0"), List.of());
         assertEquals(
                 kinds(old.get("done/0").get("jobs").get(0)),
                 kinds(marks.get("jobs").get(0)));
         Machine machine = new Machine("m-1", new Pool("m8", "east", true), new Resources(8, 0, 64), 0);
-        JsonNode starts =
-                Records.starts(List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.DURABLE)));
+        JsonNode starts = LaunchRecordCodec.encode(
+                List.of(new TaskAssignment(spec(4), 2, machine, 9, TaskAssignment.Phase.DURABLE)));
         assertReadable("start/", starts, old.get("start/0"), List.of());
         assertEquals(kinds(old.at("/start~10/jobs/run-000008")), kinds(starts.at("/jobs/run-000010")));
         JsonNode place = starts.at("/machines/m-1");
         assertEquals(kinds(old.at("/start~10/machines/m-000003")), kinds(place));
         assertEquals(List.of("STRING", "NUMBER", "NUMBER"), kinds(place.get(3)));
-        assertReadable("released", Records.released(List.of(machine)), old.get("released"), List.of());
-        JsonNode commitments = Records.commitments(Map.of("b", new Resources(0.1, 0, 0)), 1000);
+        assertReadable("released", ReleasedMachinesCodec.encode(List.of(machine)), old.get("released"), List.of());
+        JsonNode commitments = CommitmentsCodec.encode(Map.of("b", new Resources(0.1, 0, 0)), 1000);
         assertReadable(
                 "commitments", commitments.get("b"), old.get("commitments").get("b"), List.of());
     }
@@ -167,15 +171,15 @@
         assertEquals(
                 prefixes,
                 new TreeSet<>(List.of(
-                        Records.OPEN,
-                        Records.JOB,
-                        Records.STARTS,
-                        Records.DONE_TASKS,
-                        Records.RELEASED,
-                        Records.COMMITMENTS,
-                        Records.LEADER,
-                        Records.TERM,
-                        Records.TYPES)));
+                        StateKeys.OPEN_JOBS,
+                        StateKeys.JOB_RECORDS,
+                        StateKeys.LAUNCHES,
+                        StateKeys.COMPLETIONS,
+                        StateKeys.RELEASED_MACHINES,
+                        StateKeys.COMMITMENTS,
+                        StateKeys.LEADER,
+                        StateKeys.TERM,
+                        StateKeys.MACHINE_TYPES)));
     }
 
     @Test
