--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -1,6 +1,7 @@
 package notchpick.coordination.leader;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.leader.allocation.ResourceAllocator;
@@ -26,8 +27,8 @@
 import notchpick.scheduling.RuntimeEstimator;
 import notchpick.storage.CommitmentsCodec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
 import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.HttpCaller.Response;
@@ -221,7 +222,7 @@
     private void saveCommitments() {
         writer.write(StateKeys.COMMITMENTS, () -> {
             var value = CommitmentsCodec.encode(allocator.commitments(), deployment.valueBytes());
-            return new Prepared(List.of(Write.put(StateKeys.COMMITMENTS, value)), () -> {}, () -> {});
+            return Optional.of(new PreparedChange(List.of(KeyWrite.put(StateKeys.COMMITMENTS, value)), () -> {}));
         });
     }
 
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -108,7 +108,7 @@
                 key,
                 result -> context.timer().after(0, () -> {
                     if (result instanceof Ok<Entry> ok) {
-                        writer.known(key, ok.value().version());
+                        writer.versionRead(key, ok.value().version());
                         then.accept(ok.value().value());
                     } else if (result instanceof Missing<Entry>) {
                         then.accept(Json.object());
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -16,10 +16,10 @@
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Conditions;
 import notchpick.storage.LaunchRecord;
 import notchpick.storage.LaunchRecordCodec;
 import notchpick.storage.PackedRecords;
+import notchpick.storage.Preconditions;
 import notchpick.storage.StateKeys;
 
 /** Keeps durable which tasks may be on which machines; a launch command goes out only once its record is. */
@@ -48,12 +48,12 @@
         this.records = new PackedRecords<>(
                 writer,
                 StateKeys.LAUNCHES,
-                new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
-                PackedRecords.Fill.EMPTIEST,
+                new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+                PackedRecords.Packing.WORST_FIT,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
                 this::recorded);
-        records.writtenOnlyIf(assignments -> new Conditions(openJobs(assignments), this::jobsEnded));
+        records.setPreconditions(assignments -> new Preconditions(openJobs(assignments), this::jobsEnded));
     }
 
     /**
@@ -82,7 +82,7 @@
     /** Takes in the launches of a former leader: these tasks are not launched anew, and count, until workers report. */
     public void load(Listing listing) {
         for (Entry entry : listing.entries()) {
-            writer.known(entry.key(), entry.version());
+            writer.versionRead(entry.key(), entry.version());
             Set<TaskAssignment> loaded = new LinkedHashSet<>();
             for (LaunchRecord launch : LaunchRecordCodec.decode(entry.value())) {
                 Machine machine = cluster.machineOrAdd(launch.machine(), name -> readyMachine(launch));
@@ -93,7 +93,7 @@
                     loaded.add(cluster.assign(spec, launch.task(), machine, launch.attempt(), Phase.INHERITED));
                 }
             }
-            records.loaded(entry.key(), loaded);
+            records.load(entry.key(), loaded);
         }
     }
 
@@ -115,7 +115,7 @@
 
     /** The task surely is not on its machine any more. */
     public void drop(TaskAssignment assignment) {
-        records.drop(assignment);
+        records.remove(assignment);
     }
 
     /** Rewrites the value that holds most of what has ended. */
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -38,8 +38,8 @@
         this.records = new PackedRecords<>(
                 writer,
                 StateKeys.COMPLETIONS,
-                new PackedRecords.Form<>(CompletionCodec::maxBytes, CompletionCodec::encode),
-                PackedRecords.Fill.FULLEST,
+                new PackedRecords.Encoding<>(CompletionCodec::maxBytes, CompletionCodec::encode),
+                PackedRecords.Packing.BEST_FIT,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
                 this::written);
@@ -63,7 +63,7 @@
                 loaded.add(range(job, first));
             }
         }
-        records.loaded(key, loaded);
+        records.load(key, loaded);
     }
 
     /** Records that the task has completed. */
@@ -88,7 +88,7 @@
     void drop(Job job) {
         Map<Integer, CompletionRange> ended = ranges.remove(job);
         if (ended != null) {
-            ended.values().forEach(records::drop);
+            ended.values().forEach(records::remove);
         }
     }
 
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import notchpick.coordination.JobOutcomes;
 import notchpick.coordination.leader.term.TermContext;
@@ -14,9 +15,9 @@
 import notchpick.scheduling.CriticalPath;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
 import notchpick.storage.JobRecordCodec;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
 import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -137,30 +138,35 @@
     }
 
     /** A few at a time: that they are cancelled follows from what is stored, so other writes may go first. */
-    private Prepared prepareCascade() {
+    private Optional<PreparedChange> prepareCascade() {
         List<String> cancelled = new ArrayList<>();
-        List<Write> writes = new ArrayList<>();
+        List<KeyWrite> writes = new ArrayList<>();
         for (String id : graph.doomed()) {
             Job job = cluster.job(id);
             if (job != null && cancelled.size() < maxCascadeJobs) {
                 cancelled.add(id);
                 JobRecord record =
                         JobRecord.open(job.spec()).cancelled(context.loop().wallTime());
-                writes.add(Write.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
-                        .unguarded());
-                writes.add(Write.delete(StateKeys.OPEN_JOBS + id).at(job.version()));
+                writes.add(KeyWrite.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
+                        .unconditional());
+                writes.add(KeyWrite.delete(StateKeys.OPEN_JOBS + id).ifVersion(job.version()));
             }
         }
         if (cancelled.isEmpty()) {
-            return null;
+            return Optional.empty();
         }
-        return new Prepared(
-                writes,
-                () -> {
-                    LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
-                    listener.cancelledWithDependencies(cancelled);
-                    cascade();
-                },
-                () -> context.timer().after(RETRY_MS, this::cascade));
+        return Optional.of(new PreparedChange(writes, new PreparedChange.Listener() {
+            @Override
+            public void committed() {
+                LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
+                listener.cancelledWithDependencies(cancelled);
+                cascade();
+            }
+
+            @Override
+            public void conflicted() {
+                context.timer().after(RETRY_MS, DependencyTracker.this::cascade);
+            }
+        }));
     }
 }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import notchpick.coordination.JobOutcomes;
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.coordination.leader.term.TermContext;
@@ -15,10 +16,10 @@
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
 import notchpick.storage.JobRecordCodec;
 import notchpick.storage.JobSpecCodec;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
 import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -118,7 +119,7 @@
     /** Takes in the completions that a former leader recorded. */
     public void loadCompletions(Listing listing) {
         for (Entry entry : listing.entries()) {
-            writer.known(entry.key(), entry.version());
+            writer.versionRead(entry.key(), entry.version());
             completions.load(entry.key(), entry.value());
         }
     }
@@ -185,34 +186,37 @@
     public void taskCompleted(Job job, int task) {
         if (job.isDone()) {
             String id = job.id();
-            writer.write("end " + id, () -> cluster.job(id) == job ? prepareEnd(job) : null);
+            writer.write("end " + id, () -> cluster.job(id) == job ? Optional.of(prepareEnd(job)) : Optional.empty());
         } else {
             completions.record(job, task);
         }
     }
 
     /** The last transition of a job; conditional on its description, so that it can't cross a cancellation. */
-    private Prepared prepareEnd(Job job) {
+    private PreparedChange prepareEnd(Job job) {
         String id = job.id();
         JobRecord record = JobRecord.done(job.spec(), context.loop().wallTime());
-        List<Write> writes = List.of(
-                Write.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
-                        .unguarded(),
-                Write.delete(StateKeys.OPEN_JOBS + id).at(job.version()));
-        return new Prepared(
-                writes,
-                () -> {
-                    LOG.info("job done: job={} tasks={}", id, job.spec().tasks());
-                    closed(id);
-                    dependencies.ended(id, record);
-                    listener.completionsRecorded();
-                },
-                () -> {
-                    // Cancelled meanwhile, or ended by a transaction whose reply was lost; the watch tells it too.
-                    closed(id);
-                    dependencies.resolveEnded();
-                    listener.completionsRecorded();
-                });
+        List<KeyWrite> writes = List.of(
+                KeyWrite.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
+                        .unconditional(),
+                KeyWrite.delete(StateKeys.OPEN_JOBS + id).ifVersion(job.version()));
+        return new PreparedChange(writes, new PreparedChange.Listener() {
+            @Override
+            public void committed() {
+                LOG.info("job done: job={} tasks={}", id, job.spec().tasks());
+                closed(id);
+                dependencies.ended(id, record);
+                listener.completionsRecorded();
+            }
+
+            @Override
+            public void conflicted() {
+                // Cancelled meanwhile, or ended by a transaction whose reply was lost; the watch tells it too.
+                closed(id);
+                dependencies.resolveEnded();
+                listener.completionsRecorded();
+            }
+        });
     }
 
     /** Rewrites values that hold completions of jobs that have ended. */
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.ClusterState;
@@ -10,8 +11,8 @@
 import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.Resources;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
 import notchpick.storage.ReleasedMachinesCodec;
 import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
@@ -68,7 +69,7 @@
      * Names all machines whose release may have been requested, and of the others that are to be released as many as
      * one value takes. A list that is too long already, by another version's limit, stays until enough are confirmed.
      */
-    private Prepared prepareRecord() {
+    private Optional<PreparedChange> prepareRecord() {
         List<Machine> recorded = released(true);
         int bytes = recorded.stream().mapToInt(ReleasedMachinesCodec::maxBytes).sum();
         List<Machine> names = new ArrayList<>(recorded);
@@ -80,17 +81,14 @@
             }
         }
         if (names.size() == recorded.size()) {
-            return null;
+            return Optional.empty();
         }
-        Write write = Write.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
-                .bytes(bytes + RECORD_FRAME_BYTES);
-        return new Prepared(
-                List.of(write),
-                () -> {
-                    names.forEach(Machine::releaseRecorded);
-                    requestRelease();
-                },
-                () -> {});
+        KeyWrite write = KeyWrite.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
+                .withMaxBytes(bytes + RECORD_FRAME_BYTES);
+        return Optional.of(new PreparedChange(List.of(write), () -> {
+            names.forEach(Machine::releaseRecorded);
+            requestRelease();
+        }));
     }
 
     private List<Machine> released(boolean durable) {
--- a/src/main/java/notchpick/storage/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -6,283 +6,277 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
-import notchpick.storage.FencedWriter.Conditions;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
 
 /**
- * Many small units that share a few values of the state service, so that one write takes many of them
- * along: the service's write rate is far below the rate at which tasks start and end.
+ * Packs many small records into few values of the state service, the pages, so that one write covers many records: the
+ * service's write rate is far below the rate at which tasks start and end.
  *
- * <p>A unit that is over leaves its value at the value's next write; until then a reader finds more
- * than there is, never less. The same holds where a value is longer than it may be now, since another version
- * wrote it, or the limit has fallen: it stays as it is until enough of it is over, or stands elsewhere durably.
+ * <p>A record that is removed leaves its value at the page's next write; until then a reader finds more than there is,
+ * never less. The same holds of an oversized page, which another version wrote, or which was written before the limit
+ * fell: it is not rewritten until enough of its records are removed, or durable on other pages.
+ *
+ * @param <R> the records
  */
-public final class PackedRecords<U> {
+public final class PackedRecords<R> {
     /**
-     * How units are put into a value.
+     * The durable form of records.
      *
-     * @param bytes as many as the unit takes at the most, alone in a value
+     * @param maxBytes an upper bound of the bytes that one record adds to a value
+     * @param encode encodes the records of one page
      */
-    public record Form<U>(ToIntFunction<U> bytes, Function<Collection<U>, JsonNode> value) {}
+    public record Encoding<R>(ToIntFunction<R> maxBytes, Function<Collection<R>, JsonNode> encode) {}
+
+    /** How the page of a new record is selected. */
+    public enum Packing {
+        /** The page with the most room: for records that are written once, many at a time. */
+        WORST_FIT,
+        /** The fullest page that has room: for records that are written again and again. */
+        BEST_FIT
+    }
 
-    /** Where a new unit goes. */
-    public enum Fill {
-        /** To the emptiest value: for units that are written once, many at a time. */
-        EMPTIEST,
-        /** To the fullest that has room: for units that are written again and again. */
-        FULLEST
+    /** Is told which records are durable. */
+    @FunctionalInterface
+    public interface Listener<R> {
+        /** The state service has these records, as they were when the write was prepared. */
+        void recorded(List<R> records);
     }
 
-    /** What surrounds the units in a value takes no more than this. */
+    /** What surrounds the records in a value takes at most this many bytes. */
     private static final int FRAME_BYTES = 64;
-    /** A transaction may hold this much in all; guards and keys need some of it. */
+    /** The pages of one transaction take at most this many bytes; conditions and keys need some of the rest. */
     private static final int TRANSACTION_BYTES = 48 << 10;
 
     private final FencedWriter writer;
     private final String prefix;
-    private final Form<U> form;
-    private final Fill fill;
-    private final int limit;
+    private final Encoding<R> encoding;
+    private final Packing packing;
+    private final int maxPageBytes;
     private final int maxWrites;
-    private final Consumer<List<U>> durable;
-    private Function<List<U>, Conditions> conditions = units -> Conditions.NONE;
-    private final Map<Integer, Slot<U>> slots = new TreeMap<>();
-    private final Map<U, Slot<U>> slotOf = new HashMap<>();
-    /** Values in which a unit stands too that has moved, and is not durable where it is now. */
-    private final Map<U, Set<Slot<U>>> leftBehind = new HashMap<>();
-    /** So many times only one value goes into a transaction. */
-    private int alone;
-
-    private static final class Slot<U> {
-        private final String key;
-        private final Set<U> units = new LinkedHashSet<>();
-        /** Units that have moved away: until they are durable elsewhere they must stand here. */
-        private final Set<U> awaited = new HashSet<>();
-
-        private int limit;
-        private int bytes;
-        private int staleBytes;
-        private long changes;
-        private long saved;
-
-        Slot(String key, int limit) {
-            this.key = key;
-            this.limit = limit;
-        }
-
-        private boolean isTooLong() {
-            return bytes > limit;
-        }
-
-        private boolean isDue() {
-            return changes > saved && !isTooLong() && awaited.isEmpty();
-        }
-
-        private boolean hasRoomFor(int more) {
-            return awaited.isEmpty() && bytes + more <= limit;
-        }
-
-        private void remove(U unit, int size) {
-            units.remove(unit);
-            bytes -= size;
-            staleBytes += size;
-        }
-    }
+    private final Listener<R> listener;
+    private Function<List<R>, Preconditions> preconditions = records -> Preconditions.NONE;
+    private final Map<Integer, Page<R>> pages = new TreeMap<>();
+    private final Map<R, Page<R>> pageOf = new HashMap<>();
+    /** Of records that are not durable on their page yet: the pages whose values hold them too. */
+    private final Map<R, Set<Page<R>>> formerPages = new HashMap<>();
+    /** After a rejected write: the next transactions, of this number, hold one page each, to find the one at fault. */
+    private int isolatedWrites;
 
     /**
-     * @param valueBytes the most that one value may hold
-     * @param maxWrites the most that one transaction may write
-     * @param durable hears which units the state service now has, as they were when that write was prepared
+     * @param prefix of the keys; the number of the page follows
+     * @param maxValueBytes the most that one value may take
+     * @param maxWrites the most keys that one transaction may write
      */
     public PackedRecords(
             FencedWriter writer,
             String prefix,
-            Form<U> form,
-            Fill fill,
-            int valueBytes,
+            Encoding<R> encoding,
+            Packing packing,
+            int maxValueBytes,
             int maxWrites,
-            Consumer<List<U>> durable) {
+            Listener<R> listener) {
         this.writer = writer;
         this.prefix = prefix;
-        this.form = form;
-        this.fill = fill;
-        this.limit = Math.min(valueBytes, TRANSACTION_BYTES) - FRAME_BYTES;
-        // Others shall find room in the same transaction.
+        this.encoding = encoding;
+        this.packing = packing;
+        this.maxPageBytes = Math.min(maxValueBytes, TRANSACTION_BYTES) - FRAME_BYTES;
+        // The other half of a transaction is for other changes.
         this.maxWrites = Math.max(1, maxWrites / 2);
-        this.durable = durable;
+        this.listener = listener;
     }
 
-    /** From now on units are written only where the conditions hold that they need at that moment. */
-    public void writtenOnlyIf(Function<List<U>, Conditions> needed) {
-        conditions = needed;
+    /** From now on, records are written only if the preconditions hold that they have when the write is prepared. */
+    public void setPreconditions(Function<List<R>, Preconditions> ofRecords) {
+        preconditions = ofRecords;
     }
 
-    /** Notes a value that has been read, with those of its units that still matter. */
-    public void loaded(String key, Collection<U> units) {
-        Slot<U> slot =
-                slots.computeIfAbsent(Integer.parseInt(key.substring(prefix.length())), n -> new Slot<>(key, limit));
-        for (U unit : units) {
-            int bytes = form.bytes().applyAsInt(unit);
-            Slot<U> other = slotOf.putIfAbsent(unit, slot);
+    /** Takes in a value that was read, with those of its records that still matter. */
+    public void load(String key, Collection<R> records) {
+        int number = Integer.parseInt(key.substring(prefix.length()));
+        Page<R> page = pages.computeIfAbsent(number, n -> new Page<>(key, maxPageBytes));
+        for (R record : records) {
+            int bytes = bytes(record);
+            Page<R> other = pageOf.putIfAbsent(record, page);
             if (other == null) {
-                slot.units.add(unit);
-                slot.bytes += bytes;
-            } else if (other != slot) {
-                // Its newest state may stand in either.
-                slot.staleBytes += bytes;
-                awaitElsewhere(unit, slot);
-                save(unit);
+                page.add(record, bytes);
+            } else if (other != page) {
+                // Either value may hold the newer state.
+                page.addObsolete(bytes);
+                beginMove(record, page);
+                save(record);
             }
         }
     }
 
-    /** Writes the unit as soon as may be, as it then is. */
-    public void save(U unit) {
-        Slot<U> slot = slotOf.get(unit);
-        if (slot != null && slot.isTooLong()) {
-            slot.remove(unit, form.bytes().applyAsInt(unit));
-            awaitElsewhere(unit, slot);
-            slot = null;
+    /** Makes the record durable, in the state that it has when the write is prepared. */
+    public void save(R record) {
+        Page<R> page = pageOf.get(record);
+        if (page != null && page.isOversized()) {
+            page.remove(record, bytes(record));
+            beginMove(record, page);
+            page = null;
         }
-        if (slot == null) {
-            slot = place(unit);
-            slotOf.put(unit, slot);
+        if (page == null) {
+            page = selectPage(bytes(record));
+            page.add(record, bytes(record));
+            pageOf.put(record, page);
         }
-        slot.changes++;
-        writer.write(prefix, this::prepare);
+        page.modified();
+        requestWrite();
     }
 
-    private void awaitElsewhere(U unit, Slot<U> slot) {
-        slot.awaited.add(unit);
-        leftBehind.computeIfAbsent(unit, u -> new HashSet<>()).add(slot);
+    /** Removes a record; the space that it takes is regained when its page is written next. */
+    public void remove(R record) {
+        Page<R> page = pageOf.remove(record);
+        if (page != null) {
+            page.remove(record, bytes(record));
+        }
+        endMove(record);
     }
 
-    private void awaitNoMore(U unit) {
-        Set<Slot<U>> former = leftBehind.remove(unit);
-        if (former != null) {
-            former.forEach(slot -> slot.awaited.remove(unit));
+    /** Rewrites the page that holds most of what has been removed. */
+    public void compact() {
+        Page<R> selected = null;
+        for (Page<R> page : pages.values()) {
+            if (page.obsoleteBytes() > 0
+                    && page.mayBeRewritten()
+                    && (selected == null || page.obsoleteBytes() > selected.obsoleteBytes())) {
+                selected = page;
+            }
+        }
+        if (selected != null) {
+            selected.modified();
+            requestWrite();
         }
     }
 
-    /** The unit is over. */
-    public void drop(U unit) {
-        Slot<U> slot = slotOf.remove(unit);
-        if (slot != null) {
-            slot.remove(unit, form.bytes().applyAsInt(unit));
-        }
-        awaitNoMore(unit);
+    private int bytes(R record) {
+        return encoding.maxBytes().applyAsInt(record);
     }
 
-    /** Writes the value anew that holds most of what is over. */
-    public void compact() {
-        Slot<U> stalest = null;
-        for (Slot<U> slot : slots.values()) {
-            if (slot.staleBytes > 0
-                    && slot.hasRoomFor(0)
-                    && (stalest == null || slot.staleBytes > stalest.staleBytes)) {
-                stalest = slot;
-            }
-        }
-        if (stalest != null) {
-            stalest.changes++;
-            writer.write(prefix, this::prepare);
+    private void beginMove(R record, Page<R> from) {
+        from.moveBegan(record);
+        formerPages.computeIfAbsent(record, r -> new HashSet<>()).add(from);
+    }
+
+    private void endMove(R record) {
+        Set<Page<R>> former = formerPages.remove(record);
+        if (former != null) {
+            former.forEach(page -> page.moveEnded(record));
         }
     }
 
-    private Slot<U> place(U unit) {
-        int bytes = form.bytes().applyAsInt(unit);
-        Slot<U> best = null;
-        for (Slot<U> slot : slots.values()) {
-            if (slot.hasRoomFor(bytes) && (best == null || isBetter(slot, best))) {
-                best = slot;
+    // ---- bin packing ---------------------------------------------------------------------------
+
+    private Page<R> selectPage(int bytes) {
+        Page<R> best = null;
+        for (Page<R> page : pages.values()) {
+            if (page.hasRoomFor(bytes) && (best == null || isBetter(page, best))) {
+                best = page;
             }
         }
-        if (best == null || fill == Fill.EMPTIEST && !best.isDue() && best.bytes > limit / 2) {
-            int number = 0;
-            while (slots.containsKey(number)) {
-                number++;
-            }
-            best = new Slot<>(prefix + number, limit);
-            slots.put(number, best);
+        boolean isHalfFull = best != null && best.bytes() > maxPageBytes / 2;
+        if (best == null || packing == Packing.WORST_FIT && !best.isWriteDue() && isHalfFull) {
+            return addPage();
         }
-        best.units.add(unit);
-        best.bytes += bytes;
         return best;
     }
 
-    private boolean isBetter(Slot<U> slot, Slot<U> than) {
-        if (fill == Fill.FULLEST) {
-            return slot.bytes > than.bytes;
+    private boolean isBetter(Page<R> page, Page<R> than) {
+        if (packing == Packing.BEST_FIT) {
+            return page.bytes() > than.bytes();
+        }
+        // A page that is written anyway takes more records at no cost.
+        return page.isWriteDue() != than.isWriteDue() ? page.isWriteDue() : page.bytes() < than.bytes();
+    }
+
+    private Page<R> addPage() {
+        int number = 0;
+        while (pages.containsKey(number)) {
+            number++;
         }
-        // What is to be written anyway takes more units along at no cost.
-        return slot.isDue() != than.isDue() ? slot.isDue() : slot.bytes < than.bytes;
+        Page<R> page = new Page<>(prefix + number, maxPageBytes);
+        pages.put(number, page);
+        return page;
     }
 
-    private Prepared prepare() {
-        List<Write> writes = new ArrayList<>();
-        List<U> units = new ArrayList<>();
-        Map<Slot<U>, Long> written = new LinkedHashMap<>();
+    // ---- writing -------------------------------------------------------------------------------
+
+    private void requestWrite() {
+        writer.write(prefix, this::prepare);
+    }
+
+    private Optional<PreparedChange> prepare() {
+        List<KeyWrite> writes = new ArrayList<>();
+        PageWrite write = new PageWrite();
         int bytes = 0;
-        for (Slot<U> slot : slots.values()) {
-            if (!slot.isDue()) {
+        for (Page<R> page : pages.values()) {
+            if (!page.isWriteDue()) {
                 continue;
             }
             if (!writes.isEmpty()
-                    && (alone > 0 || writes.size() == maxWrites || bytes + slot.bytes > TRANSACTION_BYTES)) {
+                    && (isolatedWrites > 0 || writes.size() == maxWrites || bytes + page.bytes() > TRANSACTION_BYTES)) {
                 break;
             }
-            bytes += slot.bytes;
-            writes.add(Write.put(slot.key, form.value().apply(slot.units)).bytes(slot.bytes + FRAME_BYTES));
-            units.addAll(slot.units);
-            written.put(slot, slot.changes);
-            slot.staleBytes = 0;
+            bytes += page.bytes();
+            writes.add(KeyWrite.put(page.key(), encoding.encode().apply(page.records()))
+                    .withMaxBytes(page.bytes() + FRAME_BYTES));
+            write.add(page);
         }
         if (writes.isEmpty()) {
-            return null;
+            return Optional.empty();
         }
-        alone = Math.max(0, alone - 1);
-        return new Prepared(
-                writes,
-                conditions.apply(units),
-                () -> {
-                    written.forEach((slot, changes) -> slot.saved = changes);
-                    units.forEach(this::awaitNoMore);
-                    durable.accept(units);
-                    if (slots.values().stream().anyMatch(Slot::isDue)) {
-                        writer.write(prefix, this::prepare);
-                    }
-                },
-                () -> {},
-                () -> refused(written.keySet()));
+        isolatedWrites = Math.max(0, isolatedWrites - 1);
+        return Optional.of(new PreparedChange(writes, preconditions.apply(write.records), write));
     }
 
-    /** One of the values is at fault: each goes alone then. */
-    private void refused(Set<Slot<U>> written) {
-        if (written.size() == 1) {
-            halve(written.iterator().next());
-        } else {
-            alone = written.size();
-            writer.write(prefix, this::prepare);
+    /** The pages of one transaction, with their records as they were when it was prepared. */
+    private final class PageWrite implements PreparedChange.Listener {
+        private final Map<Page<R>, Long> modifications = new LinkedHashMap<>();
+        private final List<R> records = new ArrayList<>();
+
+        void add(Page<R> page) {
+            records.addAll(page.records());
+            modifications.put(page, page.modifications());
+            page.writePrepared();
+        }
+
+        @Override
+        public void committed() {
+            modifications.forEach(Page::written);
+            records.forEach(PackedRecords.this::endMove);
+            listener.recorded(records);
+            if (pages.values().stream().anyMatch(Page::isWriteDue)) {
+                requestWrite();
+            }
+        }
+
+        @Override
+        public void rejected() {
+            if (modifications.size() == 1) {
+                splitRejected(modifications.keySet().iterator().next());
+            } else {
+                isolatedWrites = modifications.size();
+                requestWrite();
+            }
         }
     }
 
-    /** Whatever the settings say, the service does not take the value: half of it goes elsewhere. */
-    private void halve(Slot<U> slot) {
-        List<U> units = new ArrayList<>(slot.units);
-        slot.limit = 0;
-        for (U unit : units.subList((units.size() + 1) / 2, units.size())) {
-            save(unit);
+    /** The state service accepts less than the settings say: half of the page's records move to other pages. */
+    private void splitRejected(Page<R> page) {
+        List<R> records = new ArrayList<>(page.records());
+        // Oversized, the page lets its records go.
+        page.setMaxBytes(0);
+        for (R record : records.subList((records.size() + 1) / 2, records.size())) {
+            save(record);
         }
-        // A unit that is not taken even alone is not tried again.
-        slot.limit = units.size() > 1 ? slot.bytes : 0;
+        // A record that is rejected even by itself is not tried again.
+        page.setMaxBytes(records.size() > 1 ? page.bytes() : 0);
     }
 }
--- /dev/null
+++ b/src/main/java/notchpick/storage/PreparedChange.java
@@ -0,0 +1,28 @@
+package notchpick.storage;
+
+import java.util.List;
+
+/** The writes of a change, all of which become durable in one transaction. */
+public record PreparedChange(List<KeyWrite> writes, Preconditions preconditions, Listener listener) {
+    /** Is told what becomes of a change. */
+    @FunctionalInterface
+    public interface Listener {
+        /** The change is durable. */
+        void committed();
+
+        /** A key that must have a certain version has another: the change is not made, and not tried again. */
+        default void conflicted() {}
+
+        /** The state service does not accept the change as it is; it is tried again later, prepared anew. */
+        default void rejected() {}
+    }
+
+    /** A change that depends on nothing but what it writes. */
+    public PreparedChange(List<KeyWrite> writes, Listener listener) {
+        this(writes, Preconditions.NONE, listener);
+    }
+
+    int maxBytes() {
+        return writes.stream().mapToInt(KeyWrite::maxBytes).sum();
+    }
+}
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -46,8 +47,8 @@
     private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
             writer,
             StateKeys.LAUNCHES,
-            new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
-            PackedRecords.Fill.EMPTIEST,
+            new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+            PackedRecords.Packing.WORST_FIT,
             VALUE_BYTES,
             MAX_WRITES,
             durable::addAll);
@@ -97,7 +98,7 @@
             all.add(assignment);
             starts.save(assignment);
             if (i >= 1500) {
-                starts.drop(all.get(i - 1500));
+                starts.remove(all.get(i - 1500));
             }
             // A round every 50 ms or so.
             if (i % 4 == 3) {
@@ -147,7 +148,7 @@
         TaskAssignment over = start(1);
         starts.save(over);
         simulation.runUntil(1000);
-        starts.drop(over);
+        starts.remove(over);
         assertEquals(1, stored().size());
         starts.compact();
         simulation.runUntil(2000);
@@ -213,8 +214,8 @@
         return new PackedRecords<>(
                 writer,
                 StateKeys.LAUNCHES,
-                new PackedRecords.Form<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
-                PackedRecords.Fill.EMPTIEST,
+                new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+                PackedRecords.Packing.WORST_FIT,
                 SHORT_BYTES,
                 4,
                 durable::addAll);
@@ -226,11 +227,11 @@
         state.limits(SHORT_BYTES, 4, 42);
         FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
-        values.loaded(StateKeys.LAUNCHES + 0, left);
-        small.known(StateKeys.LAUNCHES + 0, 1);
+        values.load(StateKeys.LAUNCHES + 0, left);
+        small.versionRead(StateKeys.LAUNCHES + 0, 1);
         // At each moment all are there that are not over, in whatever value.
         List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
-        over.forEach(values::drop);
+        over.forEach(values::remove);
         List<TaskAssignment> changed = left.subList(60, 190);
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
@@ -260,11 +261,9 @@
         boolean[] other = {false};
         writer.write(
                 "other",
-                () -> new FencedWriter.Prepared(
-                        List.of(FencedWriter.Write.put("types", Json.object().put("a", 1))
-                                .unguarded()),
-                        () -> other[0] = true,
-                        () -> {}));
+                () -> Optional.of(new PreparedChange(
+                        List.of(KeyWrite.put("types", Json.object().put("a", 1)).unconditional()),
+                        () -> other[0] = true)));
         simulation.runUntil(3000);
         assertTrue(other[0], "what is beside it goes on");
         simulation.runUntil(120_000);
