--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -24,7 +24,8 @@
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.Transaction;
 import notchpick.protocol.UserProtocol;
 import notchpick.protocol.WorkerProtocol;
 import notchpick.protocol.peer.Grant;
@@ -231,7 +232,7 @@
         } else if (body instanceof ReportBatch batch) {
             passedReports(batch, reply, at);
         } else if (body instanceof StateCall passed) {
-            state.pass(
+            state.sendForPeer(
                     passed.getMethod(),
                     passed.getPath(),
                     PeerProtocol.content(passed.getContent()),
@@ -311,7 +312,7 @@
                 JsonNode kept = CloudClient.typesJson(known);
                 // Half a list would tell users that their jobs fit nothing.
                 if (Json.bytes(kept).length <= deployment.valueBytes()) {
-                    state.commit(new StateStoreClient.Transaction().put(StateKeys.MACHINE_TYPES, kept), result -> {});
+                    state.commit(new Transaction().put(StateKeys.MACHINE_TYPES, kept), result -> {});
                 }
             }
             after(types == null ? RETRY_MS : againMs, this::learnTypes);
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -10,7 +10,7 @@
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Listing;
-import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.storage.JobRecordCodec;
 import notchpick.storage.StateKeys;
 
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -11,8 +11,8 @@
 import notchpick.protocol.StateStoreClient.Changes;
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Listing;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.storage.StateKeys;
 
 /** Watches the descriptions of open jobs in the state store, and lists them anew where the watch has fallen behind. */
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void sendHere(Request call, long timeoutMs, Consumer<Response> then) {
+    public void sendDirect(Request call, long timeoutMs, Consumer<Response> then) {
         if (by != null) {
             // Whoever asks must look for another: one hop is all there is.
             then.accept(new Response(TURNED_AWAY, new byte[0]));
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -6,11 +6,11 @@
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Changes;
-import notchpick.protocol.StateStoreClient.Conflict;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.Transaction;
 import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
@@ -167,7 +167,7 @@
         if (leading) {
             return;
         }
-        state.getHastily(StateKeys.LEADER, here(result -> {
+        state.getHedged(StateKeys.LEADER, here(result -> {
             if (leading) {
                 return;
             }
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -16,9 +16,9 @@
 import notchpick.protocol.StateStoreClient.Changes;
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Listing;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.JobSpecCodec;
 import notchpick.storage.StateKeys;
@@ -92,7 +92,7 @@
         }
     }
 
-    private void listed(List<Asker> asking, Result<Listing> result) {
+    private void listed(List<Asker> asking, StateStoreResult<Listing> result) {
         sendLater();
         if (result instanceof Ok<Listing> ok) {
             Set<String> gone = new HashSet<>(jobs.keySet());
@@ -105,7 +105,7 @@
         tell(asking, result instanceof Ok<Listing>);
     }
 
-    private void changed(List<Asker> asking, Result<Changes> result) {
+    private void changed(List<Asker> asking, StateStoreResult<Changes> result) {
         if (result instanceof Missing<Changes>) {
             // Nobody has asked for so long that the service has forgotten what changed.
             revision = -1;
@@ -169,7 +169,7 @@
 
     /** Reads how the jobs ended that others need, before anything is said of these. */
     private void resolve(List<Asker> held) {
-        if (!state.hasSpare()) {
+        if (!state.hasUnreservedBudget()) {
             held.forEach(asker -> tell(asker, false));
             return;
         }
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Conflict;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Refused;
-import notchpick.protocol.StateStoreClient.Result;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.StateStoreResult.Refused;
+import notchpick.protocol.Transaction;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.JobSpecCodec;
 import notchpick.storage.StateKeys;
@@ -98,7 +98,7 @@
         state.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
     }
 
-    private void committed(List<Submission> batch, Result<Long> result) {
+    private void committed(List<Submission> batch, StateStoreResult<Long> result) {
         onTheirWay--;
         if (result instanceof Conflict<Long> conflict) {
             List<Submission> rest = new ArrayList<>();
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -12,11 +12,11 @@
 import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Conflict;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.Transaction;
 import notchpick.protocol.UserProtocol;
 import notchpick.protocol.peer.Progress;
 import notchpick.scheduling.JobSpec;
@@ -260,7 +260,7 @@
                 then.accept(new Known(
                         told.doomed() ? record.cancelled(0) : record,
                         told.open().version()));
-            } else if (!state.hasSpare()) {
+            } else if (!state.hasUnreservedBudget()) {
                 reply.accept(later("too many ask at once"));
             } else {
                 state.get(StateKeys.JOB_RECORDS + id, here(ended -> {
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -1,346 +1,237 @@
 package notchpick.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
-/** The state service's interface, kept within this controller's part of the request budget. */
+/** A client of the state service, which keeps within this controller's part of the request rate. */
 public final class StateStoreClient {
     public static final int LIST_PAGE = 1000;
-    /** One lost packet must not make a controller pass for cut off. */
-    private static final int FAILURES_TO_DOUBT = 3;
-    /** This part of a second's requests is kept for what can't wait. */
-    private static final double RESERVED = 0.3;
+    /** One lost packet must not make the state service pass for unreachable. */
+    private static final int FAILURES_TO_UNREACHABLE = 3;
 
-    private static final String HOLDS = "/holds";
+    private static final String GET = "GET";
+    private static final String POST = "POST";
+    private static final String DELETE = "DELETE";
+    private static final String LEASES = "/holds";
 
-    private final StateStoreTransport way;
-    private final EventLoop loop;
+    private final StateStoreTransport transport;
     private final String target;
     private final long timeoutMs;
-    private final double requestsPerMs;
-    private final double burst;
-    private double budget;
-    private long budgetAt;
-    private boolean answered;
-    private int failures;
-
-    /** @param requestsPerS this controller's part of what all may send */
+    private final RequestBudget budget;
+    private boolean everAnswered;
+    private int consecutiveFailures;
+
+    /** @param requestsPerS this controller's part of the rate that the state service serves */
     public StateStoreClient(
-            StateStoreTransport way, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
-        this.way = way;
-        this.loop = loop;
+            StateStoreTransport transport, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
+        this.transport = transport;
         this.target = target;
         this.timeoutMs = timeoutMs;
-        this.requestsPerMs = requestsPerS / 1000;
-        this.burst = requestsPerS;
-        this.budget = burst;
-        this.budgetAt = loop.now();
+        this.budget = new RequestBudget(loop, requestsPerS);
     }
 
-    /** What became of a request. */
-    public sealed interface Result<T> {}
-
-    /** The request was carried out, with this result. */
-    public record Ok<T>(T value) implements Result<T> {}
-
-    /** The key or lease does not exist. */
-    public record Missing<T>() implements Result<T> {}
-
-    /** Conditions failed; nothing was written. */
-    public record Conflict<T>(List<String> keys) implements Result<T> {}
-
-    /** Certainly not executed. */
-    public record Refused<T>(int status) implements Result<T> {}
-
-    /** No answer: it may have been executed, or may be later. */
-    public record Lost<T>() implements Result<T> {}
-
-    /** A key, its value, the revision of its last change, and the lease that it is attached to (0: none). */
+    /**
+     * A key.
+     *
+     * @param version the revision of its last change
+     * @param lease the lease that the key is attached to; 0: none
+     */
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
     /** Part of the keys with a prefix, as of a revision. */
     public record Listing(List<Entry> entries, boolean more, long revision) {}
 
-    /** @param value null if the key was deleted */
+    /**
+     * A change of a key.
+     *
+     * @param value null if the key was deleted
+     */
     public record Change(String key, JsonNode value, long version) {}
 
-    /** What has changed below a prefix, up to a revision. */
+    /** The changes below a prefix, up to a revision. */
     public record Changes(List<Change> log, long revision) {}
 
-    /** A transaction in the making. */
-    public static final class Transaction {
-        private final Map<String, Long> guards = new LinkedHashMap<>();
-        private final ArrayNode writes = Json.object().putArray("writes");
-
-        /** The key must have this version; 0: must not exist. */
-        public Transaction guard(String key, long version) {
-            guards.put(key, version);
-            return this;
-        }
-
-        /** Writes a key. */
-        public Transaction put(String key, JsonNode value) {
-            writes.addObject().put("put", key).set("v", value);
-            return this;
-        }
-
-        /** Writes a key that is deleted when the lease ends. */
-        public Transaction put(String key, JsonNode value, long lease) {
-            ObjectNode write = writes.addObject().put("put", key).put("permit", lease);
-            write.set("v", value);
-            return this;
-        }
-
-        /** Deletes a key. */
-        public Transaction delete(String key) {
-            writes.addObject().put("delete", key);
-            return this;
-        }
-
-        private byte[] body() {
-            ObjectNode body = Json.object();
-            ArrayNode list = body.putArray("guards");
-            guards.forEach((key, version) -> list.addObject().put("k", key).put("entryNo", version));
-            body.set("writes", writes);
-            return Json.bytes(body);
-        }
-    }
-
-    /** Whether the service answers, as far as this controller can tell. */
+    /** Whether the state service answers, as far as this controller can tell. */
     public boolean reachable() {
-        return answered && failures < FAILURES_TO_DOUBT;
+        return everAnswered && consecutiveFailures < FAILURES_TO_UNREACHABLE;
     }
 
-    /** Whether there is room for what can wait: submissions and the leader's writes must find some. */
-    public boolean hasSpare() {
-        refill();
-        return budget >= burst * RESERVED;
+    /** Whether a request that can wait may be sent without taking what is reserved for those that can't. */
+    public boolean hasUnreservedBudget() {
+        return budget.exceedsReserve();
     }
 
-    private void refill() {
-        long now = loop.now();
-        budget = Math.min(burst, budget + (now - budgetAt) * requestsPerMs);
-        budgetAt = now;
-    }
+    // ---- keys ----------------------------------------------------------------------------------
 
-    public void get(String key, Consumer<Result<Entry>> then) {
-        get(key, false, then);
+    /** Reads a key. */
+    public void get(String key, Consumer<StateStoreResult<Entry>> then) {
+        send(readOf(key), response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::entry)));
     }
 
-    /** Reads a key of which the newest must be known soon, by whatever way there is. */
-    public void getHastily(String key, Consumer<Result<Entry>> then) {
-        get(key, true, then);
+    /** Reads a key by a hedged request: its newest version is needed soon. */
+    public void getHedged(String key, Consumer<StateStoreResult<Entry>> then) {
+        send(
+                readOf(key).hedge(),
+                response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::entry)));
     }
 
-    private void get(String key, boolean hasty, Consumer<Result<Entry>> then) {
-        send(
-                "GET",
-                "/keys/" + key,
-                null,
-                timeoutMs,
-                false,
-                hasty,
-                answer -> then.accept(read(answer, body -> entry(body))));
+    private Call readOf(String key) {
+        return call(GET, "/keys/" + key, null);
     }
 
     /** Reads one page of the keys with a prefix, after a key if one is given. */
-    public void list(String prefix, String after, int limit, Consumer<Result<Listing>> then) {
+    public void list(String prefix, String after, int limit, Consumer<StateStoreResult<Listing>> then) {
         String path = "/keys?prefix=" + prefix + "&limit=" + limit + (after == null ? "" : "&since=" + after);
         send(
-                "GET",
-                path,
-                null,
-                timeoutMs,
-                false,
-                answer -> then.accept(read(answer, body -> {
-                    List<Entry> entries = new ArrayList<>();
-                    body.path("items").forEach(item -> entries.add(entry(item)));
-                    return new Listing(
-                            entries,
-                            body.path("truncated").asBoolean(),
-                            body.path("ledgerNo").asLong());
-                })));
+                call(GET, path, null),
+                response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::listing)));
     }
 
-    /** Every page of a prefix; its revision is that of the first page. */
-    public void listAll(String prefix, Consumer<Result<Listing>> then) {
-        listAll(prefix, null, new ArrayList<>(), -1, then);
-    }
-
-    private void listAll(
-            String prefix, String after, List<Entry> sofar, long revision, Consumer<Result<Listing>> then) {
-        list(prefix, after, LIST_PAGE, result -> {
-            if (!(result instanceof Ok<Listing> ok)) {
-                then.accept(result);
-                return;
-            }
-            sofar.addAll(ok.value().entries());
-            long first = revision < 0 ? ok.value().revision() : revision;
-            if (ok.value().more() && !ok.value().entries().isEmpty()) {
-                listAll(prefix, sofar.get(sofar.size() - 1).key(), sofar, first, then);
+    /** Reads all pages of a prefix; the revision is that of the first page. */
+    public void listAll(String prefix, Consumer<StateStoreResult<Listing>> then) {
+        list(prefix, null, LIST_PAGE, result -> {
+            if (result instanceof Ok<Listing> ok) {
+                listRest(prefix, ok.value(), new ArrayList<>(), ok.value().revision(), then);
             } else {
-                then.accept(new Ok<>(new Listing(sofar, false, first)));
+                then.accept(result);
             }
         });
     }
 
-    /** Gives the revision of the changes made. */
-    public void commit(Transaction transaction, Consumer<Result<Long>> then) {
-        send("POST", "/commit", transaction.body(), timeoutMs, false, answer -> {
-            if (answer.status() == 409) {
-                ObjectNode body = Json.object(answer.body());
-                List<String> keys = new ArrayList<>();
-                if (body != null) {
-                    body.path("failed").forEach(key -> keys.add(key.asText()));
-                }
-                then.accept(new Conflict<>(keys));
+    private void listRest(
+            String prefix, Listing page, List<Entry> entries, long revision, Consumer<StateStoreResult<Listing>> then) {
+        entries.addAll(page.entries());
+        if (!page.more() || page.entries().isEmpty()) {
+            then.accept(new Ok<>(new Listing(entries, false, revision)));
+            return;
+        }
+        String last = entries.get(entries.size() - 1).key();
+        list(prefix, last, LIST_PAGE, result -> {
+            if (result instanceof Ok<Listing> ok) {
+                listRest(prefix, ok.value(), entries, revision, then);
             } else {
-                then.accept(read(answer, body -> body.path("ledgerNo").asLong()));
+                then.accept(result);
             }
         });
     }
 
-    /** Requests a lease of this length. */
-    public void grantLease(long lifeMs, Consumer<Result<Long>> then) {
-        byte[] body = Json.bytes(Json.object().put("lifeMs", lifeMs));
+    /** Commits a transaction; returns the revision of its changes. */
+    public void commit(Transaction transaction, Consumer<StateStoreResult<Long>> then) {
         send(
-                "POST",
-                HOLDS,
-                body,
-                timeoutMs,
-                true,
-                answer -> then.accept(read(answer, node -> node.path("permit").asLong())));
+                call(POST, "/commit", transaction.body()),
+                response -> then.accept(StateStoreResponses.committed(response)));
     }
 
-    /** Renews a lease; {@link Missing} stands for one that has ended. */
-    public void renewLease(long lease, Consumer<Result<Boolean>> then) {
-        send("POST", HOLDS + "/" + lease + "/touch", Json.bytes(Json.object()), timeoutMs, true, true, answer -> {
-            if (answer.status() / 100 == 2) {
-                then.accept(new Ok<>(true));
+    /** Waits for changes since a revision; {@link Missing} if the changes since then are not kept any more. */
+    public void changes(String prefix, long since, long waitMs, Consumer<StateStoreResult<Changes>> then) {
+        String path = "/changes?prefix=" + prefix + "&since=" + since + "&holdMs=" + waitMs;
+        send(call(GET, path, null).within(waitMs + timeoutMs), response -> {
+            if (response.status() == HttpStatus.GONE) {
+                then.accept(new Missing<>());
             } else {
-                then.accept(read(answer, body -> true));
+                then.accept(StateStoreResponses.result(response, StateStoreResponses::changes));
             }
         });
     }
 
-    /** Ends a lease at once, with the keys attached to it. */
-    public void endLease(long lease, Consumer<Boolean> then) {
+    // ---- leases --------------------------------------------------------------------------------
+
+    /** Requests a lease of this length. */
+    public void grantLease(long lifeMs, Consumer<StateStoreResult<Long>> then) {
+        byte[] body = Json.bytes(Json.object().put("lifeMs", lifeMs));
         send(
-                "DELETE",
-                HOLDS + "/" + lease,
-                null,
-                timeoutMs,
-                true,
-                answer -> then.accept(answer.status() / 100 == 2 || answer.status() == 404));
+                call(POST, LEASES, body).urgently(),
+                response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::lease)));
     }
 
-    /** Waits for changes; {@link Missing} stands for a revision that is too old. */
-    public void changes(String prefix, long since, long waitMs, Consumer<Result<Changes>> then) {
-        String path = "/changes?prefix=" + prefix + "&since=" + since + "&holdMs=" + waitMs;
-        send("GET", path, null, waitMs + timeoutMs, false, answer -> {
-            if (answer.status() == 410) {
-                then.accept(new Missing<>());
-                return;
+    /** Renews a lease by a hedged request; {@link Missing} if it has ended. */
+    public void renewLease(long lease, Consumer<StateStoreResult<Boolean>> then) {
+        byte[] body = Json.bytes(Json.object());
+        send(call(POST, LEASES + "/" + lease + "/touch", body).urgently().hedge(), response -> {
+            if (HttpStatus.isSuccess(response.status())) {
+                then.accept(new Ok<>(true));
+            } else {
+                then.accept(StateStoreResponses.result(response, ignored -> true));
             }
-            then.accept(read(answer, body -> {
-                List<Change> log = new ArrayList<>();
-                for (JsonNode item : body.path("log")) {
-                    boolean put = item.has("put");
-                    log.add(new Change(
-                            item.path(put ? "put" : "delete").asText(),
-                            put ? item.get("v") : null,
-                            item.path("entryNo").asLong()));
-                }
-                return new Changes(log, body.path("ledgerNo").asLong());
-            }));
         });
     }
 
-    private interface Reader<T> {
-        T read(ObjectNode body);
-    }
-
-    private static <T> Result<T> read(Response answer, Reader<T> reader) {
-        switch (answer.status()) {
-            case 200, 201 -> {
-                ObjectNode body = Json.object(answer.body());
-                return body == null ? new Lost<>() : new Ok<>(reader.read(body));
-            }
-            case 404 -> {
-                return new Missing<>();
-            }
-            case 400, 429, 503 -> {
-                return new Refused<>(answer.status());
-            }
-            default -> {
-                return new Lost<>();
-            }
-        }
+    /** Ends a lease, and deletes the keys attached to it; returns whether it surely has ended. */
+    public void endLease(long lease, Consumer<Boolean> then) {
+        send(
+                call(DELETE, LEASES + "/" + lease, null).urgently(),
+                response -> then.accept(
+                        HttpStatus.isSuccess(response.status()) || response.status() == HttpStatus.NOT_FOUND));
     }
 
-    private static Entry entry(JsonNode node) {
-        return new Entry(
-                node.path("k").asText(),
-                node.path("v"),
-                node.path("entryNo").asLong(),
-                node.path("permit").asLong());
-    }
+    // ---- sending -------------------------------------------------------------------------------
 
     /**
-     * Carries out what a controller asks for that can't reach the state service itself; it counts against this
-     * one's part of the requests.
+     * A request to be sent.
+     *
+     * @param urgent whether it is sent even if the budget is used up
      */
-    public void pass(String method, String path, byte[] body, long timeout, Consumer<Response> then) {
-        if (takes(path.startsWith(HOLDS))) {
-            way.sendHere(new Request(target, method, path, body), timeout, then);
-        } else {
-            then.accept(new Response(429, new byte[0]));
+    private record Call(Request request, long timeoutMs, boolean urgent, boolean hedged) {
+        /** Leases must not lapse because other requests have used up the budget. */
+        Call urgently() {
+            return new Call(request, timeoutMs, true, hedged);
+        }
+
+        Call hedge() {
+            return new Call(request, timeoutMs, urgent, true);
         }
-    }
 
-    /** Whether a request is within this controller's part. Leases must not lapse because of anything else asked. */
-    private boolean takes(boolean urgent) {
-        refill();
-        if (budget < 1 && !urgent) {
-            return false;
+        Call within(long ms) {
+            return new Call(request, ms, urgent, hedged);
         }
-        budget = Math.max(0, budget - 1);
-        return true;
     }
 
-    private void send(String method, String path, byte[] body, long timeout, boolean urgent, Consumer<Response> then) {
-        send(method, path, body, timeout, urgent, false, then);
+    private Call call(String method, String path, byte[] body) {
+        return new Call(new Request(target, method, path, body), timeoutMs, false, false);
     }
 
-    private void send(
-            String method,
-            String path,
-            byte[] body,
-            long timeout,
-            boolean urgent,
-            boolean hasty,
-            Consumer<Response> then) {
-        if (!takes(urgent)) {
-            then.accept(new Response(429, new byte[0]));
+    private void send(Call call, Consumer<Response> then) {
+        if (!takeFromBudget(call.urgent())) {
+            then.accept(tooManyRequests());
             return;
         }
-        way.send(new Request(target, method, path, body), timeout, hasty, answer -> {
-            if (answer.isNone() || answer.status() == 503) {
-                failures++;
+        transport.send(call.request(), call.timeoutMs(), call.hedged(), response -> {
+            if (response.isNone() || response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
+                consecutiveFailures++;
             } else {
-                answered = true;
-                failures = 0;
+                everAnswered = true;
+                consecutiveFailures = 0;
             }
-            then.accept(answer);
+            then.accept(response);
         });
     }
+
+    /** Sends a request of a peer that can't reach the state service itself; it counts against this budget. */
+    public void sendForPeer(String method, String path, byte[] body, long peerTimeoutMs, Consumer<Response> then) {
+        if (takeFromBudget(path.startsWith(LEASES))) {
+            transport.sendDirect(new Request(target, method, path, body), peerTimeoutMs, then);
+        } else {
+            then.accept(tooManyRequests());
+        }
+    }
+
+    private boolean takeFromBudget(boolean urgent) {
+        if (urgent) {
+            budget.takeUrgent();
+            return true;
+        }
+        return budget.tryTake();
+    }
+
+    private static Response tooManyRequests() {
+        return new Response(HttpStatus.TOO_MANY_REQUESTS, new byte[0]);
+    }
 }
--- a/src/main/java/notchpick/protocol/StateStoreTransport.java
+++ b/src/main/java/notchpick/protocol/StateStoreTransport.java
@@ -10,17 +10,18 @@
     /**
      * Sends a request and calls back exactly once, as a {@link HttpCaller} does.
      *
-     * @param hasty whether an answer is needed soon and the request may be sent twice
+     * @param hedged whether the request may be sent again by another route while it is unanswered, as its response is
+     *     needed soon
      */
-    void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then);
+    void send(Request request, long timeoutMs, boolean hedged, Consumer<Response> then);
 
-    /** Sends a request by this controller's own link and no other. */
-    default void sendHere(Request call, long timeoutMs, Consumer<Response> then) {
-        send(call, timeoutMs, false, then);
+    /** Sends a request over this controller's own link, never by way of a peer. */
+    default void sendDirect(Request request, long timeoutMs, Consumer<Response> then) {
+        send(request, timeoutMs, false, then);
     }
 
-    /** The plain way. */
+    /** A transport that knows one route only. */
     static StateStoreTransport direct(HttpCaller caller) {
-        return (call, timeoutMs, hasty, then) -> caller.call(call, timeoutMs, then);
+        return (request, timeoutMs, hedged, then) -> caller.call(request, timeoutMs, then);
     }
 }
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Conflict;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Refused;
-import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.StateStoreResult.Refused;
 import notchpick.storage.KeyWrite.Precondition;
 import notchpick.storage.WriteBatch.Member;
 import notchpick.transport.EventLoop;
@@ -141,7 +141,7 @@
         return value -> timer.after(0, () -> then.accept(value));
     }
 
-    private void completed(WriteBatch batch, Result<Long> result) {
+    private void completed(WriteBatch batch, StateStoreResult<Long> result) {
         if (result instanceof Ok<Long> ok) {
             committed(batch, ok.value());
         } else if (result instanceof Conflict<Long> conflict) {
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.Transaction;
 
 /** Changes that share a transaction. */
 final class WriteBatch {
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.Transaction;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
 import notchpick.storage.StateKeys;
