--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -27,7 +27,8 @@
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.Transaction;
 import notchpick.protocol.UserProtocol;
 import notchpick.protocol.WorkerProtocol;
 import notchpick.protocol.peer.Grant;
@@ -41,7 +42,7 @@
 import notchpick.protocol.peer.ReportBatch;
 import notchpick.protocol.peer.StateCall;
 import notchpick.scheduling.MachineType;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller;
@@ -241,7 +242,7 @@
         } else if (body instanceof ReportBatch batch) {
             passedReports(batch, reply, at);
         } else if (body instanceof StateCall passed) {
-            state.pass(
+            state.sendForPeer(
                     passed.getMethod(),
                     passed.getPath(),
                     PeerProtocol.content(passed.getContent()),
@@ -304,7 +305,7 @@
 
     private void learnTypes() {
         if (types == null) {
-            state.get(Records.TYPES, here(result -> {
+            state.get(StateKeys.MACHINE_TYPES, here(result -> {
                 if (types == null && result instanceof Ok<Entry> ok) {
                     typesKnown(CloudClient.types(ok.value().value()));
                 }
@@ -328,7 +329,7 @@
                 JsonNode kept = CloudClient.typesJson(known);
                 // Half a list would tell users that their jobs fit nothing.
                 if (Json.bytes(kept).length <= deployment.valueBytes()) {
-                    state.commit(new StateStoreClient.Transaction().put(Records.TYPES, kept), result -> {});
+                    state.commit(new Transaction().put(StateKeys.MACHINE_TYPES, kept), result -> {});
                 }
             }
             after(types == null ? RETRY_MS : againMs, this::learnTypes);
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void sendHere(Request call, long timeoutMs, Consumer<Response> then) {
+    public void sendDirect(Request call, long timeoutMs, Consumer<Response> then) {
         if (path.isRelayed()) {
             // Whoever asks must try another peer: a request is relayed once at the most.
             then.accept(new Response(SERVICE_UNAVAILABLE, new byte[0]));
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -16,11 +16,12 @@
 import notchpick.protocol.StateStoreClient.Changes;
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreClient.Listing;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.scheduling.JobSpec;
-import notchpick.storage.Records;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 import notchpick.transport.Timer;
 
@@ -85,13 +86,13 @@
         List<Asker> asking = waiting;
         waiting = new ArrayList<>();
         if (revision < 0) {
-            state.listAll(Records.OPEN, result -> listed(asking, result));
+            state.listAll(StateKeys.OPEN_JOBS, result -> listed(asking, result));
         } else {
-            state.changes(Records.OPEN, revision, 0, result -> changed(asking, result));
+            state.changes(StateKeys.OPEN_JOBS, revision, 0, result -> changed(asking, result));
         }
     }
 
-    private void listed(List<Asker> asking, Result<Listing> result) {
+    private void listed(List<Asker> asking, StateStoreResult<Listing> result) {
         sendLater();
         if (result instanceof Ok<Listing> ok) {
             Set<String> gone = new HashSet<>(jobs.keySet());
@@ -104,7 +105,7 @@
         tell(asking, result instanceof Ok<Listing>);
     }
 
-    private void changed(List<Asker> asking, Result<Changes> result) {
+    private void changed(List<Asker> asking, StateStoreResult<Changes> result) {
         if (result instanceof Missing<Changes>) {
             // Nobody has asked for so long that the service has forgotten what changed.
             revision = -1;
@@ -114,7 +115,7 @@
         if (result instanceof Ok<Changes> ok) {
             for (Change change : ok.value().log()) {
                 if (change.value() == null) {
-                    closed(change.key().substring(Records.OPEN.length()));
+                    closed(change.key().substring(StateKeys.OPEN_JOBS.length()));
                 } else {
                     opened(change.key(), change.value(), change.version());
                 }
@@ -127,8 +128,8 @@
     }
 
     private String opened(String key, JsonNode value, long version) {
-        String id = key.substring(Records.OPEN.length());
-        JobSpec spec = Records.spec(id, value);
+        String id = key.substring(StateKeys.OPEN_JOBS.length());
+        JobSpec spec = JobSpecCodec.decode(id, value);
         jobs.put(id, new Open(JobRecord.open(spec), version));
         dependencies.opened(id, spec.dependencies());
         return id;
@@ -168,7 +169,7 @@
 
     /** Reads how the jobs ended that others need, before anything is said of these. */
     private void resolve(List<Asker> held) {
-        if (!state.hasSpare()) {
+        if (!state.hasUnreservedBudget()) {
             held.forEach(asker -> tell(asker, false));
             return;
         }
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Conflict;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Refused;
-import notchpick.protocol.StateStoreClient.Result;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.StateStoreResult.Refused;
+import notchpick.protocol.Transaction;
 import notchpick.scheduling.JobSpec;
-import notchpick.storage.Records;
+import notchpick.storage.JobSpecCodec;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Timer;
 
 /**
@@ -68,7 +69,7 @@
         Set<String> ids = new HashSet<>();
         int bytes = 0;
         for (Submission submission : waiting) {
-            bytes += Records.specBytes(submission.spec());
+            bytes += JobSpecCodec.maxBytes(submission.spec());
             // A user's second try, sent before the first was answered, goes with the next and finds it known.
             if (batch.size() == most
                     || bytes > MAX_BYTES && !batch.isEmpty()
@@ -90,22 +91,22 @@
             String id = submission.spec().id();
             // One change only: what users may write is little, and conditions are free.
             transaction
-                    .guard(Records.JOB + id, 0)
-                    .guard(Records.OPEN + id, 0)
-                    .put(Records.OPEN + id, Records.spec(submission.spec()));
+                    .guard(StateKeys.JOB_RECORDS + id, 0)
+                    .guard(StateKeys.OPEN_JOBS + id, 0)
+                    .put(StateKeys.OPEN_JOBS + id, JobSpecCodec.encode(submission.spec()));
         }
         state.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
     }
 
-    private void committed(List<Submission> batch, Result<Long> result) {
+    private void committed(List<Submission> batch, StateStoreResult<Long> result) {
         onTheirWay--;
         if (result instanceof Conflict<Long> conflict) {
             List<Submission> rest = new ArrayList<>();
             List<Submission> known = new ArrayList<>();
             for (Submission submission : batch) {
                 String id = submission.spec().id();
-                boolean isKnown = conflict.keys().contains(Records.JOB + id)
-                        || conflict.keys().contains(Records.OPEN + id);
+                boolean isKnown = conflict.keys().contains(StateKeys.JOB_RECORDS + id)
+                        || conflict.keys().contains(StateKeys.OPEN_JOBS + id);
                 (isKnown ? known : rest).add(submission);
             }
             // The others of the batch have done nothing wrong.
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
@@ -25,8 +26,6 @@
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
-import notchpick.storage.Records.DoneRun;
-import notchpick.storage.Records.Hint;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
@@ -47,9 +46,9 @@
     private final Set<TaskAssignment> durable = new HashSet<>();
     private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
             writer,
-            Records.STARTS,
-            new PackedRecords.Form<>(Records::startBytes, Records::starts),
-            PackedRecords.Fill.EMPTIEST,
+            StateKeys.LAUNCHES,
+            new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+            PackedRecords.Packing.WORST_FIT,
             VALUE_BYTES,
             MAX_WRITES,
             durable::addAll);
@@ -85,8 +84,8 @@
 
     private Set<String> stored() {
         Set<String> tasks = new HashSet<>();
-        for (int i = 0; state.value(Records.STARTS + i) != null; i++) {
-            for (Hint hint : Records.hints(state.value(Records.STARTS + i))) {
+        for (int i = 0; state.value(StateKeys.LAUNCHES + i) != null; i++) {
+            for (LaunchRecord hint : LaunchRecordCodec.decode(state.value(StateKeys.LAUNCHES + i))) {
                 tasks.add(hint.machine() + " " + JobSpec.taskName(hint.job().id(), hint.task()));
             }
         }
@@ -102,7 +101,7 @@
             all.add(assignment);
             starts.save(assignment);
             if (i >= 1500) {
-                starts.drop(all.get(i - 1500));
+                starts.remove(all.get(i - 1500));
             }
             // A round every 50 ms or so.
             if (i % 4 == 3) {
@@ -125,7 +124,7 @@
         int count = 3000;
         int bytes = 0;
         for (int i = 0; i < count; i++) {
-            bytes += Records.startBytes(start(i));
+            bytes += LaunchRecordCodec.maxBytes(start(i));
             starts.save(start(i));
         }
         simulation.runUntil(10_000);
@@ -152,7 +151,7 @@
         TaskAssignment over = start(1);
         starts.save(over);
         simulation.runUntil(1000);
-        starts.drop(over);
+        starts.remove(over);
         assertEquals(1, stored().size());
         starts.compact();
         simulation.runUntil(2000);
@@ -168,13 +167,13 @@
             for (int task = first; task < first + run.count(); task++) {
                 job.complete(task);
             }
-            JsonNode value = Records.done(List.of(run));
-            assertTrue(Json.bytes(value).length <= Records.doneBytes(run) + 64, "no larger than reckoned");
-            assertTrue(Records.doneBytes(run) + 64 <= VALUE_BYTES);
+            JsonNode value = CompletionCodec.encode(List.of(run));
+            assertTrue(Json.bytes(value).length <= CompletionCodec.maxBytes(run) + 64, "no larger than reckoned");
+            assertTrue(CompletionCodec.maxBytes(run) + 64 <= VALUE_BYTES);
             run.recorded();
-            DoneRun read = Records.done(value).get(0);
-            assertEquals(first, read.first());
-            assertEquals(run.count(), read.bits().cardinality());
+            RecordedCompletions read = CompletionCodec.decode(value).get(0);
+            assertEquals(first, read.firstTask());
+            assertEquals(run.count(), read.completed().cardinality());
         }
         assertEquals(100_000, job.durablyDoneTasks());
     }
@@ -194,8 +193,8 @@
                     Long.MAX_VALUE,
                     Phase.SENT);
             for (TaskAssignment one : List.of(assignment, odd)) {
-                int bytes = Json.bytes(Records.starts(List.of(one))).length;
-                assertTrue(bytes <= Records.startBytes(one) + 64, bytes + " bytes");
+                int bytes = Json.bytes(LaunchRecordCodec.encode(List.of(one))).length;
+                assertTrue(bytes <= LaunchRecordCodec.maxBytes(one) + 64, bytes + " bytes");
             }
         }
     }
@@ -206,9 +205,9 @@
         for (int i = 0; i < count; i++) {
             left.add(start(key * 10_000 + i));
         }
-        JsonNode value = Records.starts(left);
+        JsonNode value = LaunchRecordCodec.encode(left);
         assertTrue(Json.bytes(value).length > SHORT_BYTES);
-        state.holds(Records.STARTS + key, value);
+        state.holds(StateKeys.LAUNCHES + key, value);
         return left;
     }
 
@@ -217,9 +216,9 @@
     private PackedRecords<TaskAssignment> shortValues(FencedWriter writer) {
         return new PackedRecords<>(
                 writer,
-                Records.STARTS,
-                new PackedRecords.Form<>(Records::startBytes, Records::starts),
-                PackedRecords.Fill.EMPTIEST,
+                StateKeys.LAUNCHES,
+                new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+                PackedRecords.Packing.WORST_FIT,
                 SHORT_BYTES,
                 4,
                 durable::addAll);
@@ -231,11 +230,11 @@
         state.limits(SHORT_BYTES, 4, 42);
         FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
-        values.loaded(Records.STARTS + 0, left);
-        small.known(Records.STARTS + 0, 1);
+        values.load(StateKeys.LAUNCHES + 0, left);
+        small.versionRead(StateKeys.LAUNCHES + 0, 1);
         // At each moment all are there that are not over, in whatever value.
         List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
-        over.forEach(values::drop);
+        over.forEach(values::remove);
         List<TaskAssignment> changed = left.subList(60, 190);
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
@@ -250,7 +249,8 @@
         }
         assertTrue(durable.containsAll(changed));
         assertEquals(140, stored().size());
-        assertTrue(Json.bytes(state.value(Records.STARTS + 0)).length <= SHORT_BYTES, "the long one has been written");
+        assertTrue(
+                Json.bytes(state.value(StateKeys.LAUNCHES + 0)).length <= SHORT_BYTES, "the long one has been written");
         assertEquals(0, state.malformed());
     }
 
@@ -264,11 +264,9 @@
         boolean[] other = {false};
         writer.write(
                 "other",
-                () -> new FencedWriter.Prepared(
-                        List.of(FencedWriter.Write.put("types", Json.object().put("a", 1))
-                                .unguarded()),
-                        () -> other[0] = true,
-                        () -> {}));
+                () -> Optional.of(new PreparedChange(
+                        List.of(KeyWrite.put("types", Json.object().put("a", 1)).unconditional()),
+                        () -> other[0] = true)));
         simulation.runUntil(3000);
         assertTrue(other[0], "what is beside it goes on");
         simulation.runUntil(120_000);
