--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -129,8 +129,8 @@
 
     private void cascade() {
         // What will never run must not raise the priority of its dependencies.
-        graph.doomed().forEach(id -> updatePriorities(criticalPath.remove(id)));
-        if (!graph.doomed().isEmpty()) {
+        graph.cancelledByDependency().forEach(id -> updatePriorities(criticalPath.remove(id)));
+        if (!graph.cancelledByDependency().isEmpty()) {
             writer.write("cascade", this::prepareCascade);
         }
     }
@@ -139,7 +139,7 @@
     private Prepared prepareCascade() {
         List<String> cancelled = new ArrayList<>();
         List<Write> writes = new ArrayList<>();
-        for (String id : graph.doomed()) {
+        for (String id : graph.cancelledByDependency()) {
             Job job = cluster.job(id);
             if (job != null && cancelled.size() < maxCascadeJobs) {
                 cancelled.add(id);
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -163,7 +163,7 @@
     }
 
     private void tell(Asker asker, boolean known) {
-        asker.then().accept(new Told(known, jobs.get(asker.job()), dependencies.isDoomed(asker.job())));
+        asker.then().accept(new Told(known, jobs.get(asker.job()), dependencies.isCancelledByDependency(asker.job())));
     }
 
     /** Reads how the jobs ended that others need, before anything is said of these. */
--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -12,84 +12,89 @@
 import java.util.function.Predicate;
 
 /**
- * Which open jobs need which others. That a job is not open any more says that it is over but not how: a job that
- * needs it is held until that has been read. Ends are for good, and so is what follows from them.
+ * The graph of dependencies among open jobs. That a job is not open any more says that it has ended but not how: its
+ * dependents stay blocked until its outcome has been read. Outcomes never change, and neither does what follows from
+ * them.
  */
 public final class DependencyGraph {
     private final Predicate<String> isOpen;
-    /** Of each open job that needs others: all that it named, and those that are not known to be done. */
-    private final Map<String, Needs> needs = new HashMap<>();
-    /** By job, open or not: the open ones that need it. */
+    /** By open job that has dependencies. */
+    private final Map<String, Dependencies> dependencies = new HashMap<>();
+    /** By job, open or not: the open jobs that depend on it directly. */
     private final Map<String, Set<String>> dependents = new HashMap<>();
-    /** Needed by open jobs, not open any more, and not known to be done or cancelled. */
+    /** Jobs with open dependents that are not open any more, and whose outcome is unknown. */
     private final Set<String> unresolved = new LinkedHashSet<>();
-    /** Open jobs that need a cancelled one, directly or through others. */
-    private final Set<String> doomed = new LinkedHashSet<>();
+    /** Open jobs that depend on a cancelled one, directly or transitively. */
+    private final Set<String> cancelledByDependency = new LinkedHashSet<>();
 
-    private static final class Needs {
-        private final List<String> named;
-        private final Set<String> unmet;
+    /** The dependencies of one job: all of them, and those that are not known to be done. */
+    private static final class Dependencies {
+        private final List<String> all;
+        private final Set<String> unsatisfied;
         private long lastEndedAt;
 
-        Needs(List<String> named) {
-            this.named = named;
-            this.unmet = new HashSet<>(named);
+        Dependencies(List<String> all) {
+            this.all = all;
+            this.unsatisfied = new HashSet<>(all);
         }
     }
 
+    /** @param isOpen whether a job is open, as far as the owner of the graph has read */
     public DependencyGraph(Predicate<String> isOpen) {
         this.isOpen = isOpen;
     }
 
-    /** The job is open; to say so again changes nothing. */
-    public void opened(String job, List<String> named) {
-        // Where pages were read at different moments, who needs it may have been read before it.
+    /** Adds an open job with its dependencies; idempotent. */
+    public void opened(String job, List<String> dependsOn) {
+        // Pages of a listing may be read in any order, a dependent before the job that it depends on.
         unresolved.remove(job);
-        if (named.isEmpty() || needs.containsKey(job)) {
+        if (dependsOn.isEmpty() || dependencies.containsKey(job)) {
             return;
         }
-        needs.put(job, new Needs(named));
-        for (String need : named) {
-            dependents.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(job);
-            if (!isOpen.test(need)) {
-                unresolved.add(need);
-            } else if (doomed.contains(need)) {
-                doom(job);
+        dependencies.put(job, new Dependencies(dependsOn));
+        for (String dependency : dependsOn) {
+            dependents.computeIfAbsent(dependency, id -> new LinkedHashSet<>()).add(job);
+            if (!isOpen.test(dependency)) {
+                unresolved.add(dependency);
+            } else if (cancelledByDependency.contains(dependency)) {
+                cancelWithDependents(job);
             }
         }
     }
 
-    /** The job is not open any more. */
+    /** Removes a job that is not open any more; if others depend on it, its outcome is unresolved. */
     public void closed(String job) {
-        Needs own = needs.remove(job);
-        doomed.remove(job);
-        if (own != null) {
-            for (String need : own.named) {
-                dependents.computeIfPresent(need, (name, needing) -> {
-                    needing.remove(job);
-                    return needing.isEmpty() ? null : needing;
-                });
-                if (!dependents.containsKey(need)) {
-                    unresolved.remove(need);
-                }
-            }
+        Dependencies removed = dependencies.remove(job);
+        cancelledByDependency.remove(job);
+        if (removed != null) {
+            removed.all.forEach(dependency -> removeDependent(dependency, job));
         }
         if (dependents.containsKey(job)) {
             unresolved.add(job);
         }
     }
 
-    /** How a job ended; gives those that now need nothing more. */
-    public Collection<String> resolved(String job, JobRecord record) {
+    private void removeDependent(String dependency, String job) {
+        dependents.computeIfPresent(dependency, (id, jobs) -> {
+            jobs.remove(job);
+            return jobs.isEmpty() ? null : jobs;
+        });
+        if (!dependents.containsKey(dependency)) {
+            unresolved.remove(dependency);
+        }
+    }
+
+    /** Applies the outcome of a job; returns the dependents all of whose dependencies are satisfied by it. */
+    public Collection<String> resolved(String job, JobRecord outcome) {
         unresolved.remove(job);
         Set<String> ready = new LinkedHashSet<>();
         for (String dependent : List.copyOf(dependents.getOrDefault(job, Set.of()))) {
-            Needs own = needs.get(dependent);
-            if (record.status() == JobStatus.CANCELLED) {
-                doom(dependent);
-            } else if (own.unmet.remove(job)) {
-                own.lastEndedAt = Math.max(own.lastEndedAt, record.endedAt());
-                if (own.unmet.isEmpty()) {
+            Dependencies own = dependencies.get(dependent);
+            if (outcome.status() == JobStatus.CANCELLED) {
+                cancelWithDependents(dependent);
+            } else if (own.unsatisfied.remove(job)) {
+                own.lastEndedAt = Math.max(own.lastEndedAt, outcome.endedAt());
+                if (own.unsatisfied.isEmpty()) {
                     ready.add(dependent);
                 }
             }
@@ -97,37 +102,39 @@
         return ready;
     }
 
-    private void doom(String job) {
-        Deque<String> due = new ArrayDeque<>(List.of(job));
-        while (!due.isEmpty()) {
-            String next = due.poll();
-            if (doomed.add(next)) {
-                due.addAll(dependents.getOrDefault(next, Set.of()));
+    /** Without recursion: chains may be as long as there are jobs. */
+    private void cancelWithDependents(String job) {
+        Deque<String> queue = new ArrayDeque<>(List.of(job));
+        while (!queue.isEmpty()) {
+            String next = queue.poll();
+            if (cancelledByDependency.add(next)) {
+                queue.addAll(dependents.getOrDefault(next, Set.of()));
             }
         }
     }
 
-    /** Whether the job waits for others, or will never run because one of them was cancelled. */
+    /** Whether a dependency of the job is unsatisfied; it may be so forever, as one of them was cancelled. */
     public boolean isBlocked(String job) {
-        Needs own = needs.get(job);
-        return own != null && !own.unmet.isEmpty();
+        Dependencies own = dependencies.get(job);
+        return own != null && !own.unsatisfied.isEmpty();
     }
 
-    /** When the last of its needs was done, as far as is known; 0: before its submission. */
+    /** Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known. */
     public long lastEndedAt(String job) {
-        return needs.get(job).lastEndedAt;
+        return dependencies.get(job).lastEndedAt;
     }
 
-    public boolean isDoomed(String job) {
-        return doomed.contains(job);
+    /** Whether the open job depends on a cancelled one, directly or transitively. */
+    public boolean isCancelledByDependency(String job) {
+        return cancelledByDependency.contains(job);
     }
 
-    /** Open jobs that a cancelled one takes along. */
-    public Collection<String> doomed() {
-        return doomed;
+    /** The open jobs that depend on a cancelled one, directly or transitively. */
+    public Collection<String> cancelledByDependency() {
+        return cancelledByDependency;
     }
 
-    /** What is to be read before anything can be said of the jobs that need it. */
+    /** The jobs whose outcomes have to be read before their dependents can be judged. */
     public Set<String> unresolved() {
         return unresolved;
     }
--- a/src/test/java/notchpick/model/DependencyGraphTest.java
+++ b/src/test/java/notchpick/model/DependencyGraphTest.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs wait, which are ready, and which fall with a cancelled one. */
+/** Blocked and ready jobs, and cascading cancellation. */
 class DependencyGraphTest {
     private static final JobRecord CANCELLED = new JobRecord(JobStatus.CANCELLED, 1, 0, 0, false);
 
     private final Set<String> open = new HashSet<>();
     private final DependencyGraph dependencies = new DependencyGraph(open::contains);
 
-    private void open(String job, String... needs) {
+    private void open(String job, String... dependsOn) {
         open.add(job);
-        dependencies.opened(job, List.of(needs));
+        dependencies.opened(job, List.of(dependsOn));
     }
 
     private void close(String job) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aJobIsHeldUntilAllThatItNeedsAreKnownToBeDone() {
+    void blocksAJobUntilAllItsDependenciesAreKnownToBeDone() {
         open("a");
         open("b");
         open("c", "a", "b");
@@ -39,47 +39,47 @@
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.resolved("a", done(700)).isEmpty());
         close("b");
-        assertTrue(dependencies.isBlocked("c"), "over, but nobody knows how");
+        assertTrue(dependencies.isBlocked("c"), "ended, with an unknown outcome");
         assertEquals(Set.of("c"), dependencies.resolved("b", done(500)));
         assertFalse(dependencies.isBlocked("c"));
         assertEquals(700, dependencies.lastEndedAt("c"));
     }
 
     @Test
-    void theOrderInWhichJobsAreReadDoesNotMatter() {
+    void acceptsJobsInAnyOrder() {
         open("c", "b");
         open("b", "a");
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.isBlocked("c") && dependencies.isBlocked("b"));
         dependencies.resolved("a", CANCELLED);
-        assertTrue(dependencies.isDoomed("c") && dependencies.isDoomed("b"));
+        assertTrue(dependencies.isCancelledByDependency("c") && dependencies.isCancelledByDependency("b"));
     }
 
     @Test
-    void whatComesAfterACancelledOneIsCancelledHoweverLateItComes() {
+    void cancelsDependentsThatAreAddedLater() {
         open("a");
         open("b", "a");
         close("a");
         dependencies.resolved("a", CANCELLED);
         open("c", "b");
-        assertTrue(dependencies.isDoomed("c"));
+        assertTrue(dependencies.isCancelledByDependency("c"));
         close("b");
         dependencies.resolved("b", CANCELLED);
-        assertTrue(dependencies.isDoomed("c"));
+        assertTrue(dependencies.isCancelledByDependency("c"));
         close("c");
-        assertTrue(dependencies.doomed().isEmpty());
+        assertTrue(dependencies.cancelledByDependency().isEmpty());
         assertTrue(dependencies.unresolved().isEmpty());
     }
 
     @Test
-    void whatNobodyNeedsAnyMoreIsNotAskedFor() {
+    void forgetsUnresolvedJobsWithoutDependents() {
         open("b", "a");
         close("b");
         assertTrue(dependencies.unresolved().isEmpty());
     }
 
     @Test
-    void toHearTwiceChangesNothing() {
+    void addingAJobIsIdempotent() {
         open("a");
         open("b", "a");
         close("a");
@@ -87,17 +87,17 @@
         open("b", "a");
         assertFalse(dependencies.isBlocked("b"));
         assertTrue(dependencies.resolved("a", CANCELLED).isEmpty());
-        assertFalse(dependencies.isDoomed("b") && dependencies.isBlocked("b"));
+        assertFalse(dependencies.isCancelledByDependency("b") && dependencies.isBlocked("b"));
     }
 
     @Test
-    void longChainsAreWalkedWithoutDepth() {
+    void cancelsLongChainsWithoutRecursion() {
         open("j0");
         for (int i = 1; i < 20_000; i++) {
             open("j" + i, "j" + (i - 1));
         }
         close("j0");
         dependencies.resolved("j0", CANCELLED);
-        assertEquals(19_999, dependencies.doomed().size());
+        assertEquals(19_999, dependencies.cancelledByDependency().size());
     }
 }
