--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.ByteBuffer;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.function.Consumer;
 import notchpick.coordination.Deployment;
@@ -168,7 +169,7 @@
 
     /** In an outage that all share, leaving the balancer's list would help nobody. */
     private boolean isReady() {
-        return userRequests.ready() && !elector.isForeign() && (state.reachable() || peers.withState() == null);
+        return userRequests.isReady() && !elector.isForeign() && (state.reachable() || peers.withState() == null);
     }
 
     private void report(Request call, Consumer<Response> toWorker, long at) {
@@ -279,8 +280,8 @@
         elector.tell(new LeaderElection.TermSeen(pulse.getTerm(), pulse.getLeader()));
     }
 
-    private Progress progress(String job) {
-        return leader != null ? leader.progress(job) : peers.progress(job);
+    private Optional<Progress> progress(String job) {
+        return Optional.ofNullable(leader != null ? leader.progress(job) : peers.progress(job));
     }
 
     // ---- machine types: kept in the state service, so that a cloud that is down keeps nobody out ----
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import notchpick.model.JobRecord;
@@ -14,83 +15,95 @@
 import notchpick.storage.Records;
 
 /**
- * How jobs ended that are not open any more: read from the state service, those of neighbouring ids by one request,
- * and kept, since ends are for good.
+ * Reads how jobs have ended, those with neighbouring ids by one request, and caches it: outcomes never change. Only of
+ * use for jobs that are not open, as an open job has no record.
  */
 public final class JobOutcomes {
-    private static final int PAGE = 100;
-    private static final int KEPT = 20_000;
+    private static final int PAGE_SIZE = 100;
+    private static final int MAX_CACHED = 20_000;
 
-    private final StateStoreClient state;
-    private final Map<String, JobRecord> known = new LinkedHashMap<>() {
+    private final StateStoreClient stateStore;
+    private final Map<String, JobRecord> cache = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobRecord> eldest) {
-            return size() > KEPT;
+            return size() > MAX_CACHED;
         }
     };
 
-    public JobOutcomes(StateStoreClient state) {
-        this.state = state;
+    public JobOutcomes(StateStoreClient stateStore) {
+        this.stateStore = stateStore;
     }
 
-    /** How the job ended, if that is known here; null: it may be over all the same. */
-    public JobRecord known(String job) {
-        return known.get(job);
+    /** The outcome of a job if it is cached; if not, the job may have ended all the same. */
+    public Optional<JobRecord> cached(String job) {
+        return Optional.ofNullable(cache.get(job));
     }
 
-    public void note(String job, JobRecord record) {
-        known.put(job, record);
+    /** Caches a durable outcome. */
+    public void cache(String job, JobRecord outcome) {
+        cache.put(job, outcome);
     }
 
-    /** Gives the ends that are written, by job; null if the state service did not tell. */
-    public void read(Collection<String> jobs, Consumer<Map<String, JobRecord>> then) {
-        TreeSet<String> left = new TreeSet<>();
+    /** Gives the durable outcomes of these jobs, by job; empty if the state store did not answer. */
+    public void read(Collection<String> jobs, Consumer<Optional<Map<String, JobRecord>>> then) {
+        TreeSet<String> missing = new TreeSet<>();
         Map<String, JobRecord> found = new HashMap<>();
         for (String job : jobs) {
-            JobRecord record = known.get(job);
-            if (record == null) {
-                left.add(job);
+            JobRecord outcome = cache.get(job);
+            if (outcome == null) {
+                missing.add(job);
             } else {
-                found.put(job, record);
+                found.put(job, outcome);
             }
         }
-        read(left, found, then);
+        readPages(missing, found, then);
     }
 
-    private void read(TreeSet<String> left, Map<String, JobRecord> found, Consumer<Map<String, JobRecord>> then) {
-        if (left.isEmpty()) {
-            then.accept(found);
+    private void readPages(
+            TreeSet<String> missing, Map<String, JobRecord> found, Consumer<Optional<Map<String, JobRecord>>> then) {
+        if (missing.isEmpty()) {
+            then.accept(Optional.of(found));
             return;
         }
-        String first = Records.JOB + left.first();
-        state.list(Records.JOB, before(first), left.size() == 1 ? 1 : PAGE, result -> {
-            if (!(result instanceof Ok<Listing> ok)) {
-                then.accept(null);
-                return;
-            }
-            String last = first;
-            for (Entry entry : ok.value().entries()) {
-                last = entry.key();
-                String job = last.substring(Records.JOB.length());
-                if (left.remove(job)) {
-                    found.put(job, Records.job(entry.value()));
-                    note(job, found.get(job));
-                }
-            }
-            if (ok.value().more()) {
-                // What this page has passed over is not there.
-                left.headSet(last.substring(Records.JOB.length()), true).clear();
+        String first = Records.JOB + missing.first();
+        stateStore.list(Records.JOB, keyBefore(first), missing.size() == 1 ? 1 : PAGE_SIZE, result -> {
+            if (result instanceof Ok<Listing> ok) {
+                takePage(ok.value(), missing, found);
+                readPages(missing, found, then);
             } else {
-                left.clear();
+                then.accept(Optional.empty());
             }
-            read(left, found, then);
         });
     }
 
-    /** A text that sorts before the key and after all others that do. */
-    private static String before(String key) {
+    private void takePage(Listing page, TreeSet<String> missing, Map<String, JobRecord> found) {
+        for (Entry entry : page.entries()) {
+            String job = jobOf(entry);
+            if (missing.remove(job)) {
+                JobRecord outcome = Records.job(entry.value());
+                found.put(job, outcome);
+                cache(job, outcome);
+            }
+        }
+        if (page.more()) {
+            // Jobs that sort before the end of this page and are not in it have no record.
+            String last = page.entries().isEmpty()
+                    ? missing.first()
+                    : jobOf(page.entries().get(page.entries().size() - 1));
+            missing.headSet(last, true).clear();
+        } else {
+            missing.clear();
+        }
+    }
+
+    private static String jobOf(Entry entry) {
+        return entry.key().substring(Records.JOB.length());
+    }
+
+    /** A text that sorts before the key and after all keys before it. */
+    private static String keyBefore(String key) {
         char last = key.charAt(key.length() - 1);
         return key.substring(0, key.length() - 1) + (char) (last - 1) + '~';
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -109,9 +109,7 @@
                 Set.copyOf(graph.unresolved()),
                 found -> context.timer().after(0, () -> {
                     resolving = false;
-                    if (found != null) {
-                        found.forEach(this::ended);
-                    }
+                    found.ifPresent(outcomes -> outcomes.forEach(this::ended));
                     if (!graph.unresolved().isEmpty()) {
                         context.timer().after(RETRY_MS, this::resolveEnded);
                     }
--- /dev/null
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -0,0 +1,96 @@
+package notchpick.coordination.userapi;
+
+import java.util.function.Consumer;
+import notchpick.coordination.JobOutcomes;
+import notchpick.coordination.userapi.JobLookup.Found;
+import notchpick.coordination.userapi.JobLookup.Unavailable;
+import notchpick.coordination.userapi.UserReplies.DisplayedStatus;
+import notchpick.model.JobRecord;
+import notchpick.model.JobStatus;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Conflict;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Result;
+import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.UserProtocol;
+import notchpick.storage.Records;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Response;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Cancels jobs. A cancellation is confirmed once it is durable, and counts from then: the leader learns it by its watch
+ * of open jobs, and stops the tasks within {@link notchpick.coordination.Deployment#cancellationBoundMs}.
+ */
+final class CancellationHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
+    /** A conflict means that the job has ended or was written in between; reading it again tells which. */
+    private static final int MAX_ATTEMPTS = 3;
+
+    private final EventLoop loop;
+    private final StateStoreClient stateStore;
+    private final JobReader jobs;
+    private final JobOutcomes outcomes;
+    private final CallbackExecutor callbacks;
+
+    CancellationHandler(
+            EventLoop loop,
+            StateStoreClient stateStore,
+            JobReader jobs,
+            JobOutcomes outcomes,
+            CallbackExecutor callbacks) {
+        this.loop = loop;
+        this.stateStore = stateStore;
+        this.jobs = jobs;
+        this.outcomes = outcomes;
+        this.callbacks = callbacks;
+    }
+
+    /** Cancels a job; idempotent, and without effect on one that has ended. */
+    void cancel(String id, Consumer<Response> reply) {
+        if (!UserProtocol.isJobId(id)) {
+            reply.accept(UserReplies.noSuchJob());
+            return;
+        }
+        attempt(id, reply, MAX_ATTEMPTS);
+    }
+
+    private void attempt(String id, Consumer<Response> reply, int attemptsLeft) {
+        jobs.read(id, lookup -> {
+            if (lookup instanceof Unavailable unavailable) {
+                reply.accept(UserReplies.unavailable(unavailable.reason()));
+            } else if (!(lookup instanceof Found found)) {
+                reply.accept(UserReplies.noSuchJob());
+            } else if (found.record().status() != JobStatus.OPEN) {
+                reply.accept(UserReplies.ended(
+                        id, DisplayedStatus.ofEnded(found.record().status())));
+            } else {
+                store(id, found, reply, attemptsLeft);
+            }
+        });
+    }
+
+    private void store(String id, Found found, Consumer<Response> reply, int attemptsLeft) {
+        JobRecord cancelled = found.record().cancelled(loop.wallTime());
+        Transaction transaction = new Transaction()
+                .guard(Records.OPEN + id, found.version())
+                .put(Records.JOB + id, Records.job(cancelled))
+                .delete(Records.OPEN + id);
+        stateStore.commit(
+                transaction, callbacks.inTurn(result -> committed(id, cancelled, result, reply, attemptsLeft)));
+    }
+
+    private void committed(
+            String id, JobRecord cancelled, Result<Long> result, Consumer<Response> reply, int attemptsLeft) {
+        if (result instanceof Ok<Long>) {
+            LOG.info("job cancelled: job={}", id);
+            outcomes.cache(id, cancelled);
+            reply.accept(UserReplies.ended(id, DisplayedStatus.CANCELLED));
+        } else if (result instanceof Conflict<Long> && attemptsLeft > 1) {
+            attempt(id, reply, attemptsLeft - 1);
+        } else {
+            reply.accept(UserReplies.unavailable(UserReplies.NO_STATE_STORE));
+        }
+    }
+}
--- a/src/main/java/notchpick/coordination/userapi/DependencyValidator.java
+++ b/src/main/java/notchpick/coordination/userapi/DependencyValidator.java
@@ -5,81 +5,75 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import notchpick.coordination.JobOutcomes;
-import notchpick.coordination.userapi.OpenJobCache.Told;
 import notchpick.model.JobRecord;
 import notchpick.model.JobStatus;
 import notchpick.scheduling.JobSpec;
 
-/** Looks at the jobs that a submission names: each must have been accepted, by whatever controller. */
+/** Checks that each dependency of a submission has been accepted, by whatever controller, and can be done. */
 final class DependencyValidator {
-    private final OpenJobCache open;
+    private final OpenJobCache openJobs;
     private final JobOutcomes outcomes;
 
-    /**
-     * What the look came to.
-     *
-     * @param readable whether the state service told
-     * @param obstacle why the job can't be accepted, or null
-     * @param doomed whether one of the jobs was cancelled, or will be for one that it needs itself
-     */
-    record Verdict(boolean readable, String obstacle, boolean doomed) {}
-
-    DependencyValidator(OpenJobCache open, JobOutcomes outcomes) {
-        this.open = open;
+    DependencyValidator(OpenJobCache openJobs, JobOutcomes outcomes) {
+        this.openJobs = openJobs;
         this.outcomes = outcomes;
     }
 
-    /** Open jobs are looked at first: what is not among them is over, and says so, or there is none. */
-    void check(JobSpec spec, Consumer<Verdict> then) {
-        if (spec.dependencies().isEmpty()) {
-            then.accept(new Verdict(true, null, false));
+    /** Reads open jobs first: a dependency that is not among them has a durable outcome, or does not exist. */
+    void check(JobSpec spec, Consumer<DependencyVerdict> then) {
+        int count = spec.dependencies().size();
+        if (count == 0) {
+            then.accept(new DependencyVerdict.Valid(false));
             return;
         }
-        List<Told> answers = new ArrayList<>();
-        List<String> ended = new ArrayList<>();
-        for (String need : spec.dependencies()) {
-            open.ask(need, told -> {
-                answers.add(told);
-                if (told.known() && told.open() == null) {
-                    ended.add(need);
+        List<OpenJobCache.Lookup> lookups = new ArrayList<>();
+        List<String> notOpen = new ArrayList<>();
+        for (String dependency : spec.dependencies()) {
+            openJobs.read(dependency, lookup -> {
+                lookups.add(lookup);
+                if (lookup instanceof OpenJobCache.NotOpen) {
+                    notOpen.add(dependency);
                 }
-                if (answers.size() == spec.dependencies().size()) {
-                    ends(answers, ended, then);
+                if (lookups.size() == count) {
+                    readOutcomes(lookups, notOpen, then);
                 }
             });
         }
     }
 
-    private void ends(List<Told> answers, List<String> ended, Consumer<Verdict> then) {
-        if (answers.stream().anyMatch(told -> !told.known())) {
-            then.accept(new Verdict(false, null, false));
+    private void readOutcomes(
+            List<OpenJobCache.Lookup> lookups, List<String> notOpen, Consumer<DependencyVerdict> then) {
+        if (lookups.stream().anyMatch(OpenJobCache.Unavailable.class::isInstance)) {
+            then.accept(new DependencyVerdict.Unavailable());
             return;
         }
         outcomes.read(
-                ended,
-                found -> then.accept(found == null ? new Verdict(false, null, false) : verdict(answers, ended, found)));
+                notOpen,
+                found -> then.accept(found.map(ended -> verdict(lookups, notOpen, ended))
+                        .orElse(new DependencyVerdict.Unavailable())));
     }
 
-    private static Verdict verdict(List<Told> answers, List<String> ended, Map<String, JobRecord> found) {
-        List<JobRecord> records = new ArrayList<>(found.values());
-        boolean doomed = false;
-        for (Told told : answers) {
-            doomed |= told.doomed();
-            if (told.open() != null) {
-                records.add(told.open().record());
+    private static DependencyVerdict verdict(
+            List<OpenJobCache.Lookup> lookups, List<String> notOpen, Map<String, JobRecord> ended) {
+        for (String dependency : notOpen) {
+            if (!ended.containsKey(dependency)) {
+                return new DependencyVerdict.Rejected("nobody submitted " + dependency + ", which it waits on");
             }
         }
-        for (String need : ended) {
-            if (!found.containsKey(need)) {
-                return new Verdict(true, "nobody submitted " + need + ", which it waits on", false);
+        List<JobRecord> records = new ArrayList<>(ended.values());
+        boolean cancelled = false;
+        for (OpenJobCache.Lookup lookup : lookups) {
+            if (lookup instanceof OpenJobCache.Open open) {
+                cancelled |= open.cancelledByDependency();
+                records.add(open.record());
             }
         }
         for (JobRecord record : records) {
             if (record.service()) {
-                return new Verdict(true, "it waits on a service, which is never done", false);
+                return new DependencyVerdict.Rejected("it waits on a service, which is never done");
             }
-            doomed |= record.status() == JobStatus.CANCELLED;
+            cancelled |= record.status() == JobStatus.CANCELLED;
         }
-        return new Verdict(true, null, doomed);
+        return new DependencyVerdict.Valid(cancelled);
     }
 }
--- /dev/null
+++ b/src/main/java/notchpick/coordination/userapi/JobReader.java
@@ -0,0 +1,58 @@
+package notchpick.coordination.userapi;
+
+import java.util.function.Consumer;
+import notchpick.coordination.JobOutcomes;
+import notchpick.coordination.userapi.JobLookup.Found;
+import notchpick.coordination.userapi.JobLookup.NotFound;
+import notchpick.coordination.userapi.JobLookup.Unavailable;
+import notchpick.model.JobRecord;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreClient.Entry;
+import notchpick.protocol.StateStoreClient.Missing;
+import notchpick.protocol.StateStoreClient.Ok;
+import notchpick.protocol.StateStoreClient.Result;
+import notchpick.storage.Records;
+
+/**
+ * Reads single jobs, open or ended. The open ones are read first: a job that is not among them either has ended, and
+ * its record is durable, or does not exist. In the other order a job that ends in between would seem not to exist.
+ */
+final class JobReader {
+    private final OpenJobCache openJobs;
+    private final JobOutcomes outcomes;
+    private final StateStoreClient stateStore;
+    private final CallbackExecutor callbacks;
+
+    JobReader(OpenJobCache openJobs, JobOutcomes outcomes, StateStoreClient stateStore, CallbackExecutor callbacks) {
+        this.openJobs = openJobs;
+        this.outcomes = outcomes;
+        this.stateStore = stateStore;
+        this.callbacks = callbacks;
+    }
+
+    /** Reads a job as of some moment after this call. */
+    void read(String id, Consumer<JobLookup> then) {
+        openJobs.read(id, lookup -> {
+            if (lookup instanceof OpenJobCache.Unavailable) {
+                then.accept(new Unavailable(UserReplies.NO_STATE_STORE));
+            } else if (lookup instanceof OpenJobCache.Open open) {
+                // Its cancellation follows from what is stored, whether or not the leader has recorded it.
+                JobRecord record = open.cancelledByDependency() ? open.record().cancelled(0) : open.record();
+                then.accept(new Found(record, open.version()));
+            } else if (!stateStore.hasSpare()) {
+                then.accept(new Unavailable("too many ask at once"));
+            } else {
+                stateStore.get(Records.JOB + id, callbacks.inTurn(result -> then.accept(ended(id, result))));
+            }
+        });
+    }
+
+    private JobLookup ended(String id, Result<Entry> result) {
+        if (result instanceof Ok<Entry> ok) {
+            JobRecord record = Records.job(ok.value().value());
+            outcomes.cache(id, record);
+            return new Found(record, 0);
+        }
+        return result instanceof Missing<Entry> ? new NotFound() : new Unavailable(UserReplies.NO_STATE_STORE);
+    }
+}
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -25,74 +25,91 @@
 import notchpick.transport.Timer;
 
 /**
- * Tells which jobs are open, any number of askers by one request. It keeps a copy, and before it answers
- * anybody it asks the state service what has changed since: that request is sent after the question came,
- * so no answer is older than what any controller may have told by then. A storm of polls costs no
- * more requests than a quiet hour.
+ * A copy of the open jobs, for linearizable reads. Before a read is answered, the changes since the copy was made are
+ * read from the state store by a request sent after the read began; so no answer is older than what any controller may
+ * have said by then. All reads that wait share one request: their number does not change the load of the state store.
  */
 final class OpenJobCache {
-    /** What is known of an open job; the version is that of its description. */
-    record Open(JobRecord record, long version) {}
+    /** The result of a read. */
+    sealed interface Lookup {}
 
     /**
-     * What an asker is told: nothing, where the state service gave no answer.
+     * The job is open.
      *
-     * @param open null if there is no such job, or it is over
-     * @param doomed whether a job that it needs, directly or through others, was cancelled: so it is cancelled too,
-     *         whoever may have written that down already
+     * @param version the version of the job's entry
+     * @param cancelledByDependency whether it depends on a cancelled job, directly or transitively: then it counts as
+     *         cancelled, whether or not that has been recorded
      */
-    record Told(boolean known, Open open, boolean doomed) {}
+    record Open(JobRecord record, long version, boolean cancelledByDependency) implements Lookup {}
 
-    /** This part of the controller's requests is for questions; submissions and the leader's writes need the rest. */
-    private static final double PART_OF_REQUESTS = 0.25;
+    /** The job has ended, or there is no such job. */
+    record NotOpen() implements Lookup {}
+
+    /** The state store did not answer. */
+    record Unavailable() implements Lookup {}
+
+    private record OpenJob(JobRecord record, long version) {}
+
+    private record PendingRead(String job, Consumer<Lookup> then) {}
+
+    /** Reads take this part of the controller's requests; submissions and the leader's writes need the rest. */
+    private static final double REQUEST_RATE_RATIO = 0.25;
+
+    private static final double MS_PER_S = 1000;
+    private static final long NOT_LISTED = -1;
 
     private final EventLoop loop;
-    private final StateStoreClient state;
+    private final StateStoreClient stateStore;
     private final JobOutcomes outcomes;
     private final Timer timer;
-    private final long gapMs;
-    private final Map<String, Open> jobs = new HashMap<>();
+    private final long requestIntervalMs;
+    private final Map<String, OpenJob> jobs = new HashMap<>();
     private final DependencyGraph dependencies = new DependencyGraph(jobs::containsKey);
-    private List<Asker> waiting = new ArrayList<>();
-    private long revision = -1;
-    private long askedAt;
-    /** A request is on its way, or will be. */
-    private boolean due;
-
-    private record Asker(String job, Consumer<Told> then) {}
-
-    /** @param requestsPerS what this controller may send in all */
-    OpenJobCache(EventLoop loop, StateStoreClient state, JobOutcomes outcomes, double requestsPerS, Timer timer) {
+    private List<PendingRead> waiting = new ArrayList<>();
+    private long revision = NOT_LISTED;
+    private long lastRequestAt;
+    /** A request is scheduled or in flight. */
+    private boolean requestPending;
+
+    /** @param requestsPerS the requests to the state store that this controller may send in all */
+    OpenJobCache(EventLoop loop, StateStoreClient stateStore, JobOutcomes outcomes, double requestsPerS, Timer timer) {
         this.loop = loop;
-        this.state = state;
+        this.stateStore = stateStore;
         this.outcomes = outcomes;
         this.timer = timer;
-        this.gapMs = (long) Math.ceil(1000 / (requestsPerS * PART_OF_REQUESTS));
-        this.askedAt = loop.now() - gapMs;
+        this.requestIntervalMs = (long) Math.ceil(MS_PER_S / (requestsPerS * REQUEST_RATE_RATIO));
+        this.lastRequestAt = loop.now() - requestIntervalMs;
+    }
+
+    /** Reads a job as of some moment after this call. */
+    void read(String job, Consumer<Lookup> then) {
+        waiting.add(new PendingRead(job, then));
+        if (!requestPending) {
+            scheduleRequest();
+        }
     }
 
-    /** Tells how the job stood at some moment after this call. */
-    void ask(String job, Consumer<Told> then) {
-        waiting.add(new Asker(job, then));
-        if (!due) {
-            sendLater();
+    private void scheduleRequest() {
+        requestPending = !waiting.isEmpty();
+        if (requestPending) {
+            timer.after(Math.max(0, lastRequestAt + requestIntervalMs - loop.now()), this::sendRequest);
         }
     }
 
-    private void send() {
-        askedAt = loop.now();
-        // Who asks from here on is answered by the next request.
-        List<Asker> asking = waiting;
+    private void sendRequest() {
+        lastRequestAt = loop.now();
+        // Reads that begin from here on are answered by the next request.
+        List<PendingRead> batch = waiting;
         waiting = new ArrayList<>();
-        if (revision < 0) {
-            state.listAll(Records.OPEN, result -> listed(asking, result));
+        if (revision == NOT_LISTED) {
+            stateStore.listAll(Records.OPEN, result -> listed(batch, result));
         } else {
-            state.changes(Records.OPEN, revision, 0, result -> changed(asking, result));
+            stateStore.changes(Records.OPEN, revision, 0, result -> changed(batch, result));
         }
     }
 
-    private void listed(List<Asker> asking, Result<Listing> result) {
-        sendLater();
+    private void listed(List<PendingRead> batch, Result<Listing> result) {
+        scheduleRequest();
         if (result instanceof Ok<Listing> ok) {
             Set<String> gone = new HashSet<>(jobs.keySet());
             for (Entry entry : ok.value().entries()) {
@@ -101,16 +118,16 @@
             gone.forEach(this::closed);
             revision = ok.value().revision();
         }
-        tell(asking, result instanceof Ok<Listing>);
+        answer(batch, result instanceof Ok<Listing>);
     }
 
-    private void changed(List<Asker> asking, Result<Changes> result) {
+    private void changed(List<PendingRead> batch, Result<Changes> result) {
         if (result instanceof Missing<Changes>) {
-            // Nobody has asked for so long that the service has forgotten what changed.
-            revision = -1;
-            waiting.addAll(0, asking);
+            // The state store keeps changes for a limited time: the copy is too old, and is listed again.
+            revision = NOT_LISTED;
+            waiting.addAll(0, batch);
         }
-        sendLater();
+        scheduleRequest();
         if (result instanceof Ok<Changes> ok) {
             for (Change change : ok.value().log()) {
                 if (change.value() == null) {
@@ -121,15 +138,15 @@
             }
             revision = Math.max(revision, ok.value().revision());
         }
-        if (revision >= 0) {
-            tell(asking, result instanceof Ok<Changes>);
+        if (revision != NOT_LISTED) {
+            answer(batch, result instanceof Ok<Changes>);
         }
     }
 
     private String opened(String key, JsonNode value, long version) {
         String id = key.substring(Records.OPEN.length());
         JobSpec spec = Records.spec(id, value);
-        jobs.put(id, new Open(JobRecord.open(spec), version));
+        jobs.put(id, new OpenJob(JobRecord.open(spec), version));
         dependencies.opened(id, spec.dependencies());
         return id;
     }
@@ -139,44 +156,42 @@
         dependencies.closed(id);
     }
 
-    private void sendLater() {
-        due = !waiting.isEmpty();
-        if (due) {
-            timer.after(Math.max(0, askedAt + gapMs - loop.now()), this::send);
-        }
-    }
-
-    private void tell(List<Asker> asking, boolean known) {
-        List<Asker> held = new ArrayList<>();
-        for (Asker asker : asking) {
-            if (known
-                    && dependencies.isBlocked(asker.job())
+    private void answer(List<PendingRead> batch, boolean isCurrent) {
+        List<PendingRead> unresolved = new ArrayList<>();
+        for (PendingRead read : batch) {
+            if (isCurrent
+                    && dependencies.isBlocked(read.job())
                     && !dependencies.unresolved().isEmpty()) {
-                held.add(asker);
+                unresolved.add(read);
             } else {
-                tell(asker, known);
+                answer(read, isCurrent);
             }
         }
-        if (!held.isEmpty()) {
-            resolve(held);
+        if (!unresolved.isEmpty()) {
+            resolveDependencies(unresolved);
         }
     }
 
-    private void tell(Asker asker, boolean known) {
-        asker.then().accept(new Told(known, jobs.get(asker.job()), dependencies.isCancelledByDependency(asker.job())));
+    private void answer(PendingRead read, boolean isCurrent) {
+        read.then().accept(isCurrent ? lookup(read.job()) : new Unavailable());
+    }
+
+    private Lookup lookup(String id) {
+        OpenJob job = jobs.get(id);
+        return job == null
+                ? new NotOpen()
+                : new Open(job.record(), job.version(), dependencies.isCancelledByDependency(id));
     }
 
-    /** Reads how the jobs ended that others need, before anything is said of these. */
-    private void resolve(List<Asker> held) {
-        if (!state.hasSpare()) {
-            held.forEach(asker -> tell(asker, false));
+    /** Reads the outcomes of dependencies that have ended: a cancelled one cancels its dependents. */
+    private void resolveDependencies(List<PendingRead> batch) {
+        if (!stateStore.hasSpare()) {
+            batch.forEach(read -> answer(read, false));
             return;
         }
         outcomes.read(dependencies.unresolved(), found -> {
-            if (found != null) {
-                found.forEach(dependencies::resolved);
-            }
-            held.forEach(asker -> tell(asker, found != null));
+            found.ifPresent(ended -> ended.forEach(dependencies::resolved));
+            batch.forEach(read -> answer(read, found.isPresent()));
         });
     }
 }
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -16,139 +16,164 @@
 import notchpick.transport.Timer;
 
 /**
- * Writes down the jobs that users submit, before they are told. A few transactions are on their way at a time,
- * and each takes along what came meanwhile, so that a swarm of small jobs needs few requests. Nothing waits
- * for company: where few come, each goes by itself at once.
+ * Stores submissions in batches. A few transactions are in flight at a time, and each includes what has arrived
+ * meanwhile, so that a burst of small jobs takes few requests. No submission waits for others to arrive: at a low rate
+ * each has a transaction of its own.
  */
 final class SubmissionBatcher {
     /** What becomes of a submission. */
     enum Outcome {
+        /** The job is stored. */
         ACCEPTED,
-        KNOWN,
-        REFUSED
+        /** A job with this id exists already. */
+        DUPLICATE,
+        /** The job may not have been stored; another submission of it finds out. */
+        RETRY_LATER
     }
 
-    private static final int TOO_MANY = 429;
-    private static final int MALFORMED = 400;
-    private static final int MOST_ON_THEIR_WAY = 4;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int BAD_REQUEST = 400;
+    private static final int MAX_IN_FLIGHT = 4;
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
-    private static final int MAX_BYTES = 48 << 10;
+    private static final int MAX_BATCH_BYTES = 48 << 10;
 
-    private record Submission(JobSpec spec, Consumer<Outcome> then) {}
+    private record Submission(JobSpec spec, Consumer<Outcome> then) {
+        String id() {
+            return spec.id();
+        }
+    }
 
-    private final StateStoreClient state;
-    private final int most;
+    private final StateStoreClient stateStore;
+    private final int maxBatchJobs;
     private final Timer timer;
-    private final List<Submission> waiting = new ArrayList<>();
-    private int onTheirWay;
-    private boolean due;
-
-    /** @param most so many jobs go into one transaction */
-    SubmissionBatcher(StateStoreClient state, int most, Timer timer) {
-        this.state = state;
-        this.most = most;
+    private final List<Submission> queue = new ArrayList<>();
+    private int inFlight;
+    private boolean sendScheduled;
+
+    /** @param maxBatchJobs the most jobs that one transaction stores */
+    SubmissionBatcher(StateStoreClient stateStore, int maxBatchJobs, Timer timer) {
+        this.stateStore = stateStore;
+        this.maxBatchJobs = maxBatchJobs;
         this.timer = timer;
     }
 
-    /** Writes the job down as open, and tells what came of it. */
+    /** Stores an open job. */
     void add(JobSpec spec, Consumer<Outcome> then) {
-        waiting.add(new Submission(spec, then));
-        if (!due && onTheirWay < MOST_ON_THEIR_WAY) {
-            due = true;
-            // Whatever else has arrived already shall go along.
+        queue.add(new Submission(spec, then));
+        if (!sendScheduled && inFlight < MAX_IN_FLIGHT) {
+            sendScheduled = true;
+            // Submissions that are already queued in the event loop join the batch.
             timer.after(0, () -> {
-                due = false;
-                next();
+                sendScheduled = false;
+                sendNextBatch();
             });
         }
     }
 
-    private void next() {
+    private void sendNextBatch() {
         List<Submission> batch = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         int bytes = 0;
-        for (Submission submission : waiting) {
+        for (Submission submission : queue) {
             bytes += Records.specBytes(submission.spec());
-            // A user's second try, sent before the first was answered, goes with the next and finds it known.
-            if (batch.size() == most
-                    || bytes > MAX_BYTES && !batch.isEmpty()
-                    || !ids.add(submission.spec().id())) {
+            // A retry that was sent before the first reply goes into the next batch, and finds the job stored.
+            if (batch.size() == maxBatchJobs
+                    || bytes > MAX_BATCH_BYTES && !batch.isEmpty()
+                    || !ids.add(submission.id())) {
                 break;
             }
             batch.add(submission);
         }
-        waiting.subList(0, batch.size()).clear();
+        queue.subList(0, batch.size()).clear();
         if (!batch.isEmpty()) {
-            onTheirWay++;
             send(batch);
         }
     }
 
     private void send(List<Submission> batch) {
+        inFlight++;
         Transaction transaction = new Transaction();
         for (Submission submission : batch) {
-            String id = submission.spec().id();
-            // One change only: what users may write is little, and conditions are free.
+            // One write for each job: the rate of writes is scarce, while guards are free.
             transaction
-                    .guard(Records.JOB + id, 0)
-                    .guard(Records.OPEN + id, 0)
-                    .put(Records.OPEN + id, Records.spec(submission.spec()));
+                    .guard(Records.JOB + submission.id(), 0)
+                    .guard(Records.OPEN + submission.id(), 0)
+                    .put(Records.OPEN + submission.id(), Records.spec(submission.spec()));
         }
-        state.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
+        stateStore.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
     }
 
     private void committed(List<Submission> batch, Result<Long> result) {
-        onTheirWay--;
-        if (result instanceof Conflict<Long> conflict) {
-            List<Submission> rest = new ArrayList<>();
-            List<Submission> known = new ArrayList<>();
-            for (Submission submission : batch) {
-                String id = submission.spec().id();
-                boolean isKnown = conflict.keys().contains(Records.JOB + id)
-                        || conflict.keys().contains(Records.OPEN + id);
-                (isKnown ? known : rest).add(submission);
-            }
-            // The others of the batch have done nothing wrong.
-            again(known.isEmpty() ? List.of() : rest);
-            tell(known, Outcome.KNOWN);
-            tell(known.isEmpty() ? rest : List.of(), Outcome.REFUSED);
-        } else if (result instanceof Refused<Long> refused && refused.status() == TOO_MANY && batch.size() > 1) {
-            // Too many changes at once: fewer may find room, and the others are told when to come back.
-            int half = batch.size() / 2;
-            again(batch.subList(0, half));
-            tell(batch.subList(half, batch.size()), Outcome.REFUSED);
-        } else if (result instanceof Refused<Long> refused && refused.status() == MALFORMED) {
-            // One of them the service will never take: the others must not share its fate.
-            if (batch.size() > 1) {
-                onTheirWay++;
-                send(batch.subList(0, 1));
-                again(batch.subList(1, batch.size()));
-            } else {
-                again(List.of());
-                tell(batch, Outcome.REFUSED);
-            }
-        } else if (result instanceof Ok<Long>) {
-            again(List.of());
-            tell(batch, Outcome.ACCEPTED);
+        inFlight--;
+        if (result instanceof Ok<Long>) {
+            sendNextBatch();
+            complete(batch, Outcome.ACCEPTED);
+        } else if (result instanceof Conflict<Long> conflict) {
+            conflicted(batch, conflict);
+        } else if (result instanceof Refused<Long> refused
+                && refused.status() == TOO_MANY_REQUESTS
+                && batch.size() > 1) {
+            retryHalf(batch);
+        } else if (result instanceof Refused<Long> refused && refused.status() == BAD_REQUEST) {
+            isolateMalformed(batch);
+        } else {
+            failAll(batch);
+        }
+    }
+
+    /** Jobs that exist must not keep the others of the batch from being stored. */
+    private void conflicted(List<Submission> batch, Conflict<Long> conflict) {
+        List<Submission> duplicates = new ArrayList<>();
+        List<Submission> others = new ArrayList<>();
+        for (Submission submission : batch) {
+            boolean exists = conflict.keys().contains(Records.JOB + submission.id())
+                    || conflict.keys().contains(Records.OPEN + submission.id());
+            (exists ? duplicates : others).add(submission);
+        }
+        if (duplicates.isEmpty()) {
+            sendNextBatch();
+            complete(others, Outcome.RETRY_LATER);
+        } else {
+            retry(others);
+            complete(duplicates, Outcome.DUPLICATE);
+        }
+    }
+
+    /** The rate of writes is exceeded: a smaller transaction may pass, and the other submissions are shed. */
+    private void retryHalf(List<Submission> batch) {
+        int half = batch.size() / 2;
+        retry(batch.subList(0, half));
+        complete(batch.subList(half, batch.size()), Outcome.RETRY_LATER);
+    }
+
+    /** The state store will never take one of the batch: it must not fail the others. */
+    private void isolateMalformed(List<Submission> batch) {
+        if (batch.size() > 1) {
+            send(batch.subList(0, 1));
+            send(batch.subList(1, batch.size()));
         } else {
-            // The service is down or out of reach: who waits learns it now, not one time-out after the other.
-            List<Submission> all = new ArrayList<>(batch);
-            all.addAll(waiting);
-            waiting.clear();
-            tell(all, Outcome.REFUSED);
+            sendNextBatch();
+            complete(batch, Outcome.RETRY_LATER);
         }
     }
 
-    private void again(List<Submission> first) {
-        if (first.isEmpty()) {
-            next();
+    /** The state store can't be reached: the queue fails now, rather than batch by batch after a timeout each. */
+    private void failAll(List<Submission> batch) {
+        List<Submission> all = new ArrayList<>(batch);
+        all.addAll(queue);
+        queue.clear();
+        complete(all, Outcome.RETRY_LATER);
+    }
+
+    private void retry(List<Submission> batch) {
+        if (batch.isEmpty()) {
+            sendNextBatch();
         } else {
-            onTheirWay++;
-            send(first);
+            send(batch);
         }
     }
 
-    private static void tell(List<Submission> submissions, Outcome outcome) {
+    private static void complete(List<Submission> submissions, Outcome outcome) {
         submissions.forEach(submission -> submission.then().accept(outcome));
     }
 }
