--- /dev/null
+++ b/src/main/java/notchpick/app/ControllerComponents.java
@@ -0,0 +1,134 @@
+package notchpick.app;
+
+import java.util.Optional;
+import java.util.Random;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Tuning;
+import notchpick.coordination.leader.Leader;
+import notchpick.coordination.leader.LeaderEnvironment;
+import notchpick.coordination.membership.ElectionPriority;
+import notchpick.coordination.membership.FailoverStateStoreTransport;
+import notchpick.coordination.membership.HeartbeatRouter;
+import notchpick.coordination.membership.LeaderElection;
+import notchpick.coordination.membership.LinkMonitor;
+import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.userapi.UserRequestHandler;
+import notchpick.protocol.CloudClient;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.peer.LinkTable;
+import notchpick.protocol.peer.Progress;
+import notchpick.protocol.peer.Pulse;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller;
+
+/** Builds the components of one controller and connects them. They refer to one another, so callbacks close cycles. */
+final class ControllerComponents {
+    private static final long STATE_STORE_TIMEOUT_MS = 1500;
+    private static final long CLOUD_TIMEOUT_MS = 5000;
+
+    private final LinkMonitor links;
+    private final PeerMembership peers;
+    private final StateStoreClient stateStore;
+    private final CloudClient cloud;
+    private final LocalLeader localLeader;
+    private final LeaderElection election;
+    private final HeartbeatRouter heartbeatRouter;
+    private final PeerAnnouncer announcer;
+    private final UserRequestHandler userRequests;
+
+    /** @param caller makes calls whose callbacks run in the controller's turn */
+    ControllerComponents(EventLoop loop, Deployment deployment, Tuning tuning, HttpCaller caller, Random random) {
+        long leaderLeaseMs = deployment.leaderLeaseMs(tuning);
+        links = new LinkMonitor(loop, deployment);
+        peers = new PeerMembership(
+                loop, deployment, caller, this::heartbeat, this::heartbeatReceived, links, this::linkTable);
+        FailoverStateStoreTransport stateStoreTransport =
+                new FailoverStateStoreTransport(loop, caller, links, peers, leaderLeaseMs);
+        stateStore = new StateStoreClient(
+                stateStoreTransport,
+                loop,
+                deployment.stateAddress(),
+                STATE_STORE_TIMEOUT_MS,
+                deployment.requestsPerS());
+        cloud = new CloudClient(caller, deployment.cloudAddress(), CLOUD_TIMEOUT_MS);
+        localLeader = new LocalLeader(
+                new LeaderEnvironment(loop, deployment, tuning, stateStore, cloud, peers, links, stateStoreTransport),
+                this::stepDown);
+        election = new LeaderElection(
+                loop,
+                deployment.node(),
+                stateStore,
+                random,
+                leaderLeaseMs,
+                new ElectionPriority(links, peers, stateStoreTransport, deployment.heartbeatPeriodMs(), leaderLeaseMs),
+                localLeader);
+        heartbeatRouter = new HeartbeatRouter(loop, deployment, election, peers, links);
+        announcer = new PeerAnnouncer(
+                deployment.node(), election, stateStore, stateStoreTransport, heartbeatRouter, localLeader);
+        userRequests = new UserRequestHandler(loop, deployment, stateStore, this::progress);
+    }
+
+    /** Starts the components that act by themselves. */
+    void start() {
+        election.tell(new LeaderElection.Begin());
+        peers.tell(new PeerMembership.Begin());
+        heartbeatRouter.tell(new HeartbeatRouter.Begin());
+    }
+
+    private Pulse heartbeat() {
+        return announcer.heartbeat();
+    }
+
+    private LinkTable linkTable() {
+        return announcer.linkTable(peers, links);
+    }
+
+    private void heartbeatReceived(Pulse heartbeat) {
+        election.tell(new LeaderElection.TermSeen(heartbeat.getTerm(), heartbeat.getLeader()));
+    }
+
+    private void stepDown(String reason) {
+        election.tell(new LeaderElection.StepDown(reason));
+    }
+
+    private Optional<Progress> progress(String job) {
+        Optional<Leader> leader = localLeader.current();
+        return Optional.ofNullable(leader.isPresent() ? leader.get().progress(job) : peers.progress(job));
+    }
+
+    LinkMonitor links() {
+        return links;
+    }
+
+    PeerMembership peers() {
+        return peers;
+    }
+
+    StateStoreClient stateStore() {
+        return stateStore;
+    }
+
+    CloudClient cloud() {
+        return cloud;
+    }
+
+    LocalLeader localLeader() {
+        return localLeader;
+    }
+
+    LeaderElection election() {
+        return election;
+    }
+
+    HeartbeatRouter heartbeatRouter() {
+        return heartbeatRouter;
+    }
+
+    PeerAnnouncer announcer() {
+        return announcer;
+    }
+
+    UserRequestHandler userRequests() {
+        return userRequests;
+    }
+}
--- /dev/null
+++ b/src/main/java/notchpick/app/PeerRequestDispatcher.java
@@ -0,0 +1,95 @@
+package notchpick.app;
+
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+import notchpick.coordination.leader.allocation.TaskPlacer;
+import notchpick.coordination.membership.PeerMembership;
+import notchpick.coordination.userapi.UserRequestHandler;
+import notchpick.protocol.PeerProtocol;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.peer.Grant;
+import notchpick.protocol.peer.LinkTable;
+import notchpick.protocol.peer.Pulse;
+import notchpick.protocol.peer.Relay;
+import notchpick.protocol.peer.Relayed;
+import notchpick.protocol.peer.ReportBatch;
+import notchpick.protocol.peer.StateCall;
+import notchpick.transport.CallbackExecutor;
+import notchpick.transport.EventLoop;
+import notchpick.transport.HttpCaller.Request;
+import notchpick.transport.HttpCaller.Response;
+
+/** Handles the messages of the other controllers, by type. */
+final class PeerRequestDispatcher {
+    private final String node;
+    private final EventLoop loop;
+    private final CallbackExecutor callbacks;
+    private final HeartbeatReceiver heartbeats;
+    private final PeerMembership peers;
+    private final PeerAnnouncer announcer;
+    private final StateStoreClient stateStore;
+    private final UserRequestHandler userRequests;
+
+    PeerRequestDispatcher(
+            String node,
+            EventLoop loop,
+            CallbackExecutor callbacks,
+            ControllerComponents components,
+            HeartbeatReceiver heartbeats) {
+        this.node = node;
+        this.loop = loop;
+        this.callbacks = callbacks;
+        this.heartbeats = heartbeats;
+        this.peers = components.peers();
+        this.announcer = components.announcer();
+        this.stateStore = components.stateStore();
+        this.userRequests = components.userRequests();
+    }
+
+    /** Handles a message that was received then, by the steady clock. */
+    void dispatch(Request request, Consumer<Response> reply, long receivedAt) {
+        Object message = request.path().equals(PeerProtocol.PATH) ? PeerProtocol.body(request.body()) : null;
+        if (message instanceof Pulse heartbeat) {
+            handleHeartbeat(heartbeat, reply);
+        } else if (message instanceof Grant grant) {
+            reply.accept(ControllerReplies.peerMessage(TaskPlacer.place(grant, node)));
+        } else if (message instanceof ReportBatch batch) {
+            heartbeats.receiveRelayed(batch, reply, receivedAt);
+        } else if (message instanceof StateCall call) {
+            relayToStateStore(call, reply, receivedAt);
+        } else if (message instanceof LinkTable table) {
+            exchangeLinks(table, reply);
+        } else if (message instanceof Relay relay) {
+            handleRelayedUserRequest(relay, reply);
+        } else {
+            reply.accept(ControllerReplies.badRequest());
+        }
+    }
+
+    private void handleHeartbeat(Pulse heartbeat, Consumer<Response> reply) {
+        peers.tell(new PeerMembership.Heard(heartbeat));
+        reply.accept(ControllerReplies.peerMessage(announcer.heartbeatReply()));
+    }
+
+    private void relayToStateStore(StateCall call, Consumer<Response> reply, long receivedAt) {
+        long timeLeftMs = call.getTimeoutMs() - (loop.now() - receivedAt);
+        stateStore.pass(
+                call.getMethod(),
+                call.getPath(),
+                PeerProtocol.content(call.getContent()),
+                timeLeftMs,
+                response -> reply.accept(ControllerReplies.peerMessage(ControllerReplies.relayed(response))));
+    }
+
+    private void exchangeLinks(LinkTable table, Consumer<Response> reply) {
+        peers.tell(new PeerMembership.LinksTold(table, own -> reply.accept(ControllerReplies.peerMessage(own))));
+    }
+
+    private void handleRelayedUserRequest(Relay relay, Consumer<Response> reply) {
+        byte[] body = relay.getContent().getBytes(StandardCharsets.UTF_8);
+        Request request = new Request(null, relay.getMethod(), relay.getPath(), body);
+        Consumer<Response> relayReply = response -> reply.accept(ControllerReplies.peerMessage(
+                new Relayed(response.status(), new String(response.body(), StandardCharsets.UTF_8))));
+        userRequests.tell(new UserRequestHandler.UserRequest(request, callbacks.inTurn(relayReply)));
+    }
+}
--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -14,6 +14,7 @@
 import notchpick.protocol.StateStoreClient.Transaction;
 import notchpick.protocol.UserProtocol;
 import notchpick.storage.Records;
+import notchpick.transport.CallbackExecutor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Response;
 import org.slf4j.Logger;
--- a/src/main/java/notchpick/coordination/userapi/JobReader.java
+++ b/src/main/java/notchpick/coordination/userapi/JobReader.java
@@ -12,6 +12,7 @@
 import notchpick.protocol.StateStoreClient.Ok;
 import notchpick.protocol.StateStoreClient.Result;
 import notchpick.storage.Records;
+import notchpick.transport.CallbackExecutor;
 
 /**
  * Reads single jobs, open or ended. The open ones are read first: a job that is not among them either has ended, and
