--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -111,9 +111,7 @@
                 Set.copyOf(graph.unresolved()),
                 found -> context.timer().after(0, () -> {
                     resolving = false;
-                    if (found != null) {
-                        found.forEach(this::ended);
-                    }
+                    found.ifPresent(outcomes -> outcomes.forEach(this::ended));
                     if (!graph.unresolved().isEmpty()) {
                         context.timer().after(RETRY_MS, this::resolveEnded);
                     }
@@ -131,8 +129,8 @@
 
     private void cascade() {
         // What will never run must not raise the priority of its dependencies.
-        graph.doomed().forEach(id -> updatePriorities(criticalPath.remove(id)));
-        if (!graph.doomed().isEmpty()) {
+        graph.cancelledByDependency().forEach(id -> updatePriorities(criticalPath.remove(id)));
+        if (!graph.cancelledByDependency().isEmpty()) {
             writer.write("cascade", this::prepareCascade);
         }
     }
@@ -141,7 +139,7 @@
     private Optional<PreparedChange> prepareCascade() {
         List<String> cancelled = new ArrayList<>();
         List<KeyWrite> writes = new ArrayList<>();
-        for (String id : graph.doomed()) {
+        for (String id : graph.cancelledByDependency()) {
             Job job = cluster.job(id);
             if (job != null && cancelled.size() < maxCascadeJobs) {
                 cancelled.add(id);
