--- /dev/null
+++ b/src/test/java/notchpick/FaultRun.java
@@ -0,0 +1,238 @@
+package notchpick;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.function.IntSupplier;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.protocol.InvalidMessageException;
+import notchpick.scheduling.Resources;
+import notchpick.simulation.ClusterConfig;
+import notchpick.simulation.Occurrence;
+import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedNetwork.Cut;
+import notchpick.simulation.SimulatedWorker;
+import notchpick.simulation.Transcript;
+import notchpick.simulation.WorkerTiming;
+
+/** One run of {@link FaultCombinationTest}: a cluster with work, all random decisions, and a log of what happened. */
+final class FaultRun {
+    /** Jobs that run long, for users to cancel. */
+    private static final int LONG_JOBS = 6;
+
+    /** The jobs that every run submits at its beginning. */
+    static final List<String> JOBS = Stream.concat(
+                    Stream.of("run-000001", "run-000002", "run-000003"),
+                    IntStream.range(0, LONG_JOBS).mapToObj(i -> "run-00001" + i))
+            .toList();
+
+    /** Jobs that arrive one after another while faults are active. */
+    private static final int STREAM_JOBS = 25;
+
+    private static final long STREAM_INTERVAL_MS = 2000;
+    /** An event that does not come about within so long is not waited for. */
+    private static final long MAX_WAIT_MS = 7000;
+
+    private static final long WAIT_STEP_MS = 10;
+
+    /** Switches a fault of a machine on or off. */
+    interface MachineFault {
+        void set(SimulatedWorker worker, boolean active);
+    }
+
+    private final List<String> eventLog = new ArrayList<>();
+    private final Random random;
+    private final SimulatedCluster cluster;
+    private int wideJobs;
+
+    /** A cluster of so many controllers with idle machines; nothing has been submitted. */
+    FaultRun(int seed, int controllers, WorkerTiming timing) {
+        random = new Random(seed);
+        cluster = new SimulatedCluster(ClusterConfig.builder()
+                .controllers(controllers)
+                .teams(List.of(
+                        new Quota("a", Resources.NONE, new Resources(40, 0, 0)),
+                        new Quota("b", Resources.NONE, Resources.NONE)))
+                .machineTypes(List.of(ClusterConfig.machineType("m8", 2)))
+                .requestsPerS(500)
+                .writesPerS(150)
+                .timing(timing)
+                .build());
+    }
+
+    /** Submits the jobs and lets the cluster work until faults may begin. */
+    void start(Transcript transcript) throws InvalidMessageException {
+        cluster.record(transcript);
+        cluster.setCapacity("m8", "east", true, 7);
+        cluster.setCapacity("m8", "west", true, 7);
+        cluster.time().runUntil(3000);
+        submit(JOBS.get(0), Map.of("tasks", "25", "team", "a"), 100);
+        submit(JOBS.get(1), Map.of("tasks", "90", "team", "a"), 9);
+        submit(JOBS.get(2), Map.of("tasks", "20", "team", "b", "one-zone", "yes"), 40);
+        for (String job : JOBS.subList(3, JOBS.size())) {
+            submit(job, Map.of("tasks", "5", "team", "b"), 150);
+        }
+        cluster.time().runUntil(20_000);
+        cluster.users().setReadAfterEachChange(true);
+        cluster.users().setCancelAtCompletionShare(0.2);
+        for (int i = 0; i < STREAM_JOBS; i++) {
+            String job = String.format("run-01%04d", i);
+            cluster.time().after(STREAM_INTERVAL_MS * i, () -> submitValid(job, Map.of("tasks", "3", "team", "b"), 5));
+        }
+    }
+
+    private void submitValid(String job, Map<String, String> options, double runS) {
+        try {
+            submit(job, options, runS);
+        } catch (InvalidMessageException e) {
+            throw new IllegalArgumentException(job, e);
+        }
+    }
+
+    private void submit(String job, Map<String, String> options, double runS) throws InvalidMessageException {
+        cluster.users().submit(Submissions.submission(job, options), runS, 0.8, false);
+    }
+
+    SimulatedCluster cluster() {
+        return cluster;
+    }
+
+    Random random() {
+        return random;
+    }
+
+    /** A random number, both bounds included. */
+    long between(long least, long most) {
+        return least + random.nextInt((int) (most - least + 1));
+    }
+
+    String anyController() {
+        return controllers().get(random.nextInt(controllers().size()));
+    }
+
+    List<String> controllers() {
+        return cluster.controllers().nodes();
+    }
+
+    List<String> controllersBut(String excluded) {
+        return controllers().stream().filter(node -> !node.equals(excluded)).toList();
+    }
+
+    List<SimulatedWorker> workers() {
+        return cluster.fleet().workers();
+    }
+
+    /** What has happened so far, a line each. */
+    String eventLog() {
+        return String.join("\n", eventLog);
+    }
+
+    void log(String event) {
+        eventLog.add("at " + cluster.time().now() / 1000.0 + " " + event);
+    }
+
+    /** Does something later and logs it then. */
+    void later(long delayMs, String event, Runnable work) {
+        cluster.time().after(delayMs, () -> {
+            log(event);
+            work.run();
+        });
+    }
+
+    // ---- faults --------------------------------------------------------------------------------
+
+    /** Injects the fault for a random time. */
+    void inject(Fault fault) {
+        String leader = cluster.controllers().leader().orElseGet(this::anyController);
+        long durationMs = switch (random.nextInt(3)) {
+            case 0 -> between(1000, 8000);
+            case 1 -> between(8000, 30_000);
+            default -> between(30_000, 70_000);
+        };
+        log(fault + " " + leader + " for " + durationMs / 1000.0);
+        fault.inject(this, leader, durationMs);
+    }
+
+    /** Cuts the link between two hosts or groups for a while. */
+    void cut(String one, String other, long durationMs) {
+        cluster.network().cut(one, other, Cut.HOLD);
+        cluster.time().after(durationMs, () -> cluster.network().heal(one, other));
+    }
+
+    /** Packets in one direction take longer for a while. */
+    void slowDown(String from, String to, long durationMs) {
+        cluster.network().delayOneWay(from, to, between(200, 3800));
+        later(
+                durationMs,
+                from + " to " + to + " is quick",
+                () -> cluster.network().delayOneWay(from, to, 0));
+    }
+
+    /** Some machines have the fault for a while. */
+    void disturbMachines(long durationMs, MachineFault fault) {
+        List<SimulatedWorker> some = workers().stream().limit(between(1, 20)).toList();
+        some.forEach(worker -> fault.set(worker, true));
+        later(durationMs, "machines are well", () -> some.forEach(worker -> fault.set(worker, false)));
+    }
+
+    /** The cloud takes back some machines, so many at most. */
+    void reclaimMachines(int most) {
+        cluster.fleet().machines().stream().limit(between(1, most)).forEach(cluster.cloud()::reclaim);
+    }
+
+    // ---- users ---------------------------------------------------------------------------------
+
+    /** Users cancel so many of the running jobs. */
+    List<String> cancelRunning(int count) {
+        List<String> jobs = cluster.cancelRunning(count);
+        log("users cancel " + jobs);
+        return jobs;
+    }
+
+    /** Users cancel some jobs, whose machines may hang then. */
+    void cancelSome() {
+        if (random.nextBoolean()) {
+            cancelWhileStarting();
+        }
+        List<String> jobs = cancelRunning((int) between(0, 2));
+        if (random.nextInt(4) == 0) {
+            cluster.fleet().hangMachinesOf(jobs, between(3000, 30_000));
+        }
+    }
+
+    /** A job is submitted, and cancelled while its tasks are being started. */
+    private void cancelWhileStarting() {
+        String job = String.format("run-02%04d", wideJobs++);
+        submitValid(job, Map.of("tasks", "24", "team", "b", "urgency", "high", "due", "60"), 60);
+        later(between(20, 6000), "users cancel " + job, () -> cluster.users().cancel(job));
+    }
+
+    // ---- time ----------------------------------------------------------------------------------
+
+    /** Goes on until close to an event of a random kind, for a random time, or not at all. */
+    void awaitRandomEvent() {
+        switch (random.nextInt(6)) {
+            case 0 -> awaitEvent("an election", () -> cluster.controllers().term());
+            case 1 ->
+                awaitEvent("a cancellation", () -> cluster.occurrences().count(Occurrence.CANCELLATION_CONFIRMED));
+            case 2 -> awaitEvent("a completion", () -> cluster.occurrences().count(Occurrence.TASK_COMPLETED));
+            case 3 -> awaitEvent("a boot", () -> cluster.cloud().bootedCount());
+            case 4 -> cluster.runFor(between(0, 5000));
+            default -> {}
+        }
+    }
+
+    /** Goes on until shortly after the event has come about once more, or has not for a while. */
+    private void awaitEvent(String event, IntSupplier count) {
+        int before = count.getAsInt();
+        long until = cluster.time().now() + MAX_WAIT_MS;
+        while (count.getAsInt() == before && cluster.time().now() < until) {
+            cluster.runFor(WAIT_STEP_MS);
+        }
+        log(count.getAsInt() == before ? "no " + event + " came" : "after " + event);
+        cluster.runFor(between(0, 400));
+    }
+}
--- a/src/test/java/notchpick/ScenarioExpectations.java
+++ b/src/test/java/notchpick/ScenarioExpectations.java
@@ -7,100 +7,105 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToIntFunction;
+import notchpick.simulation.Occurrence;
 import notchpick.simulation.SimulatedCluster;
-import notchpick.simulation.SimulatedWorker;
 
-/** What a scenario expects to have come about. */
+/** The verb {@code expect} of scenarios: what must have come about by then. */
 final class ScenarioExpectations {
-    private static final List<String> STATES = List.of("queued", "running", "done", "cancelled");
+    private static final List<String> JOB_STATES = List.of("queued", "running", "done", "cancelled");
 
     /** Figures that a scenario bounds by {@code at-most} or {@code at-least}; times in seconds. */
-    private static final Map<String, ToDoubleFunction<SimulatedCluster>> FIGURES = Map.ofEntries(
-            entry("starts-after-cancel", cluster -> cluster.rules().startsAfterCancel()),
-            entry("gone-after-cancel", cluster -> cluster.rules().longestAfterCancelMs() / 1000.0),
-            entry("order-after-cancel", cluster -> cluster.rules().longestOrderAfterCancelMs() / 1000.0),
-            entry("lost-starts", SimulatedCluster::lostStarts),
-            entry("killed-by-lease", cluster -> cluster.rules().killedByLease()),
-            entry("pause", cluster -> cluster.rules().longestPauseMs() / 1000.0),
+    private static final Map<String, ToDoubleFunction<SimulatedCluster>> BOUNDED_FIGURES = Map.ofEntries(
+            entry("starts-after-cancel", cluster -> cluster.invariants().startsAfterCancel()),
+            entry("gone-after-cancel", cluster -> cluster.invariants().longestRunAfterCancelMs() / 1000.0),
+            entry("order-after-cancel", cluster -> cluster.invariants().longestStartOrderAfterCancelMs() / 1000.0),
+            entry("lost-starts", SimulatedCluster::lostStartOrders),
+            entry("killed-by-lease", cluster -> cluster.invariants().killedByLeaseExpiry()),
+            entry("pause", cluster -> cluster.invariants().longestPauseMs() / 1000.0),
             entry(
                     "running",
-                    cluster -> cluster.workers().stream()
-                            .mapToInt(SimulatedWorker::live)
+                    cluster -> cluster.fleet().workers().stream()
+                            .mapToInt(worker -> worker.tasks().size())
                             .sum()),
-            entry("machines", cluster -> cluster.cloud().machines().size()),
-            entry("starts", cluster -> cluster.rules().starts()),
-            entry("rented", cluster -> cluster.cloud().rented()),
-            entry("over-requests", cluster -> cluster.state().overRequests()),
-            entry("writes", cluster -> cluster.state().writes()),
-            entry("turned-away", SimulatedCluster::turnedAway),
-            entry("over-rate", cluster -> cluster.state().overRate()));
+            entry("machines", cluster -> cluster.cloud().machineCount()),
+            entry("starts", cluster -> cluster.invariants().starts()),
+            entry("rented", cluster -> cluster.cloud().rentedCount()),
+            entry("over-requests", cluster -> cluster.stateStore().requestsOverRate()),
+            entry("writes", cluster -> cluster.stateStore().writes()),
+            entry("turned-away", cluster -> cluster.users().deferredSubmissions()),
+            entry("over-rate", cluster -> cluster.stateStore().transactionsOverRate()));
 
     /** Figures that a scenario gives exactly. */
-    private static final Map<String, ToIntFunction<SimulatedCluster>> COUNTS = Map.of(
-            "untold", SimulatedCluster::untold,
-            "malformed", cluster -> cluster.state().malformed(),
-            "term", SimulatedCluster::term);
+    private static final Map<String, ToIntFunction<SimulatedCluster>> EXACT_FIGURES = Map.of(
+            "untold", cluster -> cluster.users().deferredWithoutRetryAfter(),
+            "malformed", cluster -> cluster.stateStore().transactionsTooLarge(),
+            "term", cluster -> cluster.controllers().term());
 
     private ScenarioExpectations() {}
 
-    /** Fails where the expectation on this line does not hold. */
-    static void check(SimulatedCluster cluster, String[] words) {
-        String where = String.join(" ", words);
-        String what = words[3];
-        if (FIGURES.containsKey(what)) {
-            compare(where, FIGURES.get(what).applyAsDouble(cluster), words[4], words[5]);
-        } else if (COUNTS.containsKey(what)) {
-            assertEquals(Integer.parseInt(words[4]), COUNTS.get(what).applyAsInt(cluster), where);
+    /** Fails if the expectation on this line is not met. */
+    static void check(SimulatedCluster cluster, ScenarioStep step) {
+        String what = step.argument(0);
+        if (BOUNDED_FIGURES.containsKey(what)) {
+            assertWithinBound(step, 1, BOUNDED_FIGURES.get(what).applyAsDouble(cluster));
+        } else if (EXACT_FIGURES.containsKey(what)) {
+            assertEquals(step.intArgument(1), EXACT_FIGURES.get(what).applyAsInt(cluster), step.text());
         } else {
             switch (what) {
-                case "met" -> met(cluster, where, words);
+                case "met" -> checkOccurrence(cluster, step);
                 case "storm-answers" ->
-                    compare(where, cluster.stormAnswers(Integer.parseInt(words[4])), words[5], words[6]);
-                case "served" -> assertEquals(List.of(), cluster.rules().underserved(), where);
-                case "leader" -> leader(cluster, where, words);
-                case "status" -> assertEquals(Integer.parseInt(words[5]), cluster.lastStatus(words[4]), where);
-                default -> told(cluster, where, words);
+                    assertWithinBound(step, 2, cluster.users().pollBurstAnswers(step.intArgument(1)));
+                case "served" -> assertEquals(List.of(), cluster.invariants().underserved(), step.text());
+                case "leader" -> checkLeader(cluster, step);
+                case "status" ->
+                    assertEquals(step.intArgument(2), cluster.users().lastHttpStatus(step.argument(1)), step.text());
+                default -> checkJobState(cluster, step);
             }
         }
     }
 
-    private static void compare(String where, double figure, String bound, String limit) {
-        double number = Double.parseDouble(limit);
-        boolean holds = switch (bound) {
-            case "at-most" -> figure <= number;
-            case "at-least" -> figure >= number;
-            default -> throw new IllegalArgumentException("neither at-most nor at-least: " + bound);
+    /** @param index the index of the argument {@code at-most} or {@code at-least}, which the bound follows */
+    private static void assertWithinBound(ScenarioStep step, int index, double figure) {
+        String comparison = step.argument(index);
+        double bound = step.doubleArgument(index + 1);
+        boolean isWithin = switch (comparison) {
+            case "at-most" -> figure <= bound;
+            case "at-least" -> figure >= bound;
+            default -> throw new IllegalArgumentException("neither at-most nor at-least: " + comparison);
         };
-        assertTrue(holds, () -> where + ": " + figure);
+        assertTrue(isWithin, () -> step.text() + ": " + figure);
     }
 
-    private static void met(SimulatedCluster cluster, String where, String[] words) {
-        if (!SimulatedCluster.MEETINGS.contains(words[4])) {
-            throw new IllegalArgumentException("nothing is counted as " + words[4]);
-        }
-        compare(where, cluster.met(words[4]), words[5], words[6]);
+    private static void checkOccurrence(SimulatedCluster cluster, ScenarioStep step) {
+        Occurrence occurrence = Occurrence.ofScenarioWord(step.argument(1))
+                .orElseThrow(() -> new IllegalArgumentException("nothing is counted as " + step.argument(1)));
+        assertWithinBound(step, 2, cluster.occurrences().count(occurrence));
     }
 
-    private static void leader(SimulatedCluster cluster, String where, String[] words) {
-        switch (words[4]) {
-            case "none" -> assertEquals(null, cluster.leader(), where);
+    private static void checkLeader(SimulatedCluster cluster, ScenarioStep step) {
+        Optional<String> leader = cluster.controllers().leader();
+        switch (step.argument(1)) {
+            case "none" -> assertEquals(Optional.empty(), leader, step.text());
             case "not" -> {
-                assertTrue(cluster.leader() != null, where);
-                assertNotEquals(cluster.named(words[5]), cluster.leader(), where);
+                assertTrue(leader.isPresent(), step.text());
+                assertNotEquals(cluster.controllers().resolveAlias(step.argument(2)), leader.get(), step.text());
             }
-            default -> assertTrue(cluster.leader() != null, where);
+            default -> assertTrue(leader.isPresent(), step.text());
         }
     }
 
-    private static void told(SimulatedCluster cluster, String where, String[] words) {
-        if (!cluster.knows(words[3])) {
-            throw new IllegalArgumentException("no line before submits " + words[3]);
+    private static void checkJobState(SimulatedCluster cluster, ScenarioStep step) {
+        String job = step.argument(0);
+        String expectedState = step.argument(1);
+        if (!cluster.users().hasSubmitted(job)) {
+            throw new IllegalArgumentException("no line before submits " + job);
         }
-        if (!STATES.contains(words[4])) {
-            throw new IllegalArgumentException("no job is ever told to be " + words[4]);
+        if (!JOB_STATES.contains(expectedState)) {
+            throw new IllegalArgumentException("no job is ever told to be " + expectedState);
         }
-        assertEquals(words[4], cluster.told(words[3]), where);
+        assertEquals(expectedState, cluster.users().lastState(job), step.text());
     }
 }
--- a/src/test/java/notchpick/ScenarioInputTest.java
+++ b/src/test/java/notchpick/ScenarioInputTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A scenario with a mistake in it says where and what, and never passes for one that shows something. */
+/** A mistake in a scenario is reported with its place, so that the scenario never passes without testing anything. */
 class ScenarioInputTest {
     @ParameterizedTest
     @CsvSource(
@@ -34,7 +34,7 @@
                         + "| not a number in: at 3 expect order-after-cancel at-most soon",
                 "at 3 expect met looks at-least | a value is missing: at 3 expect met looks at-least",
             })
-    void saysWhereAndWhat(String line, String message) {
+    void mistakeIsReportedWithFileAndLine(String line, String message) {
         List<String> lines = List.of("# a remark", "at 2 submit run-000001 tasks 1 run 1", line);
         Exception e = assertThrows(IllegalArgumentException.class, () -> ScenarioTest.play("bad.txt", lines));
         assertEquals("bad.txt:3: " + message, e.getMessage());
--- a/src/test/java/notchpick/ScenarioTest.java
+++ b/src/test/java/notchpick/ScenarioTest.java
@@ -10,6 +10,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
+import notchpick.simulation.InvariantChecker;
 import notchpick.simulation.SimulatedCluster;
 import notchpick.simulation.Transcript;
 import org.junit.jupiter.api.parallel.Execution;
@@ -38,20 +39,20 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("scenarios")
-    void plays(Path file) throws Exception {
+    void passes(Path file) throws Exception {
         play(file.getFileName().toString(), Files.readAllLines(file));
     }
 
-    /** Something to be done that may find a line of a scenario to be wrong. */
-    private interface Reading {
+    /** Reads or plays a line of a scenario, which may be wrong. */
+    private interface LineAction {
         void run() throws Exception;
     }
 
-    /** What a scenario's author got wrong is told by file, line and one sentence. */
-    private static void reading(String name, int line, String text, Reading work) throws Exception {
+    /** Reports a mistake in a scenario with its file, its line and one sentence. */
+    private static void locateErrors(String name, int line, String text, LineAction action) throws Exception {
         String where = name + ":" + line + ": ";
         try {
-            work.run();
+            action.run();
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(where + "not a number in: " + text, e);
         } catch (IndexOutOfBoundsException e) {
@@ -73,29 +74,30 @@
         SimulatedCluster cluster = read(name, lines, steps);
         cluster.record(transcript);
         for (ScenarioStep step : steps) {
-            cluster.simulation().runUntil((long) (step.atS() * 1000));
-            reading(name, step.line(), String.join(" ", step.words()), () -> ScenarioVerbs.play(cluster, step.words()));
+            cluster.time().runUntil((long) (step.atS() * 1000));
+            locateErrors(name, step.line(), step.text(), () -> ScenarioVerbs.play(cluster, step));
         }
-        assertEquals(List.of(), cluster.rules().breaches());
-        assertTrue(cluster.rules().starts() > 0, "nothing_ran");
-        // All orders ride in answers to reports: none can be held up for longer than a report's sender waits.
+        InvariantChecker invariants = cluster.invariants();
+        assertEquals(List.of(), invariants.violations());
+        assertTrue(invariants.starts() > 0, "nothing_ran");
+        // Orders travel in answers to heartbeats alone: none can be held up for longer than its receiver waits.
         assertEquals(0, cluster.directCommands(), "direct commands");
         System.out.printf(
                 "%s: gone %.1f s and ordered %.1f s after a cancellation at the latest, %d orders and %d starts after one%n",
                 name,
-                cluster.rules().longestAfterCancelMs() / 1000.0,
-                cluster.rules().longestOrderAfterCancelMs() / 1000.0,
-                cluster.rules().ordersAfterCancel(),
-                cluster.rules().startsAfterCancel());
+                invariants.longestRunAfterCancelMs() / 1000.0,
+                invariants.longestStartOrderAfterCancelMs() / 1000.0,
+                invariants.startOrdersAfterCancel(),
+                invariants.startsAfterCancel());
     }
 
-    /** The deployment that the lines without a time describe; the others are put into order. */
+    /** Starts the deployment that the lines without a time describe, and sorts the others by time. */
     private static SimulatedCluster read(String name, List<String> lines, List<ScenarioStep> steps) throws Exception {
         ScenarioDeployment description = new ScenarioDeployment();
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
             int number = i + 1;
-            reading(name, number, line, () -> description.read(line.strip().split("\\s+"), number, steps));
+            locateErrors(name, number, line, () -> description.read(line.strip().split("\\s+"), number, steps));
         }
         steps.sort(Comparator.comparingDouble(ScenarioStep::atS));
         return description.start();
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -2,9 +2,9 @@
 
 import static java.util.Map.entry;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
 import notchpick.simulation.SimulatedCloud.Listing;
@@ -12,200 +12,217 @@
 import notchpick.simulation.SimulatedNetwork.Cut;
 import notchpick.simulation.SimulatedWorker;
 
-/** What a scenario's lines bring about, verb by verb. */
+/** What the verbs of scenarios do. */
 final class ScenarioVerbs {
     /** What a verb does. */
     private interface Verb {
-        void run(SimulatedCluster cluster, String[] words) throws InvalidMessageException;
+        void run(SimulatedCluster cluster, ScenarioStep step) throws InvalidMessageException;
     }
 
-    private static final Map<String, Verb> VERBS = Map.ofEntries(
-            entry(
-                    "submit",
-                    (cluster, words) -> Submissions.submit(cluster, first(words), Submissions.options(words, 4))),
-            entry(
-                    "try",
-                    (cluster, words) -> cluster.send(
-                            first(words),
-                            Json.bytes(Submissions.submission(first(words), Submissions.options(words, 4))))),
-            entry("burst", (cluster, words) -> {
-                for (int i = 0; i < Integer.parseInt(words[4]); i++) {
-                    Submissions.submit(cluster, first(words) + (100 + i), Submissions.options(words, 5));
+    /** A direction of traffic between two hosts or groups. */
+    private record Link(String from, String to) {}
+
+    private static final Map<String, Verb> USER_VERBS = Map.ofEntries(
+            entry("submit", (cluster, step) -> Submissions.submit(cluster, step.subject(), step.options(1))),
+            entry("try", (cluster, step) -> submitOnce(cluster, step)),
+            entry("burst", (cluster, step) -> {
+                for (int i = 0; i < step.intArgument(1); i++) {
+                    Submissions.submit(cluster, step.subject() + (100 + i), step.options(2));
                 }
             }),
-            entry("resubmit", (cluster, words) -> cluster.resubmit(first(words))),
-            entry("cancel", (cluster, words) -> cluster.cancel(first(words))),
-            entry("ask", (cluster, words) -> cluster.poll(first(words))),
-            entry("crash", (cluster, words) -> {
-                long restartMs = words.length > 4 ? (long) (Double.parseDouble(words[4]) * 1000) : -1;
-                if (first(words).equals("all")) {
-                    cluster.nodes().forEach(node -> cluster.crash(node, restartMs));
-                } else {
-                    cluster.crash(node(cluster, first(words)), restartMs);
+            entry("stream", (cluster, step) -> Submissions.stream(cluster, step.subject(), step.options(1))),
+            entry("resubmit", (cluster, step) -> cluster.users().resubmit(step.subject())),
+            entry("odd-requests", (cluster, step) -> Submissions.sendInvalid(cluster, step.subject())),
+            entry("cancel", (cluster, step) -> cluster.users().cancel(step.subject())),
+            entry("cancel-now", (cluster, step) -> {
+                List<String> jobs = cluster.cancelRunning(step.intArgument(0));
+                if (step.hasArgument(1)) {
+                    cluster.fleet().hangMachinesOf(jobs, step.millisArgument(2));
                 }
             }),
+            entry(
+                    "cancel-at-end",
+                    (cluster, step) -> cluster.users().setCancelAtCompletionShare(step.doubleArgument(0))),
+            entry("ask", (cluster, step) -> cluster.users().poll(step.subject())),
+            entry("storm", (cluster, step) -> cluster.users().pollBurst(step.subject(), step.intArgument(1))),
+            entry("look", (cluster, step) -> cluster.users().readAtAllControllers(step.subject())),
+            entry("close-looks", (cluster, step) -> cluster.users().setReadAfterEachChange(step.isOn(0))),
+            entry("looks-at-elections", (cluster, step) -> cluster.users().setReadAtElections(step.isOn(0))));
+
+    private static final Map<String, Verb> CONTROLLER_AND_LINK_VERBS = Map.ofEntries(
+            entry("crash", (cluster, step) -> crash(cluster, step)),
             entry(
                     "silence",
-                    (cluster, words) ->
-                            cluster.silence(node(cluster, first(words)), (long) (Double.parseDouble(words[4]) * 1000))),
+                    (cluster, step) -> cluster.controllers()
+                            .losePower(controller(cluster, step.subject()), step.millisArgument(1))),
             entry(
                     "freeze",
-                    (cluster, words) ->
-                            cluster.freeze(node(cluster, first(words)), (long) (Double.parseDouble(words[4]) * 1000))),
-            entry("storm", (cluster, words) -> cluster.storm(first(words), Integer.parseInt(words[4]))),
-            entry("boots", (cluster, words) -> cluster.cloud().boots(Double.parseDouble(first(words)))),
-            entry("cut", (cluster, words) -> {
-                Cut how = Cut.valueOf(words[5].toUpperCase());
-                ends(cluster, first(words), words[4])
-                        .forEach(pair -> cluster.network().cut(pair[0], pair[1], how));
+                    (cluster, step) ->
+                            cluster.controllers().freeze(controller(cluster, step.subject()), step.millisArgument(1))),
+            entry(
+                    "name",
+                    (cluster, step) ->
+                            cluster.controllers().setAlias(step.subject(), controller(cluster, step.argument(1)))),
+            entry("cut", (cluster, step) -> {
+                Cut cut = Cut.valueOf(step.argument(2).toUpperCase());
+                links(cluster, step).forEach(link -> cluster.network().cut(link.from(), link.to(), cut));
             }),
-            // Requests of the first to the second still pass, or answers do.
+            // Requests of the first to the second still pass.
             entry(
                     "cut-answers",
-                    (cluster, words) -> ends(cluster, first(words), words[4])
-                            .forEach(pair -> cluster.network().cutOneWay(pair[1], pair[0], Cut.HOLD))),
+                    (cluster, step) -> links(cluster, step)
+                            .forEach(link -> cluster.network().cutOneWay(link.to(), link.from(), Cut.HOLD))),
+            // Answers of the second to the first still pass.
             entry(
                     "cut-requests",
-                    (cluster, words) -> ends(cluster, first(words), words[4])
-                            .forEach(pair -> cluster.network().cutOneWay(pair[0], pair[1], Cut.HOLD))),
-            // Packets one way take so long; 0: no longer.
+                    (cluster, step) -> links(cluster, step)
+                            .forEach(link -> cluster.network().cutOneWay(link.from(), link.to(), Cut.HOLD))),
+            // Packets in one direction take this much longer; 0: no longer.
             entry(
                     "slow",
-                    (cluster, words) -> ends(cluster, first(words), words[4])
-                            .forEach(pair -> cluster.network().delayOneWay(pair[0], pair[1], millis(words[5])))),
+                    (cluster, step) -> links(cluster, step)
+                            .forEach(link ->
+                                    cluster.network().delayOneWay(link.from(), link.to(), step.millisArgument(2)))),
             entry(
                     "heal",
-                    (cluster, words) -> ends(cluster, first(words), words[4])
-                            .forEach(pair -> cluster.network().heal(pair[0], pair[1]))),
-            entry("name", (cluster, words) -> cluster.name(first(words), node(cluster, words[4]))),
-            entry("watch-pauses", (cluster, words) -> cluster.rules().watchPauses()),
-            entry("outage", (cluster, words) -> cluster.outage(isOn(words[3]))),
-            entry("looks-at-elections", (cluster, words) -> cluster.looksAtElections(isOn(words[3]))),
-            entry("refuse", (cluster, words) -> cluster.refuse(node(cluster, first(words)), isOn(words[4]))),
+                    (cluster, step) -> links(cluster, step)
+                            .forEach(link -> cluster.network().heal(link.from(), link.to()))),
+            entry(
+                    "late-reports",
+                    (cluster, step) -> cluster.duplicateHeartbeats(step.doubleArgument(0), hasFlag(step, "for-next"))));
+
+    private static final Map<String, Verb> STATE_STORE_VERBS = Map.ofEntries(
+            entry("outage", (cluster, step) -> cluster.setOutage(step.isOn(0))),
+            entry("refuse", (cluster, step) -> cluster.setRefused(controller(cluster, step.subject()), step.isOn(1))),
             entry(
                     "refuse-none",
-                    (cluster, words) ->
-                            cluster.nodes().forEach(node -> cluster.state().refuse(node, false))),
-            entry("watches-hang", (cluster, words) -> cluster.state().watchesHang(isOn(words[3]))),
-            entry("lists-take", (cluster, words) -> cluster.state().lists(millis(first(words)))),
-            entry("pages", (cluster, words) -> cluster.state().pages(Integer.parseInt(first(words)))),
-            entry("limits-fall", (cluster, words) -> cluster.limitsFall()),
+                    (cluster, step) -> cluster.controllers()
+                            .nodes()
+                            .forEach(node -> cluster.stateStore().setRefused(node, false))),
+            entry("watches-hang", (cluster, step) -> cluster.stateStore().setWatchesHanging(step.isOn(0))),
+            entry("lists-take", (cluster, step) -> cluster.stateStore().setListDelay(step.millisArgument(0))),
+            entry("pages", (cluster, step) -> cluster.stateStore().setMaxListItems(step.intArgument(0))),
+            entry("limits-fall", (cluster, step) -> cluster.enforceAnnouncedLimits()),
             entry(
                     "lose-commits",
-                    (cluster, words) -> cluster.state()
-                            .loseCommits(Integer.parseInt(first(words)), (long) (Double.parseDouble(words[4]) * 1000))),
-            entry("cloud", (cluster, words) -> cluster.cloud().down(first(words).equals("down"))),
-            entry("cloud-lists", (cluster, words) -> cluster.cloud().listing(Listing.valueOf(first(words)))),
-            entry(
-                    "late-release",
-                    (cluster, words) ->
-                            cluster.cloud().nextReleaseLate((long) (Double.parseDouble(first(words)) * 1000))),
-            entry(
-                    "late-rental",
-                    (cluster, words) ->
-                            cluster.cloud().nextRentalLate((long) (Double.parseDouble(first(words)) * 1000))),
-            entry("never-up", (cluster, words) -> cluster.cloud().neverUp(Integer.parseInt(first(words)))),
-            entry("die", (cluster, words) -> cluster.cloud().take(machine(cluster, first(words)))),
+                    (cluster, step) -> cluster.stateStore().loseCommits(step.intArgument(0), step.millisArgument(1))),
             entry(
-                    "hang",
-                    (cluster, words) ->
-                            cluster.worker(machine(cluster, first(words))).hang(true)),
+                    "late-writes",
+                    (cluster, step) -> cluster.stateStore()
+                            .setUnansweredCommits(step.doubleArgument(0), hasFlag(step, "at-once"))));
+
+    private static final Map<String, Verb> MACHINE_VERBS = Map.ofEntries(
+            entry("boots", (cluster, step) -> cluster.cloud().setBootTimeFactor(step.doubleArgument(0))),
+            entry(
+                    "cloud",
+                    (cluster, step) ->
+                            cluster.cloud().setUnavailable(step.subject().equals("down"))),
+            entry("cloud-lists", (cluster, step) -> cluster.cloud().setListing(Listing.valueOf(step.subject()))),
+            entry("late-release", (cluster, step) -> cluster.cloud().delayNextRelease(step.millisArgument(0))),
+            entry("late-rental", (cluster, step) -> cluster.cloud().delayNextRental(step.millisArgument(0))),
+            entry("never-up", (cluster, step) -> cluster.cloud().failNextBoots(step.intArgument(0))),
+            entry("die", (cluster, step) -> cluster.cloud().reclaim(machine(cluster, step.subject()))),
+            entry("wave", (cluster, step) -> reclaimAll(cluster, step.subject())),
             entry(
-                    "hang-for",
-                    (cluster, words) -> cluster.hang(cluster.worker(machine(cluster, first(words))), millis(words[4]))),
+                    "notice",
+                    (cluster, step) -> cluster.fleet()
+                            .workers()
+                            .forEach(worker -> worker.announceReclaim(step.doubleArgument(0)))),
+            entry("hang", (cluster, step) -> worker(cluster, step).setHanging(true)),
+            entry("hang-for", (cluster, step) -> cluster.fleet().hang(worker(cluster, step), step.millisArgument(1))),
             entry(
                     "hang-some",
-                    (cluster, words) -> List.copyOf(cluster.workers()).stream()
-                            .limit(Integer.parseInt(first(words)))
-                            .forEach(worker -> cluster.hang(worker, millis(words[4])))),
-            entry("deaf", (cluster, words) -> some(cluster, first(words)).forEach(worker -> worker.deaf(true))),
-            entry("mute", (cluster, words) -> some(cluster, first(words)).forEach(worker -> worker.mute(true))),
+                    (cluster, step) -> cluster.fleet().workers().stream()
+                            .limit(step.intArgument(0))
+                            .forEach(worker -> cluster.fleet().hang(worker, step.millisArgument(1)))),
+            entry("unhang", (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
+            entry("deaf", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
+            entry("mute", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
             entry(
                     "all-hear",
-                    (cluster, words) -> cluster.workers().forEach(worker -> {
-                        worker.deaf(false);
-                        worker.mute(false);
+                    (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
+                        worker.setDeaf(false);
+                        worker.setMute(false);
                     })),
-            entry(
-                    "late-writes",
-                    (cluster, words) -> cluster.state()
-                            .lateWrites(
-                                    Double.parseDouble(first(words)), words.length > 4 && words[4].equals("at-once"))),
-            entry(
-                    "late-reports",
-                    (cluster, words) -> cluster.lateReports(
-                            Double.parseDouble(first(words)), words.length > 4 && words[4].equals("for-next"))),
-            entry("cancel-now", (cluster, words) -> {
-                List<String> jobs = cluster.cancelNow(Integer.parseInt(first(words)));
-                if (words.length > 4) {
-                    cluster.hangMachinesOf(jobs, millis(words[5]));
-                }
-            }),
-            entry("cancel-at-end", (cluster, words) -> cluster.cancelAtEnd(Double.parseDouble(first(words)))),
-            entry("look", (cluster, words) -> cluster.look(first(words))),
-            entry("close-looks", (cluster, words) -> cluster.closeLooks(isOn(words[3]))),
-            entry("odd-requests", (cluster, words) -> Submissions.oddRequests(cluster, first(words))),
-            entry(
-                    "stream",
-                    (cluster, words) -> Submissions.stream(cluster, first(words), Submissions.options(words, 4))),
-            entry("troubles-over", (cluster, words) -> cluster.troublesOver()),
-            entry("unhang", (cluster, words) -> cluster.workers().forEach(worker -> worker.hang(false))),
-            entry(
-                    "sick",
-                    (cluster, words) ->
-                            cluster.worker(machine(cluster, first(words))).sick()),
-            entry("wave", (cluster, words) -> wave(cluster, first(words))),
-            entry(
-                    "notice",
-                    (cluster, words) ->
-                            cluster.workers().forEach(worker -> worker.notice(Double.parseDouble(first(words))))),
-            entry("expect", (cluster, words) -> ScenarioExpectations.check(cluster, words)));
+            entry("sick", (cluster, step) -> worker(cluster, step).setSick()));
+
+    private static final Map<String, Verb> CHECK_VERBS = Map.of(
+            "expect", ScenarioExpectations::check,
+            "watch-pauses", (cluster, step) -> cluster.invariants().resetLongestPause(),
+            "troubles-over", (cluster, step) -> cluster.faultsOver());
 
     private ScenarioVerbs() {}
 
-    /** A controller by its own name, as who leads now, or by a name given earlier in the scenario. */
-    private static String node(SimulatedCluster cluster, String word) {
-        return word.equals("leader") ? cluster.leader() : cluster.named(word);
+    /** Carries out one step of a scenario. */
+    static void play(SimulatedCluster cluster, ScenarioStep step) throws InvalidMessageException {
+        Stream.of(USER_VERBS, CONTROLLER_AND_LINK_VERBS, STATE_STORE_VERBS, MACHINE_VERBS, CHECK_VERBS)
+                .filter(verbs -> verbs.containsKey(step.verb()))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("unknown word " + step.verb()))
+                .get(step.verb())
+                .run(cluster, step);
     }
 
-    private static String machine(SimulatedCluster cluster, String word) {
-        if (word.equals("busy")) {
-            return cluster.machines().stream()
-                    .filter(name -> cluster.worker(name).live() > 0)
-                    .findFirst()
-                    .orElseThrow();
-        }
-        return word;
+    private static boolean hasFlag(ScenarioStep step, String flag) {
+        return step.hasArgument(1) && step.argument(1).equals(flag);
+    }
+
+    /** A controller by its own name, as the present leader, or by an alias given earlier in the scenario. */
+    private static String controller(SimulatedCluster cluster, String word) {
+        return word.equals("leader")
+                ? cluster.controllers().leader().orElseThrow()
+                : cluster.controllers().resolveAlias(word);
     }
 
-    /** Carries out one line of a scenario. */
-    static void play(SimulatedCluster cluster, String[] words) throws InvalidMessageException {
-        Verb verb = VERBS.get(words[2]);
-        if (verb == null) {
-            throw new IllegalArgumentException("unknown word " + words[2]);
+    private static void crash(SimulatedCluster cluster, ScenarioStep step) {
+        List<String> nodes = step.subject().equals("all")
+                ? cluster.controllers().nodes()
+                : List.of(controller(cluster, step.subject()));
+        for (String node : nodes) {
+            if (step.hasArgument(1)) {
+                cluster.controllers().crash(node, step.millisArgument(1));
+            } else {
+                cluster.controllers().crash(node);
+            }
         }
-        verb.run(cluster, words);
     }
 
-    private static String first(String[] words) {
-        return words.length > 3 ? words[3] : "";
+    private static void submitOnce(SimulatedCluster cluster, ScenarioStep step) {
+        String job = step.subject();
+        cluster.users().submitOnce(job, Json.bytes(Submissions.submission(job, step.options(1))));
     }
 
-    private static boolean isOn(String word) {
-        return switch (word) {
-            case "on" -> true;
-            case "off" -> false;
-            default -> throw new IllegalArgumentException("neither on nor off: " + word);
-        };
+    /** The links between the first and the second argument, where "peers" stands for all other controllers. */
+    private static List<Link> links(SimulatedCluster cluster, ScenarioStep step) {
+        String from = controller(cluster, step.subject());
+        if (!step.argument(1).equals("peers")) {
+            return List.of(new Link(from, controller(cluster, step.argument(1))));
+        }
+        return cluster.controllers().nodes().stream()
+                .filter(node -> !node.equals(from))
+                .map(node -> new Link(from, node))
+                .toList();
     }
 
-    private static long millis(String seconds) {
-        return (long) (Double.parseDouble(seconds) * 1000);
+    /** A machine by its name, or the first one with a task. */
+    private static String machine(SimulatedCluster cluster, String word) {
+        if (!word.equals("busy")) {
+            return word;
+        }
+        return cluster.fleet().workers().stream()
+                .filter(worker -> !worker.tasks().isEmpty())
+                .findFirst()
+                .orElseThrow()
+                .name();
     }
 
-    /** All machines, those of a zone, or the first so many. */
-    private static List<SimulatedWorker> some(SimulatedCluster cluster, String which) {
-        List<SimulatedWorker> all = cluster.workers();
+    private static SimulatedWorker worker(SimulatedCluster cluster, ScenarioStep step) {
+        return cluster.fleet().worker(machine(cluster, step.subject()));
+    }
+
+    /** All workers, those of a zone, or the first so many. */
+    private static List<SimulatedWorker> workers(SimulatedCluster cluster, String which) {
+        List<SimulatedWorker> all = cluster.fleet().workers();
         if (Character.isDigit(which.charAt(0))) {
             return all.stream().limit(Integer.parseInt(which)).toList();
         }
@@ -214,22 +231,11 @@
                 .toList();
     }
 
-    private static void wave(SimulatedCluster cluster, String zone) {
-        List.copyOf(cluster.machines()).stream()
-                .filter(name -> zone.equals("all") || cluster.zone(name).equals(zone))
-                .forEach(cluster.cloud()::take);
-    }
-
-    private static List<String[]> ends(SimulatedCluster cluster, String one, String other) {
-        String from = node(cluster, one);
-        List<String[]> pairs = new ArrayList<>();
-        switch (other) {
-            case "peers" ->
-                cluster.nodes().stream()
-                        .filter(node -> !node.equals(from))
-                        .forEach(node -> pairs.add(new String[] {from, node}));
-            default -> pairs.add(new String[] {from, node(cluster, other)});
-        }
-        return pairs;
+    /** The cloud takes back all machines, or those of a zone. */
+    private static void reclaimAll(SimulatedCluster cluster, String zone) {
+        cluster.fleet().machines().stream()
+                .filter(name ->
+                        zone.equals("all") || cluster.fleet().zoneOf(name).equals(zone))
+                .forEach(cluster.cloud()::reclaim);
     }
 }
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -13,7 +13,7 @@
 
 /** What users submit in tests: jobs, streams of jobs, and what must not be accepted. */
 final class Submissions {
-    /** What may be said of a job, each with a value. */
+    /** The options of a job in scenario files, each with a value. */
     private static final Set<String> OPTIONS = Set.of(
             "tasks",
             "run",
@@ -40,7 +40,7 @@
             "per-second",
             "for",
             "cancel");
-    /** What a submission must not lack. */
+    /** The required fields of a submission. */
     private static final List<String> REQUIRED = List.of(
             "workclass",
             "ownerDesk",
@@ -61,40 +61,43 @@
 
     private Submissions() {}
 
-    /** So many jobs a second for a while, a share of which their users call off a second or two later. */
+    /** Submits so many jobs a second for a while, a share of which their users cancel some seconds later. */
     static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options)
             throws InvalidMessageException {
-        double perS = Double.parseDouble(options.get("per-second"));
-        int jobs = (int) (perS * Double.parseDouble(options.get("for")));
-        double share = Double.parseDouble(options.getOrDefault("cancel", "0"));
+        double jobsPerS = Double.parseDouble(options.get("per-second"));
+        int jobs = (int) (jobsPerS * Double.parseDouble(options.get("for")));
+        double cancelShare = Double.parseDouble(options.getOrDefault("cancel", "0"));
         Random random = new Random(jobs);
         for (int i = 0; i < jobs; i++) {
             String id = prefix + (1000 + i);
-            long at = (long) (1000 * i / perS);
-            cluster.simulation().after(at, () -> {
+            long submitAtMs = (long) (1000 * i / jobsPerS);
+            cluster.time().after(submitAtMs, () -> {
                 try {
                     submit(cluster, id, options);
                 } catch (InvalidMessageException e) {
                     throw new IllegalArgumentException(id, e);
                 }
             });
-            if (random.nextDouble() < share) {
-                cluster.simulation().after(at + 200 + random.nextInt(4000), () -> cluster.cancel(id));
+            if (random.nextDouble() < cancelShare) {
+                cluster.time()
+                        .after(
+                                submitAtMs + 200 + random.nextInt(4000),
+                                () -> cluster.users().cancel(id));
             }
         }
     }
 
-    /** Users submit a job again, and send everything that can't run or lacks a field, at all controllers. */
-    static void oddRequests(SimulatedCluster cluster, String job) {
-        cluster.resubmit(job);
+    /** Users submit a job again, and send submissions that can't run or lack a field to all controllers. */
+    static void sendInvalid(SimulatedCluster cluster, String job) {
+        cluster.users().resubmit(job);
         int number = 0;
         for (String field : REQUIRED) {
             String id = String.format("run-99%04d", number++);
             ObjectNode body = submission(id, Map.of());
             body.remove(field);
-            cluster.sendUnfit(id, Json.bytes(body));
+            cluster.users().submitInvalid(id, Json.bytes(body));
         }
-        for (Map<String, String> unfit : List.of(
+        for (Map<String, String> invalid : List.of(
                 Map.of("cores", "1000"),
                 Map.of("team", "nobody"),
                 Map.of("types", "m-none"),
@@ -106,11 +109,11 @@
                 Map.of("urgency", "soon"),
                 Map.of("form", "gang"))) {
             String id = String.format("run-99%04d", number++);
-            cluster.sendUnfit(id, Json.bytes(submission(id, unfit)));
+            cluster.users().submitInvalid(id, Json.bytes(submission(id, invalid)));
         }
     }
 
-    /** Reads pairs of words. */
+    /** Reads pairs of option and value. */
     static Map<String, String> options(String[] words, int start) {
         Map<String, String> options = new HashMap<>();
         for (int i = start; i < words.length; i += 2) {
@@ -160,13 +163,14 @@
         return body;
     }
 
-    /** Submits a job; what the service is not told, such as its run time, goes to the stand-ins. */
+    /** Submits a job; options that the service does not know, such as its run time, go to the stand-ins. */
     static void submit(SimulatedCluster cluster, String job, Map<String, String> options)
             throws InvalidMessageException {
-        cluster.submit(
-                submission(job, options),
-                Double.parseDouble(options.getOrDefault("run", "20")),
-                Double.parseDouble(options.getOrDefault("vary", "0")),
-                options.containsKey("fails"));
+        cluster.users()
+                .submit(
+                        submission(job, options),
+                        Double.parseDouble(options.getOrDefault("run", "20")),
+                        Double.parseDouble(options.getOrDefault("vary", "0")),
+                        options.containsKey("fails"));
     }
 }
--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -1,8 +1,8 @@
 package notchpick.archive;
 
+import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -30,10 +30,13 @@
 import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.Resources;
+import notchpick.simulation.LoopbackAddresses;
 import notchpick.simulation.SimulatedCloud;
 import notchpick.simulation.SimulatedStateStore;
+import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
 import notchpick.transport.JettyHttpServer;
+import notchpick.transport.Timer;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -46,99 +49,80 @@
 public final class ClassDataArchiveTraining {
     private static final HttpClient HTTP =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
+    private static final long STOP_TIMEOUT_S = 30;
+
+    /** Where the stand-ins and the controller serve. */
+    private record Addresses(String stateStore, String cloud, String users, String peers, String otherController) {
+        static Addresses allocate() throws IOException {
+            List<String> free = LoopbackAddresses.allocate(5);
+            return new Addresses(free.get(0), free.get(1), free.get(2), free.get(3), free.get(4));
+        }
+    }
 
     private ClassDataArchiveTraining() {}
 
-    /** Plays; a controller that does not come up fails the build. */
+    /** Runs the training; a controller that does not come up fails the build. */
     public static void main(String[] args) throws Exception {
-        ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        SimulatedStateStore state = new SimulatedStateStore(
-                System::currentTimeMillis,
-                (delayMs, work) -> timer.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS),
-                12,
-                300,
-                100);
-        MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
-        SimulatedCloud cloud = new SimulatedCloud(
-                System::currentTimeMillis,
-                (delayMs, work) -> timer.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS),
-                Map.of("m8", type),
-                rented -> {},
-                name -> {});
-        cloud.capacity(new Pool("m8", "east", true), 4);
-        HttpHandler stateInTurn = (call, reply) -> timer.execute(() -> state.handle(call, reply));
-        HttpHandler cloudInTurn = (call, reply) -> timer.execute(() -> cloud.handle(call, reply));
-        List<String> ports = freeAddresses(5);
-        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
-        threads.start();
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-        scheduler.start();
-        JettyHttpServer server = new JettyHttpServer(
-                threads,
-                scheduler,
-                new ArrayByteBufferPool(),
-                Map.of(
-                        ports.get(0),
-                        stateInTurn,
-                        ports.get(1),
-                        cloudInTurn,
-                        ports.get(4),
-                        (call, reply) -> reply.accept(
-                                new notchpick.transport.HttpCaller.Response(200, PeerProtocol.bytes(pulse())))),
-                "",
-                30_000,
-                1000,
-                2000);
-        server.start();
+        Addresses addresses = Addresses.allocate();
+        startServer(addresses);
         Path settings = Files.createTempFile("rehearsal", ".json");
-        Files.write(settings, Json.bytes(settings(ports)));
+        Files.write(settings, Json.bytes(settings(addresses)));
         List<String> command = new ArrayList<>(List.of(args));
         command.add(settings.toString());
         Process controller = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
+        int exitStatus = 0;
         try {
-            play("http://" + ports.get(2), "http://" + ports.get(3));
+            exchangeMessages("http://" + addresses.users(), "http://" + addresses.peers());
         } catch (IllegalStateException e) {
             System.err.println("rehearsal: " + e.getMessage());
-            // The stand-ins' threads must not hold the build up.
-            controller.destroy();
-            System.exit(1);
+            exitStatus = 1;
         } finally {
             controller.destroy();
-            controller.waitFor(30, TimeUnit.SECONDS);
+            controller.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS);
             Files.deleteIfExists(settings);
         }
-        System.exit(0);
+        // Threads of the stand-ins must not hold the build up.
+        System.exit(exitStatus);
     }
 
-    private static List<String> freeAddresses(int count) throws IOException {
-        List<ServerSocket> sockets = new ArrayList<>();
-        List<String> addresses = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            ServerSocket socket = new ServerSocket(0);
-            sockets.add(socket);
-            addresses.add("127.0.0.1:" + socket.getLocalPort());
-        }
-        for (ServerSocket socket : sockets) {
-            socket.close();
-        }
-        return addresses;
+    /** Serves the state service, the cloud and another controller. */
+    private static void startServer(Addresses addresses) throws Exception {
+        ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
+        Timer timer = (delayMs, work) -> executor.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        SimulatedStateStore stateStore = new SimulatedStateStore(System::currentTimeMillis, timer, 12, 300, 100);
+        MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
+        SimulatedCloud cloud =
+                new SimulatedCloud(System::currentTimeMillis, timer, Map.of(type.name(), type), machine -> {});
+        cloud.setCapacity(new Pool(type.name(), "east", true), 4);
+        HttpHandler stateHandler = (call, reply) -> executor.execute(() -> stateStore.handle(call, reply));
+        HttpHandler cloudHandler = (call, reply) -> executor.execute(() -> cloud.handle(call, reply));
+        HttpHandler peerHandler = (call, reply) -> reply.accept(new Response(200, PeerProtocol.bytes(pulse())));
+        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
+        threads.start();
+        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
+        scheduler.start();
+        Map<String, HttpHandler> handlers = Map.of(
+                addresses.stateStore(), stateHandler,
+                addresses.cloud(), cloudHandler,
+                addresses.otherController(), peerHandler);
+        new JettyHttpServer(threads, scheduler, new ArrayByteBufferPool(), handlers, "", 30_000, 1000, 2000).start();
     }
 
-    private static ObjectNode settings(List<String> ports) {
+    private static ObjectNode settings(Addresses addresses) {
         ObjectNode root = Json.object()
                 .put("node", "r-0")
                 .put("location", "east")
-                .put("serve_on", ports.get(2))
-                .put("peer_bind", ports.get(3));
+                .put("serve_on", addresses.users())
+                .put("peer_bind", addresses.peers());
         root.putArray("known")
                 .addObject()
                 .put("node", "r-1")
                 .put("location", "east")
-                .put("addr", ports.get(4));
-        root.putObject("outside").put("cloud", ports.get(1)).put("state", ports.get(0));
+                .put("addr", addresses.otherController());
+        root.putObject("outside").put("cloud", addresses.cloud()).put("state", addresses.stateStore());
         ObjectNode deployment = root.putObject("deployment");
         deployment.putArray("zones").add("east");
         deployment.putArray("teams").addObject().put("name", "a");
@@ -180,10 +164,29 @@
         throw new IllegalStateException(method + " " + url + " never gave " + status);
     }
 
-    private static void play(String users, String peers) throws InterruptedException {
+    private static void exchangeMessages(String users, String peers) throws InterruptedException {
         until(200, "GET", users + "/ready", null);
-        ObjectNode job = Json.object()
-                .put("ref", "run-000001")
+        submitJobs(users);
+        sendHeartbeats(users);
+        exchangePeerMessages(peers);
+        until(200, "POST", users + "/submissions/run-000001/abort", new byte[0]);
+        call("GET", users + "/submissions/run-000003", null);
+        call("GET", users + "/submissions/run-999999", null);
+    }
+
+    private static void submitJobs(String users) throws InterruptedException {
+        ObjectNode job = job("run-000001");
+        until(201, "POST", users + "/submissions", Json.bytes(job));
+        until(200, "POST", users + "/submissions", Json.bytes(job));
+        call("POST", users + "/submissions", Json.bytes(Json.object().put("ref", "run-000002")));
+        ObjectNode dependent = job("run-000003");
+        dependent.putArray("waitsOn").add("run-000001");
+        until(201, "POST", users + "/submissions", Json.bytes(dependent));
+    }
+
+    private static ObjectNode job(String id) {
+        return Json.object()
+                .put("ref", id)
                 .put("workclass", "c")
                 .put("ownerDesk", "a")
                 .put("jobForm", "sweep")
@@ -201,17 +204,19 @@
                 .put("bookmarkS", 0.0)
                 .put("bookmarkWriteS", 0.0)
                 .put("dueS", 100.0);
-        until(201, "POST", users + "/submissions", Json.bytes(job));
-        until(200, "POST", users + "/submissions", Json.bytes(job));
-        call("POST", users + "/submissions", Json.bytes(Json.object().put("ref", "run-000002")));
-        ObjectNode next = job.deepCopy().put("ref", "run-000003");
-        next.putArray("waitsOn").add("run-000001");
-        until(201, "POST", users + "/submissions", Json.bytes(next));
-        until(200, "POST", users + "/hello", report(0, 0, null));
+    }
+
+    /** Heartbeats of a machine on which a task starts, runs and completes. */
+    private static void sendHeartbeats(String users) throws InterruptedException {
+        until(200, "POST", users + "/hello", heartbeat(0, 0, null));
         for (int i = 1; i < 12; i++) {
-            call("POST", users + "/hello", report(i, 1, i < 4 ? null : i < 8 ? "running" : "exited"));
+            String taskState = i < 4 ? null : i < 8 ? "running" : "exited";
+            call("POST", users + "/hello", heartbeat(i, 1, taskState));
             call("GET", users + "/submissions/run-000001", null);
         }
+    }
+
+    private static void exchangePeerMessages(String peers) throws InterruptedException {
         Grant grant = new Grant(
                 1L,
                 1L,
@@ -219,29 +224,19 @@
                 400L,
                 List.of(new Room("m-000000", "m8", "east", true, 8.0, 0.0, 32.0, List.of("i"))),
                 List.of(new Want("run-000001", 1.0, 0.0, 1.0, "i", null, null, true, Map.of(), List.of(0))));
-        until(200, "POST", peers + PeerProtocol.PATH, PeerProtocol.bytes(grant));
-        until(200, "POST", peers + PeerProtocol.PATH, PeerProtocol.bytes(pulse()));
-        until(
-                200,
-                "POST",
-                peers + PeerProtocol.PATH,
-                PeerProtocol.bytes(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
-        until(
-                200,
-                "POST",
-                peers + PeerProtocol.PATH,
-                PeerProtocol.bytes(new StateCall("GET", "/keys/term", null, 1000L)));
-        until(
-                200,
-                "POST",
-                peers + PeerProtocol.PATH,
-                PeerProtocol.bytes(new ReportBatch(3000L, List.of(ByteBuffer.wrap(report(100, 1, null))))));
-        until(200, "POST", users + "/submissions/run-000001/abort", new byte[0]);
-        call("GET", users + "/submissions/run-000003", null);
-        call("GET", users + "/submissions/run-999999", null);
+        ReportBatch batch = new ReportBatch(3000L, List.of(ByteBuffer.wrap(heartbeat(100, 1, null))));
+        untilAccepted(peers, PeerProtocol.bytes(grant));
+        untilAccepted(peers, PeerProtocol.bytes(pulse()));
+        untilAccepted(peers, PeerProtocol.bytes(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
+        untilAccepted(peers, PeerProtocol.bytes(new StateCall("GET", "/keys/term", null, 1000L)));
+        untilAccepted(peers, PeerProtocol.bytes(batch));
+    }
+
+    private static void untilAccepted(String peers, byte[] message) throws InterruptedException {
+        until(200, "POST", peers + PeerProtocol.PATH, message);
     }
 
-    private static byte[] report(int sequence, long token, String state) {
+    private static byte[] heartbeat(int sequence, long token, String state) {
         ObjectNode body = Json.object()
                 .put("box", "m-000000")
                 .put("address", "10.1.0.1:9000")
@@ -251,7 +246,7 @@
                 .put("shift", 1)
                 .put("tally", sequence)
                 .put("mandate", token);
-        var pieces = body.putArray("pieces");
+        ArrayNode pieces = body.putArray("pieces");
         if (state != null) {
             pieces.addObject()
                     .put("piece", "run-000001/0")
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -2,26 +2,28 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import notchpick.protocol.Json;
 import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.Resources;
 import notchpick.simulation.InvariantChecker;
+import notchpick.simulation.LoopbackAddresses;
 import notchpick.simulation.SimulatedCloud;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
 import notchpick.simulation.SimulatedWorker;
+import notchpick.simulation.WorkerEnvironment;
+import notchpick.simulation.WorkerTiming;
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpHandler;
@@ -32,25 +34,29 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /**
- * Puts one real controller under the load of a fleet on loopback and tells what processor time it takes. Arguments:
+ * Puts one real controller under the load of a fleet on loopback and prints the processor time that it takes. Arguments:
  * machines (0: only the start), seconds of measuring, seconds that a task runs, and the command that runs the
- * controller, but for its settings file. The stand-ins keep real time here.
+ * controller, but for its settings file. The stand-ins run in real time here.
  */
 public final class FleetLoad implements SimulatedWorker.Jobs {
-    private static final double REPORT_S = 5;
-    private static final int TASKS_A_MACHINE = 4;
-    private static final int TASKS_A_JOB = 200;
+    private static final WorkerTiming TIMING = new WorkerTiming(5, 30, 60);
+    private static final int TASKS_PER_MACHINE = 4;
+    private static final int TASKS_PER_JOB = 200;
+    private static final long SUBMIT_AFTER_MS = 3000;
+    private static final long WARM_UP_MS = 45_000;
+    private static final long STOP_TIMEOUT_S = 30;
+    /** The unit of processor time in /proc. */
     private static final long TICKS_PER_S = 100;
 
     private final int machines;
     private final double runS;
-    private final SimulatedTime simulation = new SimulatedTime();
+    private final SimulatedTime time = new SimulatedTime();
     private final ConcurrentLinkedQueue<Runnable> arrived = new ConcurrentLinkedQueue<>();
     private final long startedAt = System.nanoTime();
-    private final Map<String, Long> saved = new HashMap<>();
-    private final InvariantChecker rules = new InvariantChecker(simulation::now, 60_000, Map.of());
+    private final InvariantChecker invariants = new InvariantChecker(time::now, 60_000, Map.of());
+    private final SimulatedStateStore stateStore = new SimulatedStateStore(time::now, time::after, 12, 1000, 60);
     private final Resources demand = new Resources(2, 0, 4);
-    private long reports;
+    private long heartbeats;
     private int jobs;
 
     private FleetLoad(int machines, double runS) {
@@ -65,15 +71,7 @@
     }
 
     private void run(int seconds, List<String> command) throws Exception {
-        List<String> ports = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            try (ServerSocket socket = new ServerSocket(0)) {
-                ports.add("127.0.0.1:" + socket.getLocalPort());
-            }
-        }
-        SimulatedStateStore state = new SimulatedStateStore(simulation::now, simulation::after, 12, 1000, 60);
-        Map<String, MachineType> types = new LinkedHashMap<>();
-        types.put("m8", new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 5, List.of("east", "west")));
+        List<String> addresses = LoopbackAddresses.allocate(4);
         QueuedThreadPool threads = new QueuedThreadPool(16, 4);
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -81,90 +79,97 @@
         JettyHttpCaller sockets = new JettyHttpCaller(threads, scheduler, Math.max(4, 2 * machines), 2000);
         HttpCaller caller = (call, timeoutMs, then) ->
                 sockets.call(call, timeoutMs, answer -> arrived.add(() -> then.accept(answer)));
-        HttpCaller worker = (call, timeoutMs, then) -> {
-            reports++;
-            caller.call(call, timeoutMs, then);
-        };
-        Map<String, String> controllers = Map.of("r-0", ports.get(2));
-        SimulatedCloud cloud = new SimulatedCloud(
-                simulation::now,
-                simulation::after,
-                types,
-                rented -> new SimulatedWorker(
-                        simulation,
-                        worker,
-                        rules,
-                        this,
-                        rented.name,
-                        rented.type,
-                        rented.zone,
-                        rented.spot,
-                        controllers,
-                        (long) (REPORT_S * 1000),
-                        30_000,
-                        saved),
-                name -> {});
-        cloud.capacity(new Pool("m8", "east", true), machines / 2);
-        cloud.capacity(new Pool("m8", "west", true), machines - machines / 2);
-        HttpHandler stateInTurn = (call, reply) -> arrived.add(() -> state.handle(call, reply));
-        HttpHandler cloudInTurn = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
-        new JettyHttpServer(
-                        threads,
-                        scheduler,
-                        new ArrayByteBufferPool(),
-                        Map.of(ports.get(0), stateInTurn, ports.get(1), cloudInTurn),
-                        "",
-                        60_000,
-                        Math.max(100, 2 * machines),
-                        10_000)
-                .start();
+        SimulatedCloud cloud = cloud(caller, Map.of("r-0", addresses.get(2)));
+        startServer(threads, scheduler, addresses, cloud);
         Path settings = Files.createTempFile("fleet-load", ".json");
-        Files.write(settings, Json.bytes(settings(ports)));
+        Files.write(settings, Json.bytes(settings(addresses)));
         command.add(settings.toString());
         Process controller = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
         try {
-            awaitReady(caller, ports.get(2), controller);
-            if (machines == 0) {
-                return;
+            awaitReady(caller, addresses.get(2), controller);
+            if (machines > 0) {
+                time.after(SUBMIT_AFTER_MS, () -> submit(caller, addresses.get(2)));
+                measure(seconds, controller);
             }
-            simulation.after(3000, () -> submit(caller, ports.get(2)));
-            playUntil(45_000);
-            long cpu = ticks(controller);
-            long reportsBefore = reports;
-            int startsBefore = rules.starts();
-            long writesBefore = state.writes();
-            playUntil(45_000 + seconds * 1000L);
-            double cpuS = (ticks(controller) - cpu) / (double) TICKS_PER_S;
-            double span = seconds;
-            System.out.printf(
-                    "machines %d: %.3f of a core, %.1f reports/s, %.1f starts/s, %.1f writes/s, "
-                            + "%.3f ms a report, all told%n",
-                    machines,
-                    cpuS / span,
-                    (reports - reportsBefore) / span,
-                    (rules.starts() - startsBefore) / span,
-                    (state.writes() - writesBefore) / span,
-                    1000 * cpuS / (reports - reportsBefore));
-            System.out.printf(
-                    "high-water marks: %s of memory, %s threads%n",
-                    status(controller, "VmHWM"), status(controller, "Threads"));
         } finally {
             controller.destroy();
-            controller.waitFor(30, TimeUnit.SECONDS);
+            controller.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS);
             Files.deleteIfExists(settings);
+            // Threads of the stand-ins must not keep the process running.
             System.exit(0);
         }
     }
 
-    /** Tells what processor time it took until the balancer's first probe would have been answered. */
+    private SimulatedCloud cloud(HttpCaller caller, Map<String, String> controllers) {
+        HttpCaller countingCaller = (call, timeoutMs, then) -> {
+            heartbeats++;
+            caller.call(call, timeoutMs, then);
+        };
+        WorkerEnvironment environment = new WorkerEnvironment(
+                time, invariants, this, new SimulatedWorker.Listener() {}, controllers, TIMING, new HashMap<>());
+        MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 5, List.of("east", "west"));
+        SimulatedCloud cloud = new SimulatedCloud(
+                time::now,
+                time::after,
+                Map.of(type.name(), type),
+                machine -> new SimulatedWorker(machine, countingCaller, environment));
+        cloud.setCapacity(new Pool(type.name(), "east", true), machines / 2);
+        cloud.setCapacity(new Pool(type.name(), "west", true), machines - machines / 2);
+        return cloud;
+    }
+
+    private void startServer(
+            QueuedThreadPool threads,
+            ScheduledExecutorScheduler scheduler,
+            List<String> addresses,
+            SimulatedCloud cloud)
+            throws Exception {
+        HttpHandler stateHandler = (call, reply) -> arrived.add(() -> stateStore.handle(call, reply));
+        HttpHandler cloudHandler = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
+        new JettyHttpServer(
+                        threads,
+                        scheduler,
+                        new ArrayByteBufferPool(),
+                        Map.of(addresses.get(0), stateHandler, addresses.get(1), cloudHandler),
+                        "",
+                        60_000,
+                        Math.max(100, 2 * machines),
+                        10_000)
+                .start();
+    }
+
+    /** Prints what the controller takes from the end of the warm-up on, for so many seconds. */
+    private void measure(int seconds, Process controller) throws Exception {
+        runUntil(WARM_UP_MS);
+        long ticksBefore = ticks(controller);
+        long heartbeatsBefore = heartbeats;
+        int startsBefore = invariants.starts();
+        long writesBefore = stateStore.writes();
+        runUntil(WARM_UP_MS + seconds * 1000L);
+        double cpuS = (ticks(controller) - ticksBefore) / (double) TICKS_PER_S;
+        System.out.printf(
+                "machines %d: %.3f of a core, %.1f reports/s, %.1f starts/s, %.1f writes/s, "
+                        + "%.3f ms a report, all told%n",
+                machines,
+                cpuS / seconds,
+                (heartbeats - heartbeatsBefore) / (double) seconds,
+                (invariants.starts() - startsBefore) / (double) seconds,
+                (stateStore.writes() - writesBefore) / (double) seconds,
+                1000 * cpuS / (heartbeats - heartbeatsBefore));
+        System.out.printf(
+                "high-water marks: %s of memory, %s threads%n",
+                status(controller, "VmHWM"), status(controller, "Threads"));
+    }
+
+    /** Prints the processor time until the load balancer's first probe would have been answered. */
     private void awaitReady(HttpCaller caller, String address, Process controller) throws Exception {
-        int[] status = {0};
-        for (long now = 0; status[0] != 200 && now < 30_000; now += 5) {
-            caller.call(new Request(address, "GET", "/ready", null), 1000, answer -> status[0] = answer.status());
-            playUntil((System.nanoTime() - startedAt) / 1_000_000 + 5);
+        AtomicInteger status = new AtomicInteger();
+        for (long now = 0; status.get() != 200 && now < 30_000; now += 5) {
+            caller.call(new Request(address, "GET", "/ready", null), 1000, answer -> status.set(answer.status()));
+            runUntil((System.nanoTime() - startedAt) / 1_000_000 + 5);
         }
         System.out.printf("ready after %.0f ms of processor time%n", cpuMs(controller));
     }
@@ -189,11 +194,11 @@
         return nanos / 1e6;
     }
 
-    /** Stand-ins run in this thread, by the real clock. */
-    private void playUntil(long endMs) throws InterruptedException {
+    /** Runs the stand-ins in this thread, by the real clock. */
+    private void runUntil(long endMs) throws InterruptedException {
         for (long now = 0; now < endMs; ) {
             now = (System.nanoTime() - startedAt) / 1_000_000;
-            simulation.runUntil(now);
+            time.runUntil(now);
             for (Runnable work = arrived.poll(); work != null; work = arrived.poll()) {
                 work.run();
             }
@@ -207,16 +212,16 @@
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    /** Keeps twice as much waiting as runs. */
+    /** Keeps twice as many tasks waiting as can run. */
     private void submit(HttpCaller caller, String address) {
-        while (jobs * TASKS_A_JOB - rules.starts() < machines * TASKS_A_MACHINE * 2) {
+        while (jobs * TASKS_PER_JOB - invariants.starts() < machines * TASKS_PER_MACHINE * 2) {
             ObjectNode body = Json.object()
                     .put("ref", String.format("run-%06d", ++jobs))
                     .put("workclass", "c")
                     .put("ownerDesk", "a")
                     .put("jobForm", "sweep")
                     .put("urgency", "normal")
-                    .put("pieces", TASKS_A_JOB)
+                    .put("pieces", TASKS_PER_JOB)
                     .put("cores", demand.cores())
                     .put("gpus", 0.0)
                     .put("ramGb", demand.ram())
@@ -230,25 +235,25 @@
                     .put("bookmarkWriteS", 0.0);
             caller.call(new Request(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> {});
         }
-        simulation.after(1000, () -> submit(caller, address));
+        time.after(1000, () -> submit(caller, address));
     }
 
-    private static ObjectNode settings(List<String> ports) {
+    private static ObjectNode settings(List<String> addresses) {
         ObjectNode root = Json.object()
                 .put("node", "r-0")
                 .put("location", "east")
-                .put("serve_on", ports.get(2))
-                .put("peer_bind", ports.get(3));
+                .put("serve_on", addresses.get(2))
+                .put("peer_bind", addresses.get(3));
         root.putArray("known");
-        root.putObject("outside").put("cloud", ports.get(1)).put("state", ports.get(0));
+        root.putObject("outside").put("cloud", addresses.get(1)).put("state", addresses.get(0));
         ObjectNode deployment = root.putObject("deployment");
         deployment.putArray("zones").add("east").add("west");
         deployment.putArray("teams").addObject().put("name", "a");
         deployment
                 .putObject("workers")
-                .put("report_s", REPORT_S)
-                .put("lease_s", 30.0)
-                .put("cancel_s", 60.0);
+                .put("report_s", TIMING.heartbeatPeriodS())
+                .put("lease_s", TIMING.leaseS())
+                .put("cancel_s", TIMING.cancelTimeoutS());
         deployment
                 .putObject("state")
                 .put("rps", 1000.0)
@@ -271,12 +276,12 @@
     }
 
     @Override
-    public boolean saves(String job) {
+    public boolean savesCheckpoints(String job) {
         return false;
     }
 
     @Override
-    public boolean failsEverywhere(String job) {
+    public boolean fails(String job) {
         return false;
     }
 }
--- /dev/null
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -0,0 +1,84 @@
+package notchpick.simulation;
+
+import java.util.List;
+import notchpick.coordination.Deployment.Quota;
+import notchpick.scheduling.Resources;
+import notchpick.storage.Records;
+
+/** Counts under which circumstances cancellations were confirmed to users. */
+final class CancellationCircumstances implements SimulatedUsers.CancellationListener {
+    /** A cancellation and a refusal of the leader no further apart count as simultaneous. */
+    private static final long SIMULTANEOUS_MS = 20;
+    /** A team that may not hold this much more is at its limit. */
+    private static final Resources LEAST_HEADROOM = new Resources(1, 0, 0);
+
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
+    private final List<Quota> teams;
+    private final SimulatedTime time;
+    private final SimulatedStateStore stateStore;
+    private final SimulatedControllers controllers;
+    private final SimulatedFleet fleet;
+    private final OccurrenceCounters occurrences;
+    private long leaderRefusedAt = NEVER;
+
+    CancellationCircumstances(
+            List<Quota> teams,
+            SimulatedTime time,
+            SimulatedStateStore stateStore,
+            SimulatedControllers controllers,
+            SimulatedFleet fleet,
+            OccurrenceCounters occurrences) {
+        this.teams = teams;
+        this.time = time;
+        this.stateStore = stateStore;
+        this.controllers = controllers;
+        this.fleet = fleet;
+        this.occurrences = occurrences;
+    }
+
+    /**
+     * The state service refuses the leader alone from now on.
+     *
+     * @param cancelRequested the jobs that users have asked to cancel
+     */
+    void leaderRefused(List<String> cancelRequested) {
+        leaderRefusedAt = time.now();
+        // A cancellation from a moment before has left the store by now.
+        cancelRequested.stream()
+                .map(this::openRecordDeletedAt)
+                .filter(deletedAt -> deletedAt >= 0 && leaderRefusedAt - deletedAt <= SIMULTANEOUS_MS)
+                .forEach(deletedAt -> occurrences.increment(Occurrence.CANCELLED_JUST_BEFORE_LEADER_REFUSED));
+    }
+
+    private long openRecordDeletedAt(String job) {
+        return stateStore.deletedAt(Records.OPEN + job);
+    }
+
+    @Override
+    public void cancellationConfirmed(String job) {
+        occurrences.increment(Occurrence.CANCELLATION_CONFIRMED);
+        long afterRefusalMs = openRecordDeletedAt(job) - leaderRefusedAt;
+        if (afterRefusalMs >= 0 && afterRefusalMs <= SIMULTANEOUS_MS) {
+            occurrences.increment(Occurrence.CANCELLED_JUST_AFTER_LEADER_REFUSED);
+        }
+        if (areAllTeamsAtTheirLimits()) {
+            occurrences.increment(Occurrence.CANCELLED_WITH_ALL_TEAMS_AT_LIMIT);
+        }
+        if (controllers.leader().isEmpty() || controllers.term() == controllers.lastTermEndedByCrash()) {
+            occurrences.increment(Occurrence.CANCELLED_WITHOUT_LEADER);
+        } else if (stateStore.refuses(controllers.leader().get())) {
+            occurrences.increment(Occurrence.CANCELLED_WHILE_LEADER_REFUSED);
+        }
+    }
+
+    /** Teams without a limit do not count; where none has one, none is at its limit. */
+    private boolean areAllTeamsAtTheirLimits() {
+        List<Quota> limited =
+                teams.stream().filter(team -> team.maximum().cores() > 0).toList();
+        return !limited.isEmpty()
+                && limited.stream()
+                        .noneMatch(
+                                team -> team.allows(fleet.usageOf(team.team()).plus(LEAST_HEADROOM)));
+    }
+}
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -3,103 +3,110 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import notchpick.transport.HttpCaller;
+import notchpick.transport.HttpCaller.Request;
 
-/** Copies of workers' reports, which arrive once more at every controller: late, or as a new leader begins. */
+/** Copies of workers' heartbeats, which arrive again at every controller: late, or as a new leader begins. */
 final class HeartbeatDuplicator {
-    /** What is needed of the cluster that the reports are sent in. */
-    interface Host {
-        /** The newest term if somebody leads now; 0: nobody does. */
-        int ledTerm();
-
-        /** The newest term. */
-        int term();
-
-        /** Every controller gets the report. */
-        void deliver(byte[] report);
-
-        /** Something has come about that a scenario may have been made for. */
-        void meet(String what);
-    }
-
-    /** A copy of a report is under way for so long at least. */
-    private static final int LEAST_DELAY_MS = 2000;
-    /** How much longer it may be under way, as a part of the workers' lease. */
-    private static final double COPY_LEASES = 1.4;
+    /** The shortest time that a copy is under way. */
+    private static final int MIN_DELAY_MS = 2000;
+    /** How much longer it may be under way, in workers' leases. */
+    private static final double MAX_EXTRA_DELAY_LEASES = 1.4;
     /** Copies that were kept for the next leader arrive within so long. */
-    private static final long COPIES_MS = 2000;
-    /** How often it is looked whether a leader has begun. */
-    private static final long LOOK_MS = 20;
+    private static final long KEPT_COPIES_WITHIN_MS = 2000;
 
-    private final SimulatedTime simulation;
-    private final Random chance;
+    private static final long ELECTION_CHECK_PERIOD_MS = 20;
+    private static final int TIMEOUT_MS = 5000;
+
+    private final SimulatedTime time;
+    private final Random random;
     private final long leaseMs;
-    private final Host host;
-    private final List<byte[]> keptForNext = new ArrayList<>();
+    private final SimulatedControllers controllers;
+    private final OccurrenceCounters occurrences;
+    private final HttpCaller caller;
+    private final List<byte[]> keptForNextLeader = new ArrayList<>();
     private double share;
-    private boolean forNext;
+    private boolean forNextLeader;
     private int keptInTerm;
-    private boolean awaitsNextTerm;
+    private boolean awaitsElection;
 
-    HeartbeatDuplicator(SimulatedTime simulation, Random chance, long leaseMs, Host host) {
-        this.simulation = simulation;
-        this.chance = chance;
+    HeartbeatDuplicator(
+            SimulatedTime time,
+            Random random,
+            long leaseMs,
+            SimulatedControllers controllers,
+            OccurrenceCounters occurrences,
+            HttpCaller caller) {
+        this.time = time;
+        this.random = random;
         this.leaseMs = leaseMs;
-        this.host = host;
+        this.controllers = controllers;
+        this.occurrences = occurrences;
+        this.caller = caller;
     }
 
     /**
-     * From now on a copy of this share of the reports arrives again: from two seconds to well over a lease later, or
-     * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to none.
+     * From now on a copy of this share of the heartbeats arrives again: from two seconds to well over a lease later, or
+     * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to 0.
      */
-    void set(double ofReports, boolean toNextLeader) {
-        share = ofReports;
-        forNext = toNextLeader;
-        if (forNext && !awaitsNextTerm) {
-            awaitsNextTerm = true;
-            keptInTerm = host.term();
-            awaitNextTerm();
+    void set(double newShare, boolean keepForNextLeader) {
+        share = newShare;
+        forNextLeader = keepForNextLeader;
+        if (forNextLeader && !awaitsElection) {
+            awaitsElection = true;
+            keptInTerm = controllers.term();
+            awaitElection();
         }
     }
 
-    /** A worker sends this report. */
-    void reported(byte[] report) {
-        if (chance.nextDouble() >= share) {
+    /** A worker sends this heartbeat. */
+    void heartbeatSent(byte[] heartbeat) {
+        if (random.nextDouble() >= share) {
             return;
         }
-        if (forNext) {
-            keptForNext.add(report);
+        if (forNextLeader) {
+            keptForNextLeader.add(heartbeat);
         } else {
-            int sentInTerm = host.term();
-            simulation.after(LEAST_DELAY_MS + chance.nextInt((int) (COPY_LEASES * leaseMs)), () -> {
-                host.meet(host.term() > sentInTerm ? "copies-in-later-term" : "copies");
-                host.deliver(report);
+            int sentInTerm = controllers.term();
+            time.after(MIN_DELAY_MS + random.nextInt((int) (MAX_EXTRA_DELAY_LEASES * leaseMs)), () -> {
+                boolean isLaterTerm = controllers.term() > sentInTerm;
+                occurrences.increment(
+                        isLaterTerm ? Occurrence.HEARTBEAT_DUPLICATED_IN_LATER_TERM : Occurrence.HEARTBEAT_DUPLICATED);
+                deliver(heartbeat);
             });
         }
     }
 
-    private void awaitNextTerm() {
-        simulation.after(LOOK_MS, () -> {
-            if (host.ledTerm() > keptInTerm) {
-                keptInTerm = host.ledTerm();
+    private void awaitElection() {
+        time.after(ELECTION_CHECK_PERIOD_MS, () -> {
+            int term = controllers.leader().isPresent() ? controllers.term() : 0;
+            if (term > keptInTerm) {
+                keptInTerm = term;
                 deliverKept();
             }
-            awaitsNextTerm = forNext;
-            if (awaitsNextTerm) {
-                awaitNextTerm();
+            awaitsElection = forNextLeader;
+            if (awaitsElection) {
+                awaitElection();
             }
         });
     }
 
-    /** In their order, while the new leader reads what was left and just after. */
+    /** In their order, while the new leader recovers and just after. */
     private void deliverKept() {
-        List<byte[]> copies = List.copyOf(keptForNext);
-        keptForNext.clear();
+        List<byte[]> copies = List.copyOf(keptForNextLeader);
+        keptForNextLeader.clear();
         for (int i = 0; i < copies.size(); i++) {
             byte[] copy = copies.get(i);
-            simulation.after(COPIES_MS * i / copies.size(), () -> {
-                host.meet("copies-for-next");
-                host.deliver(copy);
+            time.after(KEPT_COPIES_WITHIN_MS * i / copies.size(), () -> {
+                occurrences.increment(Occurrence.HEARTBEAT_DUPLICATED_FOR_NEXT_LEADER);
+                deliver(copy);
             });
         }
     }
+
+    private void deliver(byte[] heartbeat) {
+        for (String address : controllers.userAddresses().values()) {
+            caller.call(new Request(address, "POST", "/hello", heartbeat), TIMEOUT_MS, answer -> {});
+        }
+    }
 }
--- a/src/test/java/notchpick/simulation/ServedJobs.java
+++ b/src/test/java/notchpick/simulation/ServedJobs.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import notchpick.scheduling.JobSpec;
 
-/** Which classes, teams and largest jobs were served too little: work that is left aside for good fails a day. */
+/** Which classes, teams and largest jobs were served too little: a day on which work is never served has failed. */
 final class ServedJobs {
     /** "The largest ones too have to begin within four minutes." */
     static final long LARGEST_BEGIN_MS = 240_000;
@@ -22,7 +22,7 @@
     private final Map<String, JobSpec> jobs = new LinkedHashMap<>();
     private final Map<String, Long> submittedAt = new HashMap<>();
     private final Map<String, Long> begunAt = new HashMap<>();
-    private final Map<String, String> lastTold = new HashMap<>();
+    private final Map<String, String> lastStates = new HashMap<>();
     /** Jobs that need not be served. */
     private final Set<String> excused = new HashSet<>();
 
@@ -32,7 +32,7 @@
         submittedAt.put(job.id(), at);
     }
 
-    /** The job was called off by its user, or can't run. */
+    /** The job need not be served: its user cancelled it, or it can't run. */
     void excused(String job) {
         excused.add(job);
     }
@@ -42,9 +42,9 @@
         begunAt.putIfAbsent(job, at);
     }
 
-    /** Its user was told how the job stands. */
-    void told(String job, String state) {
-        lastTold.put(job, state);
+    /** A user was answered with the state of the job. */
+    void answered(String job, String state) {
+        lastStates.put(job, state);
     }
 
     /** What was served less than half, or began too late, a line each. */
@@ -68,7 +68,7 @@
         });
         groups.forEach((name, members) -> {
             long served = members.stream()
-                    .filter(job -> "done".equals(lastTold.get(job.id())))
+                    .filter(job -> "done".equals(lastStates.get(job.id())))
                     .count();
             if (served * HALF < members.size()) {
                 poor.add(name + ": " + served + " of " + members.size() + " served");
--- a/src/test/java/notchpick/simulation/ServedJobsTest.java
+++ b/src/test/java/notchpick/simulation/ServedJobsTest.java
@@ -9,58 +9,58 @@
 /** What is served less than half, or begins too late, is seen; what is just enough passes. */
 class ServedJobsTest {
     private long now;
-    private final InvariantChecker rules = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
+    private final InvariantChecker invariants = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
     private void submit(String id, int tasks) {
-        rules.submitted(InvariantCheckerTest.job(id, tasks, false, false, true));
+        invariants.submitted(InvariantCheckerTest.job(id, tasks, false, false, true));
     }
 
     private void accepted(String id) {
         submit(id, 1);
-        rules.answered(id, 201, "queued");
+        invariants.answered(id, 201, "queued");
     }
 
     @Test
     void underHalfServed() {
         for (int i = 1; i <= 4; i++) {
             accepted("run-" + i);
-            rules.started("m-1", "run-" + i + "/0", "m8", "east", true);
-            rules.left("m-1", "run-" + i + "/0");
+            invariants.started("m-1", "run-" + i + "/0", "m8", "east", true);
+            invariants.stopped("m-1", "run-" + i + "/0");
             if (i <= 2) {
-                rules.completed("run-" + i + "/0");
-                rules.answered("run-" + i, 200, "done");
+                invariants.completed("run-" + i + "/0");
+                invariants.answered("run-" + i, 200, "done");
             }
         }
-        assertEquals(List.of(), rules.underserved());
+        assertEquals(List.of(), invariants.underserved());
         accepted("run-5");
-        assertEquals(List.of("team a: 2 of 5 served", "class c: 2 of 5 served"), rules.underserved());
-        rules.cancelAsked("run-5");
-        assertEquals(List.of(), rules.underserved());
+        assertEquals(List.of("team a: 2 of 5 served", "class c: 2 of 5 served"), invariants.underserved());
+        invariants.cancelRequested("run-5");
+        assertEquals(List.of(), invariants.underserved());
     }
 
     @Test
     void largestServedAndBegunInTime() {
         submit("run-1", 2);
         accepted("run-2");
-        rules.completed("run-2/0");
-        rules.answered("run-2", 200, "done");
+        invariants.completed("run-2/0");
+        invariants.answered("run-2", 200, "done");
         now = ServedJobs.LARGEST_BEGIN_MS;
-        rules.started("m-1", "run-1/0", "m8", "east", true);
-        assertEquals(List.of("largest of c: 0 of 1 served"), rules.underserved());
-        rules.completed("run-1/0");
-        rules.completed("run-1/1");
-        rules.answered("run-1", 200, "done");
-        assertEquals(List.of(), rules.underserved());
+        invariants.started("m-1", "run-1/0", "m8", "east", true);
+        assertEquals(List.of("largest of c: 0 of 1 served"), invariants.underserved());
+        invariants.completed("run-1/0");
+        invariants.completed("run-1/1");
+        invariants.answered("run-1", 200, "done");
+        assertEquals(List.of(), invariants.underserved());
     }
 
     @Test
     void largestBeginsLate() {
         submit("run-1", 2);
         now = ServedJobs.LARGEST_BEGIN_MS + 1;
-        rules.started("m-1", "run-1/0", "m8", "east", true);
-        rules.completed("run-1/0");
-        rules.completed("run-1/1");
-        rules.answered("run-1", 200, "done");
-        assertEquals(List.of("largest of c begin late"), rules.underserved());
+        invariants.started("m-1", "run-1/0", "m8", "east", true);
+        invariants.completed("run-1/0");
+        invariants.completed("run-1/1");
+        invariants.answered("run-1", 200, "done");
+        assertEquals(List.of("largest of c begin late"), invariants.underserved());
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -5,8 +5,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import notchpick.protocol.CloudClient;
@@ -16,198 +19,226 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
+import notchpick.transport.Timer;
 
 /** The cloud, written from its published protocol. */
 public final class SimulatedCloud implements HttpHandler {
-    /** A machine that somebody pays for. */
-    public static final class Rented {
-        public final String name;
-        public final MachineType type;
-        public final String zone;
-        public final boolean spot;
-        public final long since;
-        public boolean up;
-
-        Rented(String name, MachineType type, String zone, boolean spot, long since) {
-            this.name = name;
-            this.type = type;
-            this.zone = zone;
-            this.spot = spot;
-            this.since = since;
-        }
+    /** Is notified of machines that come up and go. */
+    public interface MachineListener {
+        /** The machine has booted: its worker starts. */
+        void machineStarted(RentedMachine machine);
+
+        /** The machine was released or taken back. */
+        default void machineRemoved(String name) {}
     }
 
+    /** What the cloud's list of machines says: the truth, no machine at all, or every machine as failed. */
+    public enum Listing {
+        RIGHT,
+        NOTHING,
+        ALL_FAILED
+    }
+
+    private static final double MS_PER_S = 1000;
+    /** Machines of one rental come up one after another. */
+    private static final long BOOT_INTERVAL_MS = 37;
+
     private final LongSupplier clock;
-    private final SimulatedStateStore.Timer timer;
+    private final Timer timer;
     private final Map<String, MachineType> types;
-    private final Consumer<Rented> up;
-    private final Consumer<String> gone;
+    private final MachineListener listener;
     private final Map<Pool, Integer> capacity = new HashMap<>();
-    private final Map<String, Rented> machines = new java.util.TreeMap<>();
-    private final Map<String, byte[]> answers = new HashMap<>();
-    private int count;
-    private int ups;
-    private boolean down;
-    private long releaseLateMs;
-    private long rentLateMs;
-    private int stuck;
-    private double bootFactor = 1;
+    private final Map<String, RentedMachine> machines = new TreeMap<>();
+    private final Set<String> booted = new HashSet<>();
+    /** Answers to rentals by request id, as a repeated request must not rent again. */
+    private final Map<String, byte[]> rentalAnswers = new HashMap<>();
+
+    private int rentedCount;
+    private int bootedCount;
+    private boolean unavailable;
+    private long releaseDelayMs;
+    private long rentalDelayMs;
+    private int machinesThatNeverBoot;
+    private double bootTimeFactor = 1;
     private Listing listing = Listing.RIGHT;
 
-    /** @param up hears of machines whose worker begins; gone, of names that are gone */
-    public SimulatedCloud(
-            LongSupplier clock,
-            SimulatedStateStore.Timer timer,
-            Map<String, MachineType> types,
-            Consumer<Rented> up,
-            Consumer<String> gone) {
+    /** @param clock the time in milliseconds */
+    public SimulatedCloud(LongSupplier clock, Timer timer, Map<String, MachineType> types, MachineListener listener) {
         this.clock = clock;
         this.timer = timer;
         this.types = types;
-        this.up = up;
-        this.gone = gone;
+        this.listener = listener;
     }
 
-    public void capacity(Pool pool, int most) {
-        capacity.put(pool, most);
+    /** The cloud has so many machines in this pool. */
+    public void setCapacity(Pool pool, int machineCount) {
+        capacity.put(pool, machineCount);
     }
 
-    public void down(boolean on) {
-        down = on;
+    /** All requests fail from now on, or no longer. */
+    public void setUnavailable(boolean active) {
+        unavailable = active;
     }
 
     /** The next release gets no answer and happens this much later. */
-    public void nextReleaseLate(long lateMs) {
-        releaseLateMs = lateMs;
+    public void delayNextRelease(long delayMs) {
+        releaseDelayMs = delayMs;
     }
 
     /** The next rental gets no answer and happens this much later. */
-    public void nextRentalLate(long lateMs) {
-        rentLateMs = lateMs;
+    public void delayNextRental(long delayMs) {
+        rentalDelayMs = delayMs;
     }
 
-    /** Wrong lists: of nothing at all, or of every machine as failed. */
-    public enum Listing {
-        RIGHT,
-        NOTHING,
-        ALL_FAILED
-    }
-
-    public void listing(Listing how) {
-        listing = how;
+    /** What the cloud's list says from now on. */
+    public void setListing(Listing newListing) {
+        listing = newListing;
     }
 
     /** So many of the next machines never come up. */
-    public void neverUp(int machinesStuck) {
-        stuck = machinesStuck;
+    public void failNextBoots(int machineCount) {
+        machinesThatNeverBoot = machineCount;
     }
 
-    /** What is rented from now on takes so many boot times to come up. */
-    public void boots(double factor) {
-        bootFactor = factor;
+    /** What is rented from now on takes so many boot times of its type to come up. */
+    public void setBootTimeFactor(double factor) {
+        bootTimeFactor = factor;
     }
 
     /** How many machines ever came up. */
-    public int ups() {
-        return ups;
+    public int bootedCount() {
+        return bootedCount;
     }
 
     /** How many machines were ever rented. */
-    public int rented() {
-        return count;
+    public int rentedCount() {
+        return rentedCount;
     }
 
-    public List<Rented> machines() {
-        return new ArrayList<>(machines.values());
+    /** How many machines are rented now, up or not. */
+    public int machineCount() {
+        return machines.size();
     }
 
-    /** The cloud takes the machine away without notice. */
-    public void take(String name) {
+    /** The cloud takes the machine back without notice. */
+    public void reclaim(String name) {
         if (machines.remove(name) != null) {
-            gone.accept(name);
+            listener.machineRemoved(name);
         }
     }
 
     @Override
     public void handle(Request call, Consumer<Response> reply) {
-        if (down) {
-            reply.accept(new Response(503, Json.bytes(Json.object().put("error", "trouble"))));
-        } else if (call.path().equals("/machine_types")) {
-            reply.accept(new Response(200, Json.bytes(CloudClient.typesJson(types.values()))));
-        } else if (call.path().equals("/rentals")) {
-            ObjectNode body = Json.object(call.body());
-            if (rentLateMs > 0) {
-                timer.after(rentLateMs, () -> rent(body));
-                rentLateMs = 0;
-            } else {
-                reply.accept(rent(body));
-            }
-        } else if (call.path().equals("/rentals/release")) {
-            List<String> names = new ArrayList<>();
-            Json.object(call.body()).path("boxes").forEach(name -> names.add(name.asText()));
-            if (releaseLateMs > 0) {
-                timer.after(releaseLateMs, () -> names.forEach(this::take));
-                releaseLateMs = 0;
-            } else {
-                names.forEach(this::take);
-                reply.accept(new Response(200, Json.bytes(Json.object())));
-            }
+        if (unavailable) {
+            reply.accept(error("trouble"));
+            return;
+        }
+        switch (call.path()) {
+            case "/machine_types" -> reply.accept(new Response(200, Json.bytes(CloudClient.typesJson(types.values()))));
+            case "/rentals" -> handleRental(Json.object(call.body()), reply);
+            case "/rentals/release" -> handleRelease(Json.object(call.body()), reply);
+            default -> reply.accept(list());
+        }
+    }
+
+    private static Response error(String reason) {
+        return new Response(503, Json.bytes(Json.object().put("error", reason)));
+    }
+
+    private void handleRental(ObjectNode body, Consumer<Response> reply) {
+        if (rentalDelayMs > 0) {
+            timer.after(rentalDelayMs, () -> rent(body));
+            rentalDelayMs = 0;
         } else {
-            reply.accept(list());
+            reply.accept(rent(body));
+        }
+    }
+
+    private void handleRelease(ObjectNode body, Consumer<Response> reply) {
+        List<String> names = new ArrayList<>();
+        body.path("boxes").forEach(name -> names.add(name.asText()));
+        if (releaseDelayMs > 0) {
+            timer.after(releaseDelayMs, () -> names.forEach(this::reclaim));
+            releaseDelayMs = 0;
+        } else {
+            names.forEach(this::reclaim);
+            reply.accept(new Response(200, Json.bytes(Json.object())));
         }
     }
 
     private Response rent(JsonNode body) {
         String request = body.path("hireSlip").asText();
-        if (answers.containsKey(request)) {
-            return new Response(200, answers.get(request));
+        if (rentalAnswers.containsKey(request)) {
+            return new Response(200, rentalAnswers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
         Pool pool = new Pool(
                 type.name(), body.path("site").asText(), body.path("borrowed").asBoolean());
-        long held = machines.values().stream()
-                .filter(m -> m.type == type && m.zone.equals(pool.zone()) && m.spot == pool.spot())
-                .count();
-        int number = (int) Math.min(body.path("number").asInt(), capacity.getOrDefault(pool, 0) - held);
+        int number = Math.min(body.path("number").asInt(), capacity.getOrDefault(pool, 0) - rentedIn(pool));
         if (number <= 0) {
-            return new Response(503, Json.bytes(Json.object().put("error", "no capacity")));
+            return error("no capacity");
         }
         ObjectNode answer = Json.object();
         ArrayNode names = answer.putArray("boxes");
         for (int i = 0; i < number; i++) {
-            Rented rented =
-                    new Rented(String.format("m-%06d", count++), type, pool.zone(), pool.spot(), clock.getAsLong());
-            machines.put(rented.name, rented);
-            names.add(rented.name);
-            if (stuck > 0) {
-                stuck--;
-                continue;
-            }
-            timer.after((long) (type.bootS() * bootFactor * 1000) + 37L * i, () -> {
-                if (machines.containsKey(rented.name)) {
-                    rented.up = true;
-                    ups++;
-                    up.accept(rented);
-                }
-            });
+            names.add(rentMachine(type, pool, i * BOOT_INTERVAL_MS));
+        }
+        rentalAnswers.put(request, Json.bytes(answer));
+        return new Response(200, rentalAnswers.get(request));
+    }
+
+    private int rentedIn(Pool pool) {
+        return (int) machines.values().stream()
+                .filter(machine -> machine.type().name().equals(pool.type())
+                        && machine.zone().equals(pool.zone())
+                        && machine.spot() == pool.spot())
+                .count();
+    }
+
+    private String rentMachine(MachineType type, Pool pool, long extraBootMs) {
+        String name = String.format("m-%06d", rentedCount++);
+        RentedMachine machine = new RentedMachine(name, type, pool.zone(), pool.spot(), clock.getAsLong());
+        machines.put(name, machine);
+        if (machinesThatNeverBoot > 0) {
+            machinesThatNeverBoot--;
+        } else {
+            timer.after((long) (type.bootS() * bootTimeFactor * MS_PER_S) + extraBootMs, () -> boot(machine));
+        }
+        return name;
+    }
+
+    private void boot(RentedMachine machine) {
+        if (machines.containsKey(machine.name())) {
+            booted.add(machine.name());
+            bootedCount++;
+            listener.machineStarted(machine);
         }
-        answers.put(request, Json.bytes(answer));
-        return new Response(200, answers.get(request));
     }
 
     private Response list() {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("boxes");
-        for (Rented rented : listing == Listing.NOTHING ? List.<Rented>of() : machines.values()) {
-            list.addObject()
-                    .put("ref", rented.name)
-                    .put("address", "10.1.0.1:9000")
-                    .put("boxKind", rented.type.name())
-                    .put("site", rented.zone)
-                    .put("borrowed", rented.spot)
-                    .put("status", listing == Listing.ALL_FAILED ? "failed" : rented.up ? "running" : "starting")
-                    .put("ageS", (clock.getAsLong() - rented.since) / 1000.0);
+        if (listing != Listing.NOTHING) {
+            machines.values().forEach(machine -> list.add(json(machine)));
         }
         return new Response(200, Json.bytes(body.put("truncated", false)));
     }
+
+    private ObjectNode json(RentedMachine machine) {
+        return Json.object()
+                .put("ref", machine.name())
+                .put("address", SimulatedWorker.ADDRESS)
+                .put("boxKind", machine.type().name())
+                .put("site", machine.zone())
+                .put("borrowed", machine.spot())
+                .put("status", listedStatus(machine))
+                .put("ageS", (clock.getAsLong() - machine.rentedAt()) / MS_PER_S);
+    }
+
+    private String listedStatus(RentedMachine machine) {
+        if (listing == Listing.ALL_FAILED) {
+            return "failed";
+        }
+        return booted.contains(machine.name()) ? "running" : "starting";
+    }
 }
--- /dev/null
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -0,0 +1,197 @@
+package notchpick.simulation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import notchpick.app.Controller;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.Tuning;
+import notchpick.scheduling.ServiceObjectives;
+import notchpick.scheduling.ServiceObjectives.Kind;
+import notchpick.scheduling.ServiceObjectives.Objective;
+import notchpick.storage.Records;
+import notchpick.transport.EventLoop;
+
+/** The processes of the real controllers, which tests start, crash, freeze and cut off from power. */
+public final class SimulatedControllers {
+    private static final double FAST_CLOCK_PERCENT = 0.05;
+    private static final double SLOW_CLOCK_PERCENT = -0.05;
+    private static final int CLOUD_REQUESTS_PER_S = 10;
+    private static final int CLOUD_LIST_LAG_S = 3;
+    private static final int MAX_CONNECTIONS = 1000;
+
+    private final ClusterConfig config;
+    private final SimulatedTime time;
+    private final SimulatedNetwork network;
+    private final SimulatedStateStore stateStore;
+    private final List<String> nodes = new ArrayList<>();
+    private final Map<String, String> userAddresses = new LinkedHashMap<>();
+    /** Rises with each start and each crash; a process runs for as long as this stays what it was at its start. */
+    private final Map<String, Integer> generations = new HashMap<>();
+
+    private final Map<String, Long> frozenUntil = new HashMap<>();
+    private final Map<String, String> aliases = new HashMap<>();
+    private int lastTermEndedByCrash;
+
+    SimulatedControllers(
+            ClusterConfig config, SimulatedTime time, SimulatedNetwork network, SimulatedStateStore stateStore) {
+        this.config = config;
+        this.time = time;
+        this.network = network;
+        this.stateStore = stateStore;
+        for (int i = 0; i < config.controllers(); i++) {
+            nodes.add("node-" + i);
+            userAddresses.put("node-" + i, "10.0.0." + (i + 1) + ":8080");
+        }
+    }
+
+    /** The names of all controllers, running or not. */
+    public List<String> nodes() {
+        return nodes;
+    }
+
+    /** Where users and workers reach each controller, in the order of {@link #nodes}. */
+    Map<String, String> userAddresses() {
+        return userAddresses;
+    }
+
+    private static String peerAddress(int index) {
+        return "10.0.0." + (index + 1) + ":8081";
+    }
+
+    /** The controller that holds the leader's key. */
+    public Optional<String> leader() {
+        return Optional.ofNullable(stateStore.value(Records.LEADER))
+                .map(value -> value.path("node").asText());
+    }
+
+    /** The newest term; 0: nobody has led yet. */
+    public int term() {
+        var value = stateStore.value(Records.TERM);
+        return value == null ? 0 : value.path("term").asInt();
+    }
+
+    boolean isLeader(String node) {
+        return leader().filter(node::equals).isPresent();
+    }
+
+    /** The last term whose leader was crashed by the test. */
+    int lastTermEndedByCrash() {
+        return lastTermEndedByCrash;
+    }
+
+    boolean isRunning(String node) {
+        return generations.get(node) % 2 == 1;
+    }
+
+    /** Gives a controller a name by which a scenario can refer to it later. */
+    public void setAlias(String alias, String node) {
+        aliases.put(alias, node);
+    }
+
+    /** The controller with this alias; a word that is no alias stands for itself. */
+    public String resolveAlias(String word) {
+        return aliases.getOrDefault(word, word);
+    }
+
+    /** Starts a new process of a controller. */
+    void start(String node) {
+        int index = nodes.indexOf(node);
+        int generation = generations.merge(node, 1, Integer::sum);
+        Controller controller = new Controller(
+                eventLoop(node, generation),
+                deployment(node, generation == 1),
+                Tuning.DEFAULT,
+                network.callerOf(node, () -> generations.get(node) == generation),
+                new Random(7L * index + generation));
+        network.serve(userAddresses.get(node), node, controller::serve);
+        network.serve(peerAddress(index), node, controller::servePeer);
+        controller.tell(new Controller.Begin());
+    }
+
+    /** The first two controllers have clocks at the edges of what the settings allow. */
+    private EventLoop eventLoop(String node, int generation) {
+        int index = nodes.indexOf(node);
+        double fastPercent = switch (index) {
+            case 0 -> FAST_CLOCK_PERCENT;
+            case 1 -> SLOW_CLOCK_PERCENT;
+            default -> 0;
+        };
+        return time.loop(
+                fastPercent,
+                index * 100L - 100,
+                () -> generations.get(node) == generation,
+                () -> frozenUntil.getOrDefault(node, 0L));
+    }
+
+    private Deployment deployment(String node, boolean isFirstStart) {
+        StateStoreLimits limits =
+                config.limitsAnnouncedAtRestart() && isFirstStart ? config.limits() : config.announcedLimits();
+        WorkerTiming timing = config.timing();
+        return new Deployment(
+                node,
+                userAddresses.get(node),
+                peerAddress(nodes.indexOf(node)),
+                peersOf(node),
+                SimulatedCluster.CLOUD_ADDRESS,
+                SimulatedCluster.STATE_ADDRESS,
+                ClusterConfig.ZONES,
+                config.teams(),
+                new ServiceObjectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
+                timing.heartbeatPeriodS(),
+                timing.leaseS(),
+                timing.cancelTimeoutS(),
+                config.requestsPerS(),
+                limits.writesPerS(),
+                limits.valueBytes(),
+                limits.transactionWrites(),
+                CLOUD_REQUESTS_PER_S,
+                CLOUD_LIST_LAG_S,
+                MAX_CONNECTIONS);
+    }
+
+    private List<Peer> peersOf(String node) {
+        List<Peer> peers = new ArrayList<>();
+        for (String other : nodes) {
+            if (!other.equals(node)) {
+                peers.add(new Peer(other, peerAddress(nodes.indexOf(other))));
+            }
+        }
+        return peers;
+    }
+
+    /** Ends a controller's process, which stays down. */
+    public void crash(String node) {
+        if (isLeader(node)) {
+            lastTermEndedByCrash = term();
+        }
+        generations.merge(node, 1, Integer::sum);
+        network.stopServing(userAddresses.get(node));
+        network.stopServing(peerAddress(nodes.indexOf(node)));
+    }
+
+    /** Ends a controller's process and starts another one later. */
+    public void crash(String node, long restartMs) {
+        crash(node);
+        time.after(restartMs, () -> start(node));
+    }
+
+    /** The host loses power: nothing refuses, nothing answers. When the power is back a new process starts. */
+    public void losePower(String node, long durationMs) {
+        crash(node, durationMs);
+        network.setPowered(node, false);
+        time.after(durationMs, () -> network.setPowered(node, true));
+    }
+
+    /** The process is paused while its clocks run on; what is sent to it waits. */
+    public void freeze(String node, long durationMs) {
+        long until = time.now() + durationMs;
+        frozenUntil.put(node, until);
+        network.freeze(node, until);
+    }
+}
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -6,7 +6,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import notchpick.transport.HttpCaller;
@@ -14,7 +16,7 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
 
-/** Carries calls between hosts, which may be cut off from each other. */
+/** Carries calls between hosts; links can be cut or slowed down, hosts frozen or without power. */
 public final class SimulatedNetwork {
     private static final long LATENCY_MS = 2;
 
@@ -28,28 +30,28 @@
     /** Packets from one host or group to another are cut. */
     private record Route(String from, String to) {}
 
-    private final SimulatedTime simulation;
-    private final Map<String, HttpHandler> hosts = new HashMap<>();
-    private final Map<String, String> hostOf = new HashMap<>();
+    private final SimulatedTime time;
+    private final Map<String, HttpHandler> handlers = new HashMap<>();
+    private final Map<String, String> hostsByAddress = new HashMap<>();
     private final Map<Route, Cut> cuts = new LinkedHashMap<>();
-    /** Slow ways: what passes takes so much longer. */
-    private final Map<Route, Long> delays = new LinkedHashMap<>();
+    /** How much longer packets take, by route. */
+    private final Map<Route, Long> delaysMs = new LinkedHashMap<>();
     /** How many calls went to each address. */
-    private final Map<String, Integer> calls = new HashMap<>();
+    private final Map<String, Integer> callCounts = new HashMap<>();
 
-    private int delayed;
+    private int delayedPackets;
     private final Map<Route, List<Runnable>> heldBack = new HashMap<>();
     /** Names that stand for many hosts, by host. */
     private final Map<String, Set<String>> groups = new HashMap<>();
     /** Hosts without power: what is sent to them gets no answer of any kind. */
-    private final Set<String> dark = new HashSet<>();
-    /** Hosts that stand still, and until when. What comes meanwhile waits in their sockets. */
-    private final Map<String, Long> frozen = new HashMap<>();
+    private final Set<String> withoutPower = new HashSet<>();
+    /** Hosts whose processes are paused, and until when. What comes meanwhile waits in their sockets. */
+    private final Map<String, Long> frozenUntil = new HashMap<>();
 
     private Transcript transcript = Transcript.NONE;
 
-    public SimulatedNetwork(SimulatedTime simulation) {
-        this.simulation = simulation;
+    public SimulatedNetwork(SimulatedTime time) {
+        this.time = time;
     }
 
     /** From now on all calls and answers are written down. */
@@ -59,25 +61,27 @@
 
     /** A host serves this address. */
     public void serve(String address, String host, HttpHandler handler) {
-        hosts.put(address, handler);
-        hostOf.put(address, host);
+        handlers.put(address, handler);
+        hostsByAddress.put(address, host);
     }
 
-    public void vanish(String address) {
-        hosts.remove(address);
+    /** Nobody serves this address any more: connections to it are refused. */
+    public void stopServing(String address) {
+        handlers.remove(address);
     }
 
     /** The host loses its power, or has it back. */
-    public void dark(String host, boolean on) {
-        if (on) {
-            dark.add(host);
+    public void setPowered(String host, boolean powered) {
+        if (powered) {
+            withoutPower.remove(host);
         } else {
-            dark.remove(host);
+            withoutPower.add(host);
         }
     }
 
+    /** The host's processes are paused until then; what is sent to it waits. */
     public void freeze(String host, long untilMs) {
-        frozen.put(host, untilMs);
+        frozenUntil.put(host, untilMs);
     }
 
     /** A host belongs to a group, which cuts may name in its place. */
@@ -85,6 +89,13 @@
         groups.computeIfAbsent(host, h -> new HashSet<>()).add(group);
     }
 
+    /** A host is in this zone: it belongs to the zone's group, and to the group outside of each other zone. */
+    void joinZone(String host, String zone) {
+        for (String other : ClusterConfig.ZONES) {
+            join(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
+        }
+    }
+
     /** Cuts both ways between two hosts or groups. */
     public void cut(String one, String other, Cut how) {
         cutOneWay(one, other, how);
@@ -99,20 +110,20 @@
     /** Packets one way take longer by this from now on; 0 ends that. */
     public void delayOneWay(String from, String to, long byMs) {
         if (byMs > 0) {
-            delays.put(new Route(from, to), byMs);
+            delaysMs.put(new Route(from, to), byMs);
         } else {
-            delays.remove(new Route(from, to));
+            delaysMs.remove(new Route(from, to));
         }
     }
 
     /** How many packets have been slowed down. */
-    public int delayed() {
-        return delayed;
+    public int delayedPackets() {
+        return delayedPackets;
     }
 
     /** How many calls were made to addresses that begin like this. */
     public int callsTo(String prefix) {
-        return calls.entrySet().stream()
+        return callCounts.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(prefix))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
@@ -124,29 +135,27 @@
             cuts.remove(route);
             List<Runnable> late = heldBack.remove(route);
             if (late != null) {
-                late.forEach(packet -> simulation.after(LATENCY_MS, packet));
+                late.forEach(packet -> time.after(LATENCY_MS, packet));
             }
         }
     }
 
-    private boolean is(String host, String name) {
+    private boolean isOrBelongsTo(String host, String name) {
         return host.equals(name) || groups.getOrDefault(host, Set.of()).contains(name);
     }
 
-    /** The first cut that stands on this way, or null. */
-    private Route cutOn(String from, String to) {
-        for (Route route : cuts.keySet()) {
-            if (is(from, route.from()) && is(to, route.to())) {
-                return route;
-            }
-        }
-        return null;
+    /** The first cut between the two hosts in this direction. */
+    private Optional<Route> cutBetween(String from, String to) {
+        return cuts.keySet().stream()
+                .filter(route -> isOrBelongsTo(from, route.from()) && isOrBelongsTo(to, route.to()))
+                .findFirst();
     }
 
-    private long delayOn(String from, String to) {
+    private long delayMsBetween(String from, String to) {
         long longest = 0;
-        for (Map.Entry<Route, Long> delay : delays.entrySet()) {
-            if (is(from, delay.getKey().from()) && is(to, delay.getKey().to())) {
+        for (Map.Entry<Route, Long> delay : delaysMs.entrySet()) {
+            if (isOrBelongsTo(from, delay.getKey().from())
+                    && isOrBelongsTo(to, delay.getKey().to())) {
                 longest = Math.max(longest, delay.getValue());
             }
         }
@@ -154,57 +163,61 @@
     }
 
     private void carry(String from, String to, Runnable packet, Runnable reset) {
-        if (dark.contains(to)) {
+        if (withoutPower.contains(to)) {
             return;
         }
-        Route cut = cutOn(from, to);
-        if (cut == null) {
-            long delayMs = delayOn(from, to);
-            delayed += delayMs > 0 ? 1 : 0;
-            simulation.after(Math.max(LATENCY_MS + delayMs, frozen.getOrDefault(to, 0L) - simulation.now()), packet);
-        } else if (cuts.get(cut) == Cut.HOLD) {
-            heldBack.computeIfAbsent(cut, c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
+        Optional<Route> cut = cutBetween(from, to);
+        if (cut.isEmpty()) {
+            long delayMs = delayMsBetween(from, to);
+            delayedPackets += delayMs > 0 ? 1 : 0;
+            long frozenForMs = frozenUntil.getOrDefault(to, 0L) - time.now();
+            time.after(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
+        } else if (cuts.get(cut.get()) == Cut.HOLD) {
+            heldBack.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
         } else {
-            simulation.after(LATENCY_MS, reset);
+            time.after(LATENCY_MS, reset);
         }
     }
 
-    /** Calls made by one host, as long as it lives. */
-    public HttpCaller from(String host, BooleanSupplier alive) {
+    /** Calls made by one host, whose answers count as long as its process lives. */
+    public HttpCaller callerOf(String host, BooleanSupplier isAlive) {
         return (call, timeoutMs, then) -> {
-            calls.merge(call.target(), 1, Integer::sum);
-            transcript.called(simulation.now(), host, call);
-            boolean[] over = {false};
-            Consumer<Response> once = answer -> {
-                if (!over[0] && alive.getAsBoolean()) {
-                    over[0] = true;
-                    then.accept(answer);
-                }
-            };
-            simulation.after(timeoutMs, () -> once.accept(Response.NONE));
-            String to = hostOf.get(call.target());
-            Runnable reset = () -> once.accept(Response.NONE);
-            Route cut = cutOn(host, to);
-            if (cut != null && cuts.get(cut) == Cut.REFUSE) {
-                simulation.after(LATENCY_MS, () -> once.accept(Response.UNSENT));
+            callCounts.merge(call.target(), 1, Integer::sum);
+            transcript.called(time.now(), host, call);
+            Consumer<Response> answerOnce = once(then, isAlive);
+            time.after(timeoutMs, () -> answerOnce.accept(Response.NONE));
+            String to = hostsByAddress.get(call.target());
+            if (cutBetween(host, to).filter(cut -> cuts.get(cut) == Cut.REFUSE).isPresent()) {
+                time.after(LATENCY_MS, () -> answerOnce.accept(Response.UNSENT));
                 return;
             }
-            carry(
-                    host,
-                    to,
-                    () -> {
-                        HttpHandler handler = hosts.get(call.target());
-                        if (handler == null) {
-                            carry(to, host, () -> once.accept(Response.UNSENT), reset);
-                            return;
-                        }
-                        // The state service refuses by who calls, so the caller's name goes along.
-                        handler.handle(new Request(host, call.method(), call.path(), call.body()), answer -> {
-                            transcript.answered(simulation.now(), to, host, call, answer);
-                            carry(to, host, () -> once.accept(answer), reset);
-                        });
-                    },
-                    reset);
+            Runnable reset = () -> answerOnce.accept(Response.NONE);
+            carry(host, to, () -> serveCall(host, call, answerOnce), reset);
         };
     }
+
+    private static Consumer<Response> once(Consumer<Response> then, BooleanSupplier isAlive) {
+        AtomicBoolean answered = new AtomicBoolean();
+        return answer -> {
+            if (!answered.get() && isAlive.getAsBoolean()) {
+                answered.set(true);
+                then.accept(answer);
+            }
+        };
+    }
+
+    private void serveCall(String from, Request call, Consumer<Response> answerOnce) {
+        String to = hostsByAddress.get(call.target());
+        Runnable reset = () -> answerOnce.accept(Response.NONE);
+        HttpHandler handler = handlers.get(call.target());
+        if (handler == null) {
+            carry(to, from, () -> answerOnce.accept(Response.UNSENT), reset);
+            return;
+        }
+        // The state service refuses by who calls, so the caller's name goes along.
+        handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
+            transcript.answered(time.now(), to, from, call, answer);
+            carry(to, from, () -> answerOnce.accept(answer), reset);
+        });
+    }
 }
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -6,56 +6,62 @@
 import java.util.function.LongSupplier;
 import notchpick.transport.EventLoop;
 
-/** Simulated time: what is due happens in order, at once. */
+/** Simulated time: runs scheduled work in the order of its due times, without waiting. */
 public final class SimulatedTime {
-    private record Due(long at, long order, Runnable work) {}
+    /** Work of the same time runs in the order in which it was scheduled. */
+    private record ScheduledWork(long at, long sequence, Runnable work) {}
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private static final long STEADY_CLOCK_START_MS = 1_000_000;
+    private static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
+
+    private final PriorityQueue<ScheduledWork> queue =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledWork::at).thenComparingLong(ScheduledWork::sequence));
     private long now;
-    private long order;
+    private long sequence;
 
+    /** Milliseconds since the start of the simulation. */
     public long now() {
         return now;
     }
 
+    /** Schedules work; a negative delay counts as none. */
     public void after(long delayMs, Runnable work) {
-        due.add(new Due(now + Math.max(0, delayMs), order++, work));
+        queue.add(new ScheduledWork(now + Math.max(0, delayMs), sequence++, work));
     }
 
-    /** Runs all that is due until then. */
+    /** Advances the time and runs all work that falls due. */
     public void runUntil(long end) {
-        while (!due.isEmpty() && due.peek().at() <= end) {
-            Due next = due.poll();
+        while (!queue.isEmpty() && queue.peek().at() <= end) {
+            ScheduledWork next = queue.poll();
             now = next.at();
             next.work().run();
         }
         now = end;
     }
 
-    /** The loop of a process that never stands still. */
-    public EventLoop loop(double fastPercent, long offsetMs, BooleanSupplier alive) {
-        return loop(fastPercent, offsetMs, alive, () -> 0);
+    /** The event loop of a process that is never paused. */
+    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
+        return loop(fastPercent, wallOffsetMs, isAlive, () -> 0);
     }
 
     /**
-     * The loop of one process.
+     * The event loop of one process.
      *
-     * @param fastPercent how much its steady clock runs fast
-     * @param offsetMs how far its time of day is off
-     * @param frozenUntil until when the process stands still while its clocks run on
+     * @param fastPercent by how much its steady clock runs fast
+     * @param wallOffsetMs by how much its time of day is off
+     * @param frozenUntil until when the process is paused while its clocks run on
      */
-    public EventLoop loop(double fastPercent, long offsetMs, BooleanSupplier alive, LongSupplier frozenUntil) {
+    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntil) {
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
             public long now() {
-                return 1_000_000 + (long) (now * rate);
+                return STEADY_CLOCK_START_MS + (long) (now * rate);
             }
 
             @Override
             public long wallTime() {
-                return 1_700_000_000_000L + now + offsetMs;
+                return WALL_CLOCK_START_MS + now + wallOffsetMs;
             }
 
             @Override
@@ -65,15 +71,15 @@
 
             @Override
             public void after(long delayMs, Runnable work) {
-                due((long) Math.ceil(delayMs / rate), work);
+                runAfter((long) Math.ceil(delayMs / rate), work);
             }
 
-            private void due(long delayMs, Runnable work) {
+            private void runAfter(long delayMs, Runnable work) {
                 SimulatedTime.this.after(delayMs, () -> {
-                    long rest = frozenUntil.getAsLong() - now;
-                    if (rest > 0) {
-                        due(rest, work);
-                    } else if (alive.getAsBoolean()) {
+                    long frozenForMs = frozenUntil.getAsLong() - now;
+                    if (frozenForMs > 0) {
+                        runAfter(frozenForMs, work);
+                    } else if (isAlive.getAsBoolean()) {
                         work.run();
                     }
                 });
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -7,31 +7,29 @@
 import java.util.List;
 import java.util.Map;
 import notchpick.protocol.Json;
-import notchpick.scheduling.MachineType;
 import notchpick.scheduling.Resources;
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** A worker carries out orders only under the newest fencing token that it has seen, and for its present session. */
+/** A worker carries out orders only under the newest fencing token that it has seen, and for its present incarnation. */
 class SimulatedWorkerTest {
-    private static final long LEASE_MS = 20_000;
-    private final SimulatedTime simulation = new SimulatedTime();
+    private static final WorkerTiming TIMING = new WorkerTiming(3, 20, 40);
+
+    private final SimulatedTime time = new SimulatedTime();
     private final SimulatedWorker worker = new SimulatedWorker(
-            simulation,
-            (call, timeoutMs, then) -> simulation.after(timeoutMs, () -> then.accept(Response.NONE)),
-            new InvariantChecker(simulation::now, 40_000, Map.of()),
-            new OneJob(),
-            "m-1",
-            new MachineType("m8", new Resources(8, 0, 64), 100, 1, 1, 0.3, 10, List.of("east")),
-            "east",
-            true,
-            Map.of("node-0", "10.0.0.1:8080"),
-            3000,
-            LEASE_MS,
-            new HashMap<>());
+            new RentedMachine("m-1", ClusterConfig.machineType("m8", 10), "east", true, 0),
+            (call, timeoutMs, then) -> time.after(timeoutMs, () -> then.accept(Response.NONE)),
+            new WorkerEnvironment(
+                    time,
+                    new InvariantChecker(time::now, TIMING.cancelTimeoutMs(), Map.of()),
+                    new OneMinuteJobs(),
+                    new SimulatedWorker.Listener() {},
+                    Map.of("node-0", "10.0.0.1:8080"),
+                    TIMING,
+                    new HashMap<>()));
 
     /** Every task takes one core for a minute. */
-    private static final class OneJob implements SimulatedWorker.Jobs {
+    private static final class OneMinuteJobs implements SimulatedWorker.Jobs {
         @Override
         public Resources demand(String job) {
             return new Resources(1, 0, 1);
@@ -43,12 +41,12 @@
         }
 
         @Override
-        public boolean saves(String job) {
+        public boolean savesCheckpoints(String job) {
             return false;
         }
 
         @Override
-        public boolean failsEverywhere(String job) {
+        public boolean fails(String job) {
             return false;
         }
     }
@@ -64,7 +62,7 @@
     }
 
     @Test
-    void dropsCommandsOfAnEarlierToken() {
+    void dropsCommandsUnderAnEarlierToken() {
         assertEquals(200, start(2, 1, "run-1/0"));
         assertEquals(409, start(1, 1, "run-1/1"));
         assertEquals(List.of("run-1/0"), worker.tasks());
@@ -73,25 +71,25 @@
     }
 
     @Test
-    void dropsCommandsOfAnEarlierSession() {
+    void dropsCommandsForAnEarlierIncarnation() {
         assertEquals(200, start(2, 1, "run-1/0"));
-        // Nobody answers its reports: with its lease the session ends, and all that was there.
-        simulation.runUntil(LEASE_MS + 2);
+        // No heartbeat is answered: with the lease the incarnation ends, and all its tasks.
+        time.runUntil(TIMING.leaseMs() + 2);
         assertEquals(409, start(2, 1, "run-1/1"));
         assertEquals(List.of(), worker.tasks());
         assertEquals(200, start(2, 2, "run-1/1"));
     }
 
     @Test
-    void refusesCommandsWithoutTokenOrSession() {
+    void rejectsCommandsWithoutTokenOrIncarnation() {
         assertEquals(400, worker.command(Json.object().put("mandate", 2)).status());
         assertEquals(400, worker.command(Json.object().put("shift", 1)).status());
         assertEquals(List.of(), worker.tasks());
     }
 
     @Test
-    void hearsNothingWhileDeaf() {
-        worker.deaf(true);
+    void receivesNoCommandWhileDeaf() {
+        worker.setDeaf(true);
         assertEquals(Response.NONE.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
     }
--- /dev/null
+++ b/src/test/java/notchpick/simulation/StateStoreData.java
@@ -0,0 +1,102 @@
+package notchpick.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.LongSupplier;
+
+/** The keys and values of the state service, and the log of their changes. */
+final class StateStoreData {
+    /**
+     * A stored value.
+     *
+     * @param version the revision at which it was written
+     * @param lease the lease that it is bound to; 0: none
+     */
+    record Entry(JsonNode value, long version, long lease) {}
+
+    /** A change of a key; a null value stands for a deletion. */
+    record Change(String key, JsonNode value, long revision) {}
+
+    private final LongSupplier clock;
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final List<Change> log = new ArrayList<>();
+    private final Map<String, Long> deletedAt = new HashMap<>();
+    private final Map<String, Runnable> putListeners = new HashMap<>();
+    private long revision;
+
+    StateStoreData(LongSupplier clock) {
+        this.clock = clock;
+    }
+
+    long revision() {
+        return revision;
+    }
+
+    /** Begins another transaction. */
+    void nextRevision() {
+        revision++;
+    }
+
+    /** The entry of this key; null if there is none. */
+    Entry get(String key) {
+        return entries.get(key);
+    }
+
+    /** The version of the key's value; 0 if there is none. */
+    long versionOf(String key) {
+        Entry entry = entries.get(key);
+        return entry == null ? 0 : entry.version();
+    }
+
+    /** The entries from this key on, in order of their keys. */
+    Map<String, Entry> from(String key) {
+        return entries.tailMap(key);
+    }
+
+    /** Changes after this revision to keys with the prefix. */
+    List<Change> changesSince(long since, String prefix) {
+        List<Change> changes = new ArrayList<>();
+        for (Change change : log) {
+            if (change.revision() > since && change.key().startsWith(prefix)) {
+                changes.add(change);
+            }
+        }
+        return changes;
+    }
+
+    /** The keys that are bound to the lease. */
+    List<String> keysOfLease(long lease) {
+        return entries.entrySet().stream()
+                .filter(entry -> entry.getValue().lease() == lease)
+                .map(Map.Entry::getKey)
+                .toList();
+    }
+
+    /** Writes a value under the present revision; a lease of 0 stands for none. */
+    void put(String key, JsonNode value, long lease) {
+        entries.put(key, new Entry(value, revision, lease));
+        log.add(new Change(key, value, revision));
+        putListeners.getOrDefault(key, () -> {}).run();
+    }
+
+    /** Deletes a key under the present revision; does nothing if there is none. */
+    void delete(String key) {
+        if (entries.remove(key) != null) {
+            log.add(new Change(key, null, revision));
+            deletedAt.put(key, clock.getAsLong());
+        }
+    }
+
+    /** When the key was deleted last; negative: never. */
+    long deletedAt(String key) {
+        return deletedAt.getOrDefault(key, -1L);
+    }
+
+    void whenPut(String key, Runnable listener) {
+        putListeners.put(key, listener);
+    }
+}
--- /dev/null
+++ b/src/test/java/notchpick/simulation/TokenBucket.java
@@ -0,0 +1,36 @@
+package notchpick.simulation;
+
+import java.util.function.LongSupplier;
+
+/** Limits a rate; bursts of one second's worth are accepted. */
+final class TokenBucket {
+    private static final double MS_PER_S = 1000;
+
+    private final LongSupplier clock;
+    private double ratePerS;
+    private double tokens;
+    private long refilledAt;
+
+    TokenBucket(LongSupplier clock, double ratePerS) {
+        this.clock = clock;
+        this.ratePerS = ratePerS;
+        this.tokens = ratePerS;
+        this.refilledAt = clock.getAsLong();
+    }
+
+    void setRate(double newRatePerS) {
+        ratePerS = newRatePerS;
+    }
+
+    /** Takes so many tokens, or none and answers false. */
+    boolean tryTake(int count) {
+        long now = clock.getAsLong();
+        tokens = Math.min(ratePerS, tokens + (now - refilledAt) * ratePerS / MS_PER_S);
+        refilledAt = now;
+        if (tokens < count) {
+            return false;
+        }
+        tokens -= count;
+        return true;
+    }
+}
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -25,6 +25,7 @@
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
+import notchpick.simulation.StateStoreLimits;
 import notchpick.storage.Records.DoneRun;
 import notchpick.storage.Records.Hint;
 import notchpick.transport.EventLoop;
@@ -114,7 +115,7 @@
             assertTrue(
                     stored.contains(assignment.machine().name() + " " + assignment.taskName()), assignment.taskName());
         }
-        assertEquals(0, state.overRate());
+        assertEquals(0, state.transactionsOverRate());
     }
 
     @Test
@@ -205,7 +206,7 @@
         }
         JsonNode value = Records.starts(left);
         assertTrue(Json.bytes(value).length > SHORT_BYTES);
-        state.holds(Records.STARTS + key, value);
+        state.preload(Records.STARTS + key, value);
         return left;
     }
 
@@ -225,7 +226,7 @@
     @Test
     void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
         List<TaskAssignment> left = leftLong(0, 200);
-        state.limits(SHORT_BYTES, 4, 42);
+        state.limits(new StateStoreLimits(SHORT_BYTES, 4, 42));
         FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
         values.loaded(Records.STARTS + 0, left);
@@ -248,12 +249,12 @@
         assertTrue(durable.containsAll(changed));
         assertEquals(140, stored().size());
         assertTrue(Json.bytes(state.value(Records.STARTS + 0)).length <= SHORT_BYTES, "the long one has been written");
-        assertEquals(0, state.malformed());
+        assertEquals(0, state.transactionsTooLarge());
     }
 
     @Test
     void aValueThatIsNotTakenIsHalvedAndHoldsNothingUp() {
-        state.limits(SHORT_BYTES, 12, 42);
+        state.limits(new StateStoreLimits(SHORT_BYTES, 12, 42));
         // These values are longer than the service takes, whatever the settings say.
         for (int i = 0; i < 150; i++) {
             starts.save(start(i));
