--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -8,28 +8,21 @@
 
 /** What can go wrong by itself. Seeds of {@link FaultCombinationTest} rest on the order, so new ones go to the end. */
 enum Fault {
-    LEADER_CRASHES((run, leader, durationMs) -> run.cluster().controllers().crash(leader, run.between(200, 8000))),
-    CONTROLLER_CRASHES((run, leader, durationMs) ->
-            run.cluster().controllers().crash(run.anyController(), run.between(200, 8000))),
+    LEADER_CRASHES((run, leader, durationMs) -> run.controllers().crash(leader, run.between(200, 8000))),
+    CONTROLLER_CRASHES((run, leader, durationMs) -> run.controllers().crash(run.anyNode(), run.between(200, 8000))),
     ALL_CONTROLLERS_CRASH((run, leader, durationMs) -> {
         long restartMs = Math.min(durationMs, 40_000);
-        run.controllers().forEach(node -> run.cluster().controllers().crash(node, restartMs));
+        run.nodes().forEach(node -> run.controllers().crash(node, restartMs));
     }),
-    LEADER_FREEZES(
-            (run, leader, durationMs) -> run.cluster().controllers().freeze(leader, Math.min(durationMs, 25_000))),
+    LEADER_FREEZES((run, leader, durationMs) -> run.controllers().freeze(leader, Math.min(durationMs, 25_000))),
     LEADER_REFUSED((run, leader, durationMs) -> {
-        run.cluster().stateStore().setRefused(leader, true);
+        run.stateStore().setRefused(leader, true);
         run.later(
-                durationMs,
-                leader + " is served again",
-                () -> run.cluster().stateStore().setRefused(leader, false));
+                durationMs, leader + " is served again", () -> run.stateStore().setRefused(leader, false));
     }),
     OUTAGE((run, leader, durationMs) -> {
-        run.cluster().stateStore().setOutage(true);
-        run.later(
-                durationMs,
-                "the outage is over",
-                () -> run.cluster().stateStore().setOutage(false));
+        run.stateStore().setOutage(true);
+        run.later(durationMs, "the outage is over", () -> run.stateStore().setOutage(false));
     }),
     WRITES_APPLIED_LATE((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, false)),
     WRITES_UNANSWERED((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, true)),
@@ -42,28 +35,22 @@
             .forEach(worker -> run.cluster().fleet().hang(worker, Math.min(durationMs, 30_000)))),
     LEADER_LOSES_STATE_AND_PEERS((run, leader, durationMs) -> {
         run.cut(leader, "state", durationMs);
-        run.controllersBut(leader).forEach(node -> run.cut(leader, node, durationMs));
+        run.nodesBut(leader).forEach(node -> run.cut(leader, node, durationMs));
     }),
     ZONE_CUT((run, leader, durationMs) -> run.cut("zone-east", "outside-east", durationMs)),
     LEADER_LOSES_WORKERS((run, leader, durationMs) -> run.cut(leader, "workers", durationMs)),
     ANSWERS_HELD((run, leader, durationMs) -> {
-        run.cluster().network().cutOneWay(leader, "workers", Cut.HOLD);
+        run.network().cutOneWay(leader, "workers", Cut.HOLD);
         run.later(
-                Math.min(durationMs, 6000),
-                "answers pass",
-                () -> run.cluster().network().heal(leader, "workers"));
+                Math.min(durationMs, 6000), "answers pass", () -> run.network().heal(leader, "workers"));
     }),
     WATCHES_HANG((run, leader, durationMs) -> {
-        run.cluster().stateStore().setWatchesHanging(true);
-        run.later(
-                durationMs,
-                "watches are answered",
-                () -> run.cluster().stateStore().setWatchesHanging(false));
+        run.stateStore().setWatchesHanging(true);
+        run.later(durationMs, "watches are answered", () -> run.stateStore().setWatchesHanging(false));
     }),
     LISTS_SLOW((run, leader, durationMs) -> {
-        run.cluster().stateStore().setListDelay(run.between(500, 4000));
-        run.later(
-                durationMs, "lists are quick", () -> run.cluster().stateStore().setListDelay(0));
+        run.stateStore().setListDelay(run.between(500, 4000));
+        run.later(durationMs, "lists are quick", () -> run.stateStore().setListDelay(0));
     }),
     MACHINES_DIE((run, leader, durationMs) -> run.reclaimMachines(8)),
     LINKS_SLOW((run, leader, durationMs) -> {
@@ -82,24 +69,23 @@
         run.slowDown("controllers", "workers", durationMs);
     }),
     MACHINES_REPLACED_QUICKLY((run, leader, durationMs) -> {
-        run.cluster().cloud().setBootTimeFactor(0.1);
+        run.cloud().setBootTimeFactor(0.1);
         run.reclaimMachines(6);
-        run.later(
-                durationMs, "boots take their time", () -> run.cluster().cloud().setBootTimeFactor(1));
+        run.later(durationMs, "boots take their time", () -> run.cloud().setBootTimeFactor(1));
     }),
     INVALID_REQUESTS((run, leader, durationMs) -> Submissions.sendInvalid(run.cluster(), FaultRun.JOBS.get(0))),
     /** Teams are divided among the controllers that send heartbeats: some stop for a while. */
     OTHER_CONTROLLERS_LOSE_POWER((run, leader, durationMs) -> {
-        List<String> others = new ArrayList<>(run.controllersBut(leader));
+        List<String> others = new ArrayList<>(run.nodesBut(leader));
         Collections.shuffle(others, run.random());
         others.stream()
                 .limit(run.between(1, 3))
-                .forEach(node -> run.cluster().controllers().losePower(node, Math.min(durationMs, 20_000)));
+                .forEach(node -> run.controllers().losePower(node, Math.min(durationMs, 20_000)));
     }),
     JOBS_CANCELLED_TOGETHER((run, leader, durationMs) -> run.cancelRunning((int) run.between(3, 6))),
     FORMER_LEADER_RESUMES((run, leader, durationMs) -> {
         run.slowDown(leader, "workers", 9000);
-        run.cluster().controllers().freeze(leader, run.between(2000, 9000));
+        run.controllers().freeze(leader, run.between(2000, 9000));
     });
 
     /** What a fault does to the cluster. */
@@ -124,11 +110,8 @@
     }
 
     private static void leaveWritesUnanswered(FaultRun run, long durationMs, boolean appliedImmediately) {
-        run.cluster().stateStore().setUnansweredCommits(0.4, appliedImmediately);
-        run.later(
-                durationMs,
-                "writes are answered",
-                () -> run.cluster().stateStore().setUnansweredCommits(0, false));
+        run.stateStore().setUnansweredCommits(0.4, appliedImmediately);
+        run.later(durationMs, "writes are answered", () -> run.stateStore().setUnansweredCommits(0, false));
     }
 
     private static void duplicateHeartbeats(FaultRun run, long durationMs, boolean forNextLeader) {
--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -12,8 +12,12 @@
 import notchpick.scheduling.Resources;
 import notchpick.simulation.ClusterConfig;
 import notchpick.simulation.Occurrence;
+import notchpick.simulation.SimulatedCloud;
 import notchpick.simulation.SimulatedCluster;
+import notchpick.simulation.SimulatedControllers;
+import notchpick.simulation.SimulatedNetwork;
 import notchpick.simulation.SimulatedNetwork.Cut;
+import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedWorker;
 import notchpick.simulation.Transcript;
 import notchpick.simulation.WorkerTiming;
@@ -100,6 +104,22 @@
         return cluster;
     }
 
+    SimulatedControllers controllers() {
+        return cluster.controllers();
+    }
+
+    SimulatedStateStore stateStore() {
+        return cluster.stateStore();
+    }
+
+    SimulatedNetwork network() {
+        return cluster.network();
+    }
+
+    SimulatedCloud cloud() {
+        return cluster.cloud();
+    }
+
     Random random() {
         return random;
     }
@@ -109,16 +129,16 @@
         return least + random.nextInt((int) (most - least + 1));
     }
 
-    String anyController() {
-        return controllers().get(random.nextInt(controllers().size()));
+    String anyNode() {
+        return nodes().get(random.nextInt(nodes().size()));
     }
 
-    List<String> controllers() {
-        return cluster.controllers().nodes();
+    List<String> nodes() {
+        return controllers().nodes();
     }
 
-    List<String> controllersBut(String excluded) {
-        return controllers().stream().filter(node -> !node.equals(excluded)).toList();
+    List<String> nodesBut(String excluded) {
+        return nodes().stream().filter(node -> !node.equals(excluded)).toList();
     }
 
     List<SimulatedWorker> workers() {
@@ -146,7 +166,7 @@
 
     /** Injects the fault for a random time. */
     void inject(Fault fault) {
-        String leader = cluster.controllers().leader().orElseGet(this::anyController);
+        String leader = controllers().leader().orElseGet(this::anyNode);
         long durationMs = switch (random.nextInt(3)) {
             case 0 -> between(1000, 8000);
             case 1 -> between(8000, 30_000);
@@ -158,17 +178,14 @@
 
     /** Cuts the link between two hosts or groups for a while. */
     void cut(String one, String other, long durationMs) {
-        cluster.network().cut(one, other, Cut.HOLD);
-        cluster.time().after(durationMs, () -> cluster.network().heal(one, other));
+        network().cut(one, other, Cut.HOLD);
+        cluster.time().after(durationMs, () -> network().heal(one, other));
     }
 
     /** Packets in one direction take longer for a while. */
     void slowDown(String from, String to, long durationMs) {
-        cluster.network().delayOneWay(from, to, between(200, 3800));
-        later(
-                durationMs,
-                from + " to " + to + " is quick",
-                () -> cluster.network().delayOneWay(from, to, 0));
+        network().delayOneWay(from, to, between(200, 3800));
+        later(durationMs, from + " to " + to + " is quick", () -> network().delayOneWay(from, to, 0));
     }
 
     /** Some machines have the fault for a while. */
@@ -180,7 +197,7 @@
 
     /** The cloud takes back some machines, so many at most. */
     void reclaimMachines(int most) {
-        cluster.fleet().machines().stream().limit(between(1, most)).forEach(cluster.cloud()::reclaim);
+        cluster.fleet().machines().stream().limit(between(1, most)).forEach(cloud()::reclaim);
     }
 
     // ---- users ---------------------------------------------------------------------------------
@@ -215,11 +232,11 @@
     /** Goes on until close to an event of a random kind, for a random time, or not at all. */
     void awaitRandomEvent() {
         switch (random.nextInt(6)) {
-            case 0 -> awaitEvent("an election", () -> cluster.controllers().term());
+            case 0 -> awaitEvent("an election", () -> controllers().term());
             case 1 ->
                 awaitEvent("a cancellation", () -> cluster.occurrences().count(Occurrence.CANCELLATION_CONFIRMED));
             case 2 -> awaitEvent("a completion", () -> cluster.occurrences().count(Occurrence.TASK_COMPLETED));
-            case 3 -> awaitEvent("a boot", () -> cluster.cloud().bootedCount());
+            case 3 -> awaitEvent("a boot", () -> cloud().bootedCount());
             case 4 -> cluster.runFor(between(0, 5000));
             default -> {}
         }
--- a/src/test/java/notchpick/ScenarioInputTest.java
+++ b/src/test/java/notchpick/ScenarioInputTest.java
@@ -36,7 +36,7 @@
             })
     void mistakeIsReportedWithFileAndLine(String line, String message) {
         List<String> lines = List.of("# a remark", "at 2 submit run-000001 tasks 1 run 1", line);
-        Exception e = assertThrows(IllegalArgumentException.class, () -> ScenarioTest.play("bad.txt", lines));
+        Exception e = assertThrows(IllegalArgumentException.class, () -> ScenarioRunner.play("bad.txt", lines));
         assertEquals("bad.txt:3: " + message, e.getMessage());
     }
 }
--- a/src/test/java/notchpick/simulation/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -10,35 +10,25 @@
 import notchpick.scheduling.TestJobs;
 import org.junit.jupiter.api.Test;
 
-/** Each check of a rule can fail; otherwise the scenarios would show nothing. */
+/** Every violation of a rule is found, and nothing else; otherwise the scenarios would show nothing. */
 class InvariantCheckerTest {
     private long now;
     private final InvariantChecker invariants = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
-    private void submit(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
-        invariants.submitted(job(id, tasks, oneZone, spread, spot));
+    private void submit(JobSpec.Builder job) {
+        invariants.submitted(job.build());
     }
 
-    /** A job of class c and team a, whose tasks take four cores each. */
-    static JobSpec job(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
+    /** A job of class c and team a with one task of four cores, which may run anywhere. */
+    static JobSpec.Builder job(String id) {
         return TestJobs.job(id)
-                .tasks(tasks)
                 .demand(new Resources(4, 0, 1))
                 .types(List.of("m8"))
-                .oneZone(oneZone)
-                .spread(spread)
-                .spot(spot)
-                .estimateS(1)
-                .build();
+                .estimateS(1);
     }
 
-    private void submitAfter(String id, String need) {
-        invariants.submitted(TestJobs.job(id)
-                .demand(new Resources(4, 0, 1))
-                .types(List.of("m8"))
-                .estimateS(1)
-                .dependencies(List.of(need))
-                .build());
+    private void submitAfter(String id, String dependency) {
+        submit(job(id).dependencies(List.of(dependency)));
     }
 
     private void assertViolation(String rule) {
@@ -50,16 +40,16 @@
     }
 
     @Test
-    void ranTwice() {
-        submit("run-1", 1, false, false, true);
+    void taskOnTwoMachinesIsAViolation() {
+        submit(job("run-1"));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/0", "m8", "east", true);
         assertViolation("ran_twice");
     }
 
     @Test
-    void quota() {
-        submit("run-1", 3, false, false, true);
+    void teamAboveItsLimitIsAViolation() {
+        submit(job("run-1").tasks(3));
         for (int task = 0; task < 3; task++) {
             invariants.started("m-1", "run-1/" + task, "m8", "east", true);
         }
@@ -67,31 +57,31 @@
     }
 
     @Test
-    void wrongPlaceByTypeZoneOrKind() {
-        submit("run-1", 1, false, false, false);
+    void machineThatTheJobDoesNotAllowIsAViolation() {
+        submit(job("run-1").spot(false));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         assertViolation("wrong_place");
     }
 
     @Test
-    void wrongPlaceByFellows() {
-        submit("run-1", 2, true, false, true);
+    void jobOfOneZoneInTwoZonesIsAViolation() {
+        submit(job("run-1").tasks(2).oneZone(true));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/1", "m8", "west", true);
         assertViolation("wrong_place");
     }
 
     @Test
-    void wrongPlaceBySpread() {
-        submit("run-1", 2, false, true, true);
+    void spreadJobInOneZoneIsAViolation() {
+        submit(job("run-1").tasks(2).spread(true));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/1", "m8", "east", true);
         assertViolation("wrong_place");
     }
 
     @Test
-    void ranCancelled() {
-        submit("run-1", 1, false, false, true);
+    void taskRunningLongAfterItsCancellationIsAViolation() {
+        submit(job("run-1"));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.cancelRequested("run-1");
         invariants.answered("run-1", 200, "cancelled");
@@ -102,30 +92,30 @@
     }
 
     @Test
-    void forgotten() {
-        submit("run-1", 1, false, false, true);
+    void acceptedJobNotFoundIsAViolation() {
+        submit(job("run-1"));
         invariants.answered("run-1", 201, "queued");
         invariants.answered("run-1", 404, null);
         assertViolation("forgotten");
     }
 
     @Test
-    void invented() {
+    void answerAboutAJobNeverSubmittedIsAViolation() {
         invariants.answered("run-9", 200, "queued");
         assertViolation("invented");
     }
 
     @Test
-    void notDone() {
-        submit("run-1", 2, false, false, true);
+    void doneBeforeAllTasksCompletedIsAViolation() {
+        submit(job("run-1").tasks(2));
         invariants.completed("run-1/0");
         invariants.answered("run-1", 200, "done");
         assertViolation("not_done");
     }
 
     @Test
-    void wentBack() {
-        submit("run-1", 1, false, false, true);
+    void leavingAFinalStateIsAViolation() {
+        submit(job("run-1"));
         invariants.completed("run-1/0");
         invariants.answered("run-1", 200, "done");
         invariants.answered("run-1", 200, "running");
@@ -133,15 +123,15 @@
     }
 
     @Test
-    void cancelledByNobody() {
-        submit("run-1", 1, false, false, true);
+    void cancelledWithoutARequestIsAViolation() {
+        submit(job("run-1"));
         invariants.answered("run-1", 200, "cancelled");
         assertViolation("went_back");
     }
 
     @Test
-    void tooEarly() {
-        submit("run-1", 2, false, false, true);
+    void startBeforeADependencyIsDoneIsAViolation() {
+        submit(job("run-1").tasks(2));
         submitAfter("run-2", "run-1");
         invariants.completed("run-1/0");
         invariants.started("m-1", "run-2/0", "m8", "east", true);
@@ -149,8 +139,8 @@
     }
 
     @Test
-    void orphaned() {
-        submit("run-1", 1, false, false, true);
+    void openJobLongAfterADependencyWasCancelledIsAViolation() {
+        submit(job("run-1"));
         submitAfter("run-2", "run-1");
         submitAfter("run-3", "run-2");
         invariants.cancelRequested("run-1");
@@ -164,8 +154,8 @@
     }
 
     @Test
-    void cancelledForWhatItNeeds() {
-        submit("run-1", 1, false, false, true);
+    void cancellationOfADependencyCancelsTheJobForGood() {
+        submit(job("run-1"));
         submitAfter("run-2", "run-1");
         invariants.cancelRequested("run-1");
         invariants.answered("run-2", 200, "cancelled");
@@ -179,12 +169,12 @@
     }
 
     private void accepted(String id) {
-        submit(id, 1, false, false, true);
+        submit(job(id));
         invariants.answered(id, 201, "queued");
     }
 
     @Test
-    void startedAfterACancellation() {
+    void lateStartOrderAfterACancellationIsAViolation() {
         accepted("run-1");
         invariants.cancelRequested("run-1");
         invariants.answered("run-1", 200, "cancelled");
@@ -212,7 +202,7 @@
     }
 
     @Test
-    void goesOnAfterItsMachineHung() {
+    void taskThatRunsOnAfterItsMachineHungIsAViolation() {
         accepted("run-1");
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.cancelRequested("run-1");
@@ -227,7 +217,7 @@
     }
 
     @Test
-    void olderThanAnotherNodesAnswer() {
+    void answerBehindWhatAUserKnewIsAViolation() {
         accepted("run-1");
         invariants.completed("run-1/0");
         now = 10;
@@ -241,8 +231,8 @@
     }
 
     @Test
-    void notFoundThoughAnotherNodeAccepted() {
-        submit("run-1", 1, false, false, true);
+    void notFoundAfterAnotherControllerAcceptedIsAViolation() {
+        submit(job("run-1"));
         now = 10;
         invariants.answered("run-1", 201, "queued", 5);
         invariants.answered("run-1", 404, null, 9);
@@ -252,7 +242,7 @@
     }
 
     @Test
-    void silentAfterTheTroubles() {
+    void jobUnansweredAfterAllFaultsIsAViolation() {
         accepted("run-1");
         invariants.answered("run-1", 503, null);
         now = 200_000;
@@ -267,7 +257,7 @@
     }
 
     @Test
-    void leftWaiting() {
+    void jobLeftWaitingAfterAllFaultsIsAViolation() {
         accepted("run-1");
         invariants.waits("run-1", true);
         now = 100_000;
@@ -286,7 +276,7 @@
     }
 
     @Test
-    void acceptedThoughUnfit() {
+    void acceptedInvalidSubmissionIsAViolation() {
         invariants.submittedInvalid("run-1");
         invariants.answered("run-1", 422, null);
         invariants.answered("run-1", 400, null);
@@ -297,35 +287,35 @@
     }
 
     @Test
-    void lawfulStarts() {
-        submit("run-1", 1, false, false, true);
+    void startsWithinTheRulesAreNoViolation() {
+        submit(job("run-1"));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.stopped("m-1", "run-1/0");
         // It had left its first machine, so it has not run twice; two tasks of four cores are what the team may hold.
         invariants.started("m-2", "run-1/0", "m8", "west", true);
-        submit("run-2", 1, false, false, false);
+        submit(job("run-2").spot(false));
         invariants.started("m-3", "run-2/0", "m8", "east", false);
         assertNoViolation();
     }
 
     @Test
-    void lawfulPlacesAmongFellows() {
-        submit("run-1", 2, true, false, true);
+    void placementsWithinTheRulesAreNoViolation() {
+        submit(job("run-1").tasks(2).oneZone(true));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/1", "m8", "east", true);
         invariants.stopped("m-1", "run-1/0");
         invariants.stopped("m-2", "run-1/1");
-        // All its fellows have gone from the one zone, so that any may be the next.
+        // No task of the job is left in the first zone, so that any zone may be the next.
         invariants.started("m-3", "run-1/1", "m8", "west", true);
         invariants.stopped("m-3", "run-1/1");
-        submit("run-2", 2, false, true, true);
+        submit(job("run-2").tasks(2).spread(true));
         invariants.started("m-1", "run-2/0", "m8", "east", true);
         invariants.started("m-3", "run-2/1", "m8", "west", true);
         assertNoViolation();
     }
 
     @Test
-    void lawfulAnswers() {
+    void answersWithinTheRulesAreNoViolation() {
         accepted("run-1");
         invariants.answered("run-1", 503, null);
         invariants.answered("run-1", 200, "running");
@@ -345,7 +335,7 @@
     }
 
     @Test
-    void ordersAfterACancellationAreMeasured() {
+    void startOrdersAfterACancellationAreMeasured() {
         accepted("run-1");
         invariants.startOrdered("m-1", "run-1/0", 4000);
         assertEquals(0, invariants.startOrdersAfterCancel());
--- a/src/test/java/notchpick/simulation/ServedJobsTest.java
+++ b/src/test/java/notchpick/simulation/ServedJobsTest.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What is served less than half, or begins too late, is seen; what is just enough passes. */
+/** Groups of which less than half is served, or that begin too late, are reported; what is just enough passes. */
 class ServedJobsTest {
     private long now;
     private final InvariantChecker invariants = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
     private void submit(String id, int tasks) {
-        invariants.submitted(InvariantCheckerTest.job(id, tasks, false, false, true));
+        invariants.submitted(InvariantCheckerTest.job(id).tasks(tasks).build());
     }
 
     private void accepted(String id) {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void underHalfServed() {
+    void groupServedLessThanHalfIsReported() {
         for (int i = 1; i <= 4; i++) {
             accepted("run-" + i);
             invariants.started("m-1", "run-" + i + "/0", "m8", "east", true);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void largestServedAndBegunInTime() {
+    void largestJobsMustBeServed() {
         submit("run-1", 2);
         accepted("run-2");
         invariants.completed("run-2/0");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void largestBeginsLate() {
+    void largestJobsMustBeginInTime() {
         submit("run-1", 2);
         now = ServedJobs.LARGEST_BEGIN_MS + 1;
         invariants.started("m-1", "run-1/0", "m8", "east", true);
