--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The layers hold: who may know of whom, and where the users' words stop. */
+/** The layers of the sources: which packages may depend on which, and where the words of the wire may occur. */
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/notchpick");
     private static final List<String> BELOW_COORDINATION =
             List.of("transport", "scheduling", "model", "protocol", "storage");
-    /** Layers, and whom each may know besides itself; below a layer lie packages of their own. */
-    private static final Map<String, List<String>> MAY_KNOW = Map.ofEntries(
+    /** The layers, and on which others each may depend; packages below a layer are layers of their own. */
+    private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("transport", List.of()),
             Map.entry("scheduling", List.of()),
             Map.entry("protocol", List.of("transport", "scheduling")),
@@ -65,45 +65,47 @@
 
     /** The layer that a package belongs to: parts of coordination are layers, those of others are not. */
     private static String layerOf(String name) {
-        return MAY_KNOW.containsKey(name) ? name : name.split("\\.")[0];
+        return ALLOWED_DEPENDENCIES.containsKey(name) ? name : name.split("\\.")[0];
     }
 
     @Test
-    void everyFolderIsALayer() throws IOException {
+    void everyPackageBelongsToALayer() throws IOException {
         try (Stream<Path> folders = Files.walk(SOURCES)) {
             List<String> unknown = folders.filter(Files::isDirectory)
                     .map(folder -> SOURCES.relativize(folder).toString())
                     .filter(name -> !name.isEmpty() && !name.equals("app"))
                     .map(name -> name.replace('/', '.'))
-                    .filter(name -> !MAY_KNOW.containsKey(name))
+                    .filter(name -> !ALLOWED_DEPENDENCIES.containsKey(name))
                     .toList();
             assertEquals(List.of(), unknown);
         }
     }
 
     @Test
-    void eachLayerKnowsOnlyThoseBelow() throws IOException {
-        for (Map.Entry<String, List<String>> layer : MAY_KNOW.entrySet()) {
+    void layersDependOnlyOnLayersBelow() throws IOException {
+        for (Map.Entry<String, List<String>> layer : ALLOWED_DEPENDENCIES.entrySet()) {
             for (Path file : sources(layer.getKey())) {
                 Matcher matcher = IMPORT.matcher(Files.readString(file));
                 while (matcher.find()) {
-                    String known = layerOf(matcher.group(1));
+                    String dependency = layerOf(matcher.group(1));
                     assertTrue(
-                            known.equals(layer.getKey()) || layer.getValue().contains(known), file + " knows " + known);
+                            dependency.equals(layer.getKey())
+                                    || layer.getValue().contains(dependency),
+                            file + " depends on " + dependency);
                 }
             }
         }
     }
 
     /**
-     * Opinions of links and peers choose whom to ask. What frees a task, a machine or a term rests on facts: of the
-     * leader's parts only the one that steps down and the one that leases resources out know of them, and what hands
-     * the controller's collaborators to these two.
+     * The health of links and peers, which is an opinion, chooses whom to ask. What releases a task, a machine or a term
+     * rests on durable facts: of the leader's parts only those that step down and that lease resources out depend on it,
+     * and those that hand the controller's collaborators to these two.
      */
     @Test
-    void nothingThatFreesAsksHowALinkIs() throws IOException {
+    void linkHealthDoesNotDecideWhatIsReleased() throws IOException {
         List<String> asking = new ArrayList<>();
-        for (String layer : MAY_KNOW.keySet()) {
+        for (String layer : ALLOWED_DEPENDENCIES.keySet()) {
             if (!layer.startsWith("coordination.leader")
                     && !List.of("model", "storage").contains(layer)) {
                 continue;
@@ -120,7 +122,7 @@
     }
 
     @Test
-    void schedulingDoesNoInputOrOutputAndHasNoClock() throws IOException {
+    void schedulingIsPure() throws IOException {
         Pattern outside = Pattern.compile(
                 "import java\\.(io|net|nio|time)|System\\.|Thread|new Random\\(\\)|org\\.slf4j|com\\.fasterxml");
         for (Path file : sources("scheduling")) {
@@ -129,8 +131,8 @@
     }
 
     @Test
-    void theUsersWordsStayInProtocol() throws IOException {
-        List<String> layers = new ArrayList<>(MAY_KNOW.keySet());
+    void wireWordsOccurInProtocolAlone() throws IOException {
+        List<String> layers = new ArrayList<>(ALLOWED_DEPENDENCIES.keySet());
         layers.remove("protocol");
         layers.add("app");
         for (String layer : layers) {
