--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -26,6 +26,7 @@
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
+import notchpick.simulation.StateStoreLimits;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
@@ -116,7 +117,7 @@
             assertTrue(
                     stored.contains(assignment.machine().name() + " " + assignment.taskName()), assignment.taskName());
         }
-        assertEquals(0, state.overRate());
+        assertEquals(0, state.transactionsOverRate());
     }
 
     @Test
@@ -207,7 +208,7 @@
         }
         JsonNode value = LaunchRecordCodec.encode(left);
         assertTrue(Json.bytes(value).length > SHORT_BYTES);
-        state.holds(StateKeys.LAUNCHES + key, value);
+        state.preload(StateKeys.LAUNCHES + key, value);
         return left;
     }
 
@@ -227,7 +228,7 @@
     @Test
     void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
         List<TaskAssignment> left = leftLong(0, 200);
-        state.limits(SHORT_BYTES, 4, 42);
+        state.limits(new StateStoreLimits(SHORT_BYTES, 4, 42));
         FencedWriter small = new FencedWriter(api, loop, loop::after, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
         values.load(StateKeys.LAUNCHES + 0, left);
@@ -251,12 +252,12 @@
         assertEquals(140, stored().size());
         assertTrue(
                 Json.bytes(state.value(StateKeys.LAUNCHES + 0)).length <= SHORT_BYTES, "the long one has been written");
-        assertEquals(0, state.malformed());
+        assertEquals(0, state.transactionsTooLarge());
     }
 
     @Test
     void aValueThatIsNotTakenIsHalvedAndHoldsNothingUp() {
-        state.limits(SHORT_BYTES, 12, 42);
+        state.limits(new StateStoreLimits(SHORT_BYTES, 12, 42));
         // These values are longer than the service takes, whatever the settings say.
         for (int i = 0; i < 150; i++) {
             starts.save(start(i));
