--- a/src/main/java/notchpick/protocol/StateStoreResponses.java
+++ b/src/main/java/notchpick/protocol/StateStoreResponses.java
@@ -65,6 +65,7 @@
         return body.path(StateStoreFields.LEASE).asLong();
     }
 
+    /** Reads one key with its value, version and lease. */
     static Entry entry(JsonNode node) {
         return new Entry(
                 node.path(StateStoreFields.KEY).asText(),
@@ -73,12 +74,14 @@
                 node.path(StateStoreFields.LEASE).asLong());
     }
 
+    /** Reads one page of a listing. */
     static Listing listing(JsonNode body) {
         List<Entry> entries = new ArrayList<>();
         body.path("items").forEach(item -> entries.add(entry(item)));
         return new Listing(entries, body.path("truncated").asBoolean(), revision(body));
     }
 
+    /** Reads the changes that a watch has brought. */
     static Changes changes(JsonNode body) {
         List<Change> log = new ArrayList<>();
         for (JsonNode item : body.path("log")) {
--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -55,11 +55,13 @@
         maxBytes = most;
     }
 
+    /** Puts a record on the page. */
     void add(R record, int size) {
         records.add(record);
         bytes += size;
     }
 
+    /** Takes a record off the page; the stored value holds it until the page is written again. */
     void remove(R record, int size) {
         records.remove(record);
         bytes -= size;
--- a/src/main/java/notchpick/storage/Preconditions.java
+++ b/src/main/java/notchpick/storage/Preconditions.java
@@ -19,6 +19,7 @@
         void preconditionsFailed(List<String> keys);
     }
 
+    /** Tells the listener which of its preconditions are among the keys whose versions did not match. */
     void reportConflicts(List<String> conflictingKeys) {
         List<String> failed =
                 conflictingKeys.stream().filter(versions::containsKey).toList();
--- a/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
+++ b/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
@@ -7,6 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** What a controller knows of the leader, and of its own leadership. */
 class ElectionStateTest {
     private final ElectionState state = new ElectionState("n-0");
 
--- a/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** When requests to the state store are relayed, and when they go directly again. */
 class StateStorePathTest {
     private static final long SETTLE_MS = 3000;
     private static final long BREAKER_OPEN_MS = 750;
