--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -20,7 +20,7 @@
  * Sends requests to the state store over the direct link, and over a peer as relay while the direct link is cut or
  * refused and the peer's is not.
  *
- * <p>A refused request has surely not been executed, and goes over a relay at once. One without a response may have been
+ * <p>A refused request has surely not been executed, and goes over a relay immediately. One without a response may have been
  * executed: only hedged requests, which may be executed twice, are sent over a second path. When such a request shows
  * that a relay works and the direct link does not, all requests take that path, and those that are still in flight on
  * the former one are given up as lost. Every sender allows for a lost request that is executed late.
@@ -31,7 +31,7 @@
     private static final double HEDGE_DELAY_RATIO = 0.08;
     /** The circuit breaker stays open for this part of the leader lease. */
     private static final double BREAKER_OPEN_RATIO = 0.25;
-    /** This part of a relayed request's time is kept for the way back of its response. */
+    /** This part of a relayed request's time is reserved for the return of its response. */
     private static final double REPLY_TIME_RATIO = 0.1;
 
     private final HttpCaller caller;
--- a/src/main/java/notchpick/coordination/membership/HeartbeatListener.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatListener.java
@@ -2,7 +2,7 @@
 
 import notchpick.protocol.peer.Pulse;
 
-/** Is told of peers' heartbeats. */
+/** Is notified of peers' heartbeats. */
 @FunctionalInterface
 public interface HeartbeatListener {
     /** A peer's heartbeat has arrived, as a message or as the reply to this controller's own. */
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -26,7 +26,7 @@
      * A heartbeat to be relayed.
      *
      * @param receivedAt when it came, in milliseconds of the steady clock
-     * @param route is told when the leader has replied
+     * @param route records when the leader has replied
      */
     record RelayedHeartbeat(byte[] body, Consumer<Response> reply, long receivedAt, WorkerRoute route) {}
 
@@ -44,7 +44,7 @@
     private static final int MAX_BATCHES_IN_FLIGHT = 4;
     /** Heartbeats are collected for this part of the heartbeat period. */
     private static final double BATCH_DELAY_RATIO = 0.02;
-    /** This part of a worker's timeout is kept for the way back of its reply. */
+    /** This part of a worker's timeout is reserved for the return of its reply. */
     private static final double REPLY_TIME_RATIO = 0.125;
     /** A heartbeat is relayed if at least this part of its worker's timeout is left. */
     private static final int MIN_REMAINING_TIMEOUT_PART = 4;
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -22,7 +22,7 @@
  * leader and the reply back within the time that the worker waits. A heartbeat is relayed once at the most.
  */
 public final class HeartbeatRouter extends Actor<HeartbeatRouter.Message> {
-    /** What this actor is told. */
+    /** The messages of this actor. */
     public sealed interface Message {}
 
     /** The process has started: state that is out of date is dropped periodically from now on. */
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -22,7 +22,7 @@
  * key, and campaigns when it is missing. {@link ElectionState} holds what is known.
  */
 public final class LeaderElection extends Actor<LeaderElection.Message> {
-    /** What this actor is told. */
+    /** The messages of this actor. */
     public sealed interface Message {}
 
     /** The process has started: the leader key is polled from now on. */
@@ -34,7 +34,7 @@
     /** A peer knows of this term. */
     public record TermObserved(long term, String leader) implements Message {}
 
-    /** Is told when this controller starts and stops to lead. */
+    /** Is notified when this controller starts and stops leading. */
     public interface Listener {
         /** This controller leads from now on. */
         void elected(ElectedTerm term);
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -50,7 +50,7 @@
 
     /**
      * A worker of this zone has received a reply from here: the heartbeat that follows the one replied to has come to
-     * the same place. A heartbeat alone says nothing of the way back.
+     * the same place. A heartbeat alone does not show that replies arrive.
      */
     public void workerReplyDelivered(String zone) {
         workersByZone
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -9,7 +9,7 @@
 
 /** Exchanges heartbeats and link tables with the other controllers. {@link PeerRegistry} holds what they say. */
 public final class PeerMembership extends Actor<PeerMembership.Message> {
-    /** What this actor is told. */
+    /** The messages of this actor. */
     public sealed interface Message {}
 
     /** The process has started: heartbeats are exchanged from now on. */
--- a/src/main/java/notchpick/coordination/membership/WorkerRoute.java
+++ b/src/main/java/notchpick/coordination/membership/WorkerRoute.java
@@ -1,7 +1,7 @@
 package notchpick.coordination.membership;
 
 /**
- * What a controller that does not lead knows of the way from one worker to the leader of one term. Times are handed in;
+ * What a controller that does not lead knows of the path from one worker to the leader of one term. Times are handed in;
  * 0 stands for never.
  */
 final class WorkerRoute {
--- a/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
+++ b/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
@@ -7,6 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** A controller campaigns only in a vacancy that it has seen, and never mistakes a former leadership for its own. */
 class ElectionStateTest {
     private final ElectionState state = new ElectionState("n-0");
 
--- a/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
+++ b/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
@@ -8,6 +8,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
+/** The condition, age, latency and rate of a link follow its traffic. */
 class LinkHealthTest {
     private static final Response OK = new Response(200, new byte[0]);
     private static final Response UNAVAILABLE = new Response(503, new byte[0]);
--- a/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** A direct link that flaps is not used again, and no relay is tried while the circuit breaker is open. */
 class StateStorePathTest {
     private static final long SETTLE_MS = 3000;
     private static final long BREAKER_OPEN_MS = 750;
--- a/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
+++ b/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** When a worker counts as relayed, and when it is redirected to the leader again. */
 class WorkerRouteTest {
     private static final long INITIAL_BACKOFF_MS = 100;
     private static final long MAX_BACKOFF_MS = 1000;
