--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -21,6 +21,7 @@
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
+import notchpick.protocol.MachineTypesCodec;
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Entry;
@@ -139,7 +140,7 @@
     private void outside(Request call, Consumer<Response> reply, long at) {
         String path = call.path();
         if (path.equals("/hello")) {
-            if (loop.now() - at > WorkerProtocol.PATIENCE_MS) {
+            if (loop.now() - at > WorkerProtocol.REPLY_TIMEOUT_MS) {
                 // Its worker has given it up; to look at it would only make the next ones late too.
                 reply.accept(new Response(503, new byte[0]));
             } else if (call.method().equals("POST")) {
@@ -290,7 +291,7 @@
         if (types == null) {
             state.get(StateKeys.MACHINE_TYPES, here(result -> {
                 if (types == null && result instanceof Ok<Entry> ok) {
-                    typesKnown(CloudClient.types(ok.value().value()));
+                    MachineTypesCodec.decode(ok.value().value()).ifPresent(this::typesKnown);
                 }
                 if (types == null) {
                     askCloud(RETRY_MS);
@@ -306,10 +307,11 @@
     }
 
     private void askCloud(long againMs) {
-        cloud.types(here(known -> {
-            if (known != null) {
+        cloud.types(here(listed -> {
+            if (listed.isPresent()) {
+                List<MachineType> known = listed.get();
                 typesKnown(known);
-                JsonNode kept = CloudClient.typesJson(known);
+                JsonNode kept = MachineTypesCodec.encode(known);
                 // Half a list would tell users that their jobs fit nothing.
                 if (Json.bytes(kept).length <= deployment.valueBytes()) {
                     state.commit(new Transaction().put(StateKeys.MACHINE_TYPES, kept), result -> {});
@@ -320,9 +322,6 @@
     }
 
     private void typesKnown(List<MachineType> known) {
-        if (known == null) {
-            return;
-        }
         types = known;
         userRequests.tell(new UserRequestHandler.TypesKnown(known));
         if (leader != null) {
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -5,7 +5,8 @@
 import notchpick.model.ClusterState;
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
-import notchpick.protocol.CloudClient.Listed;
+import notchpick.protocol.CloudClient.ListedMachine;
+import notchpick.protocol.CloudClient.Page;
 import notchpick.scheduling.FleetPlanner.Pool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -37,34 +38,31 @@
     }
 
     private void readPage(String after) {
-        cloud.list(
-                after,
-                page -> context.timer().after(0, () -> {
-                    if (page == null) {
-                        return;
-                    }
-                    List<Listed> machines = page.machines();
-                    machines.forEach(this::listed);
-                    if (page.more() && !machines.isEmpty()) {
-                        readPage(machines.get(machines.size() - 1).machine());
-                    } else {
-                        complete = true;
-                    }
-                }));
+        cloud.list(after, page -> context.timer().after(0, () -> page.ifPresent(this::pageRead)));
     }
 
-    private void listed(Listed listed) {
+    private void pageRead(Page page) {
+        List<ListedMachine> machines = page.machines();
+        machines.forEach(this::listed);
+        if (page.more() && !machines.isEmpty()) {
+            readPage(machines.get(machines.size() - 1).machine());
+        } else {
+            complete = true;
+        }
+    }
+
+    private void listed(ListedMachine listed) {
         if (cluster.isRemoved(listed.machine())) {
             return;
         }
         Machine machine = cluster.machineOrAdd(listed.machine(), name -> unknownMachine(listed));
-        if (listed.state() == CloudClient.ListedState.FAILED && machine.state() != Machine.State.RELEASED) {
+        if (listed.state() == CloudClient.MachineState.FAILED && machine.state() != Machine.State.RELEASED) {
             LOG.warn("machine failed: machine={} type={} zone={}", machine.name(), machine.type(), machine.zone());
             machine.release();
         }
     }
 
-    private Machine unknownMachine(Listed listed) {
+    private Machine unknownMachine(ListedMachine listed) {
         long now = context.now();
         Pool pool = new Pool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -2,12 +2,14 @@
 
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
-import notchpick.protocol.CloudClient.Rented;
+import notchpick.protocol.RentResult.NoCapacity;
+import notchpick.protocol.RentResult.Rented;
 import notchpick.scheduling.FleetPlanner.Pool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -63,8 +65,10 @@
                 pool.spot(),
                 batch,
                 result -> context.timer().after(0, () -> {
-                    if (result != null) {
-                        rented(pool, count, batch, result);
+                    if (result instanceof Rented rented) {
+                        rented(pool, count, batch, rented.machines());
+                    } else if (result instanceof NoCapacity) {
+                        rented(pool, count, batch, List.of());
                     } else if (tries > 1) {
                         // Idempotent by the same name: if the first request did rent, this tells what.
                         context.timer().after(RETRY_MS, () -> rent(request, pool, count, tries - 1));
@@ -74,22 +78,22 @@
                 }));
     }
 
-    private void rented(Pool pool, int count, int batch, Rented result) {
+    private void rented(Pool pool, int count, int batch, List<String> machines) {
         long now = context.now();
         LOG.info(
                 "machines rented: count={} requested={} type={} zone={} spot={}",
-                result.machines().size(),
+                machines.size(),
                 batch,
                 pool.type(),
                 pool.zone(),
                 pool.spot());
-        for (String name : result.machines()) {
+        for (String name : machines) {
             context.cluster()
                     .machineOrAdd(
                             name,
                             n -> new Machine(n, pool, context.machineTypes().size(pool.type()), now));
         }
-        if (result.refused() || result.machines().size() < batch) {
+        if (machines.size() < batch) {
             double bootMs = context.machineTypes().bootMs(pool.type());
             refusedUntil.put(pool, now + (long) (bootMs * REFUSAL_BOOT_RATIO));
             requested.remove(pool);
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -307,11 +307,12 @@
         while (!waiting.isEmpty() && batchesOut < MOST_BATCHES) {
             List<Waiting> batch = new ArrayList<>();
             int bytes = 0;
-            long restMs = WorkerProtocol.PATIENCE_MS;
+            long restMs = WorkerProtocol.REPLY_TIMEOUT_MS;
             while (!waiting.isEmpty() && batch.size() < BATCH && bytes < BATCH_BYTES) {
                 Waiting next = waiting.poll();
-                long left = (long) (next.came().at() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_RATIO) - loop.now());
-                if (left < WorkerProtocol.PATIENCE_MS / 4 || leader == null || !peers.canPass(leader)) {
+                long left =
+                        (long) (next.came().at() + WorkerProtocol.REPLY_TIMEOUT_MS * (1 - REPLY_RATIO) - loop.now());
+                if (left < WorkerProtocol.REPLY_TIMEOUT_MS / 4 || leader == null || !peers.canPass(leader)) {
                     // It could not be answered in time; the next controller may do better.
                     next.came().reply().accept(TRY_ANOTHER);
                 } else {
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -111,7 +111,7 @@
         String id;
         try {
             if (body == null) {
-                throw new InvalidMessageException("the body must be a JSON object");
+                throw InvalidMessageException.notAnObject();
             }
             id = UserProtocol.jobId(body);
         } catch (InvalidMessageException e) {
--- a/src/main/java/notchpick/protocol/PeerProtocol.java
+++ b/src/main/java/notchpick/protocol/PeerProtocol.java
@@ -9,13 +9,14 @@
 import org.apache.avro.specific.SpecificDatumReader;
 import org.apache.avro.specific.SpecificDatumWriter;
 
-/** The controllers' own messages, in Avro's binary form. */
+/** The messages between controllers, in Avro's binary encoding. */
 public final class PeerProtocol {
+    /** All messages are posted to this path. */
     public static final String PATH = "/peer";
 
     private PeerProtocol() {}
 
-    /** Serializes a message between controllers. */
+    /** Encodes a message. */
     public static byte[] bytes(Object body) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -27,7 +28,7 @@
         }
     }
 
-    /** What a passed call or its outcome carries; null if it carries nothing. */
+    /** The bytes that a relayed request or its outcome carries; null if it carries none. */
     public static byte[] content(ByteBuffer buffer) {
         if (buffer == null) {
             return null;
@@ -37,7 +38,10 @@
         return content;
     }
 
-    /** The message in these bytes, or null if they hold none. */
+    /**
+     * Decodes a message; null if the bytes hold none, as of an unknown type from a later version. Each message is
+     * dispatched by {@code instanceof}, which null never matches.
+     */
     public static Object body(byte[] bytes) {
         if (bytes.length == 0) {
             return null;
--- a/src/test/java/notchpick/protocol/UserProtocolTest.java
+++ b/src/test/java/notchpick/protocol/UserProtocolTest.java
@@ -11,6 +11,7 @@
 import notchpick.storage.JobSpecCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What submissions are taken, and which are malformed. */
@@ -91,6 +92,41 @@
         assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(body, 0));
     }
 
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{\"ref\":7}|ref|ref must be text",
+                "{\"ref\":\"job-1\"}|ref|ref must have the form run-000412",
+                "{\"jobForm\":\"gang\"}|jobForm|jobForm is none of sweep, service",
+                "{\"urgency\":\"asap\"}|urgency|urgency is none of prod, high, normal, idle",
+                "{\"cores\":null}|cores|cores must be a number",
+                "{\"cores\":-1}|cores|cores is out of range",
+                "{\"pieces\":1.5}|pieces|pieces must be an integer",
+                "{\"pieces\":0}|pieces|pieces is out of range",
+                "{\"oneZone\":1}|oneZone|oneZone must be true or false",
+                "{\"boxKinds\":[]}|boxKinds|boxKinds must name a machine type",
+                "{\"boxKinds\":[3]}|boxKinds|boxKinds must be a list of names",
+                "{\"waitsOn\":[\"job-1\"]}|waitsOn|waitsOn must be a list of ids of the form run-000412"
+            })
+    void tellsWhichFieldIsWrongAndWhatItMustBe(String wrong, String field, String message) {
+        ObjectNode body = json(GOOD);
+        ObjectNode patch = json(wrong);
+        body.setAll(patch);
+        InvalidMessageException refusal =
+                assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(body, 0));
+        assertEquals(message, refusal.getMessage());
+        assertEquals(field, refusal.field());
+        assertEquals(patch.get(field), refusal.value());
+    }
+
+    @Test
+    void tellsThatTheBodyIsNoObject() {
+        InvalidMessageException refusal =
+                assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(null, 0));
+        assertEquals("the body must be a JSON object", refusal.getMessage());
+    }
+
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}"})
     void onlyObjectsAreRead(String text) {
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
+import notchpick.protocol.MachineTypesCodec;
 import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
 import notchpick.transport.HttpCaller.Request;
@@ -133,7 +133,7 @@
         if (down) {
             reply.accept(new Response(503, Json.bytes(Json.object().put("error", "trouble"))));
         } else if (call.path().equals("/machine_types")) {
-            reply.accept(new Response(200, Json.bytes(CloudClient.typesJson(types.values()))));
+            reply.accept(new Response(200, Json.bytes(MachineTypesCodec.encode(types.values()))));
         } else if (call.path().equals("/rentals")) {
             ObjectNode body = Json.object(call.body());
             if (rentLateMs > 0) {
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -25,8 +25,8 @@
 import notchpick.model.JobStatus;
 import notchpick.model.Machine;
 import notchpick.model.TaskAssignment;
-import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
+import notchpick.protocol.MachineTypesCodec;
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.Envelope;
 import notchpick.protocol.peer.Grant;
@@ -99,7 +99,8 @@
                 0.0252,
                 CommitmentsCodec.decode(stored().get("commitments")).get("b").cores(),
                 0.0001);
-        assertEquals(1, CloudClient.types(stored().get("types")).size());
+        assertEquals(
+                1, MachineTypesCodec.decode(stored().get("types")).orElseThrow().size());
         assertEquals(StateKeys.FORMAT, stored().get("term").get("format").asInt());
         RecordedCompletions completions =
                 CompletionCodec.decode(stored().get("done/1")).get(0);
