--- /dev/null
+++ b/src/test/java/notchpick/storage/FencedWriterTest.java
@@ -0,0 +1,146 @@
+package notchpick.storage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import notchpick.protocol.Json;
+import notchpick.protocol.StateStoreClient;
+import notchpick.protocol.StateStoreTransport;
+import notchpick.simulation.SimulatedStateStore;
+import notchpick.simulation.SimulatedTime;
+import notchpick.transport.EventLoop;
+import org.junit.jupiter.api.Test;
+
+/** What becomes of a leader's changes: committed, repeated after a conflict, given up, or rejected. */
+class FencedWriterTest {
+    private static final int MAX_WRITES = 4;
+    private static final String KEY = "open/run-000001";
+
+    private final SimulatedTime simulation = new SimulatedTime();
+    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final SimulatedStateStore state =
+            new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
+    private final StateStoreClient client = new StateStoreClient(
+            StateStoreTransport.direct((call, timeoutMs, then) -> simulation.after(5, () -> state.handle(call, then))),
+            loop,
+            "s:1",
+            1500,
+            250);
+    private final List<String> events = new ArrayList<>();
+    private final FencedWriter writer =
+            new FencedWriter(client, loop, loop::after, 0, MAX_WRITES, 42, () -> events.add("leadership lost"));
+
+    private static JsonNode value(String text) {
+        return Json.object().put("text", text);
+    }
+
+    /** A change that notes what becomes of it. */
+    private PreparedChange noted(String name, List<KeyWrite> writes, Preconditions preconditions) {
+        return new PreparedChange(writes, preconditions, new PreparedChange.Listener() {
+            @Override
+            public void committed() {
+                events.add(name + " committed");
+            }
+
+            @Override
+            public void conflicted() {
+                events.add(name + " conflicted");
+            }
+
+            @Override
+            public void rejected() {
+                events.add(name + " rejected");
+            }
+        });
+    }
+
+    private void write(String name, KeyWrite write) {
+        writer.write(name, () -> Optional.of(noted(name, List.of(write), Preconditions.NONE)));
+    }
+
+    @Test
+    void changesOfOneTurnAreCommittedInTheirOrder() {
+        write("first", KeyWrite.put("a", value("1")));
+        write("second", KeyWrite.put("b", value("2")));
+        simulation.runUntil(1000);
+        assertEquals(List.of("first committed", "second committed"), events);
+        assertEquals(value("1"), state.value("a"));
+        assertEquals(value("2"), state.value("b"));
+    }
+
+    @Test
+    void aLaterChangeReplacesAPendingOneOfTheSameName() {
+        write("change", KeyWrite.put("a", value("old")));
+        write("change", KeyWrite.put("a", value("new")));
+        simulation.runUntil(1000);
+        assertEquals(List.of("change committed"), events);
+        assertEquals(value("new"), state.value("a"));
+        assertEquals(1, state.writes());
+    }
+
+    @Test
+    void aChangeIsGivenUpIfAKeyHasAnotherVersionThanItMustHave() {
+        state.holds(KEY, value("description"));
+        write("end", KeyWrite.delete(KEY).ifVersion(7));
+        write("other", KeyWrite.put("a", value("1")));
+        simulation.runUntil(1000);
+        assertEquals(List.of("end conflicted", "other committed"), events);
+        assertNotNull(state.value(KEY));
+    }
+
+    @Test
+    void aChangeIsRepeatedWithTheVersionReadAfterAConflict() {
+        state.holds("a", value("of a former leader"));
+        write("change", KeyWrite.put("a", value("new")));
+        simulation.runUntil(1000);
+        assertEquals(List.of("change committed"), events);
+        assertEquals(value("new"), state.value("a"));
+    }
+
+    @Test
+    void failedPreconditionsAreReportedBeforeTheChangeIsTriedAgain() {
+        state.holds(KEY, value("description"));
+        boolean[] failed = {false};
+        Preconditions open = new Preconditions(Map.of(KEY, 7L), keys -> {
+            events.add("failed " + keys);
+            failed[0] = true;
+        });
+        writer.write(
+                "launch",
+                () -> Optional.of(noted(
+                        "launch", List.of(KeyWrite.put("a", value("1"))), failed[0] ? Preconditions.NONE : open)));
+        simulation.runUntil(1000);
+        assertEquals(List.of("failed [" + KEY + "]", "launch committed"), events);
+    }
+
+    @Test
+    void nothingIsWrittenOnceAnotherTermHasBegun() {
+        state.holds(StateKeys.LEADER, value("another"));
+        write("change", KeyWrite.put("a", value("1")).unconditional());
+        simulation.runUntil(1000);
+        write("later", KeyWrite.put("b", value("2")).unconditional());
+        simulation.runUntil(5000);
+        assertEquals(List.of("leadership lost"), events);
+        assertNull(state.value("a"));
+        assertNull(state.value("b"));
+    }
+
+    @Test
+    void aRejectedChangeDoesNotHoldUpTheOthers() {
+        state.limits(100, MAX_WRITES, 60);
+        write("first", KeyWrite.put("a", value("1")));
+        write("too long", KeyWrite.put("b", value("x".repeat(200))));
+        write("last", KeyWrite.put("c", value("3")));
+        simulation.runUntil(2000);
+        assertEquals(List.of("first committed", "too long rejected", "last committed"), events);
+        state.limits(1000, MAX_WRITES, 60);
+        simulation.runUntil(15_000);
+        assertEquals("too long committed", events.get(events.size() - 1));
+    }
+}
