--- a/src/main/java/notchpick/app/HeartbeatReceiver.java
+++ b/src/main/java/notchpick/app/HeartbeatReceiver.java
@@ -44,7 +44,7 @@
 
     /** Takes a heartbeat that a worker sent to this controller. */
     void receive(Request request, Consumer<Response> reply, long receivedAt) {
-        if (loop.nowMs() - receivedAt > WorkerProtocol.PATIENCE_MS) {
+        if (loop.nowMs() - receivedAt > WorkerProtocol.REPLY_TIMEOUT_MS) {
             // The worker has timed out; handling the heartbeat would only delay those that wait behind it.
             reply.accept(ControllerReplies.unavailable());
         } else if (!request.method().equals("POST")) {
--- a/src/main/java/notchpick/app/MachineTypeRefresher.java
+++ b/src/main/java/notchpick/app/MachineTypeRefresher.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
+import notchpick.protocol.MachineTypesCodec;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Entry;
 import notchpick.protocol.StateStoreResult.Ok;
@@ -67,7 +68,7 @@
     private void readCachedTypes() {
         stateStore.get(StateKeys.MACHINE_TYPES, callbacks.inTurn(result -> {
             if (!typesKnown && result instanceof Ok<Entry> ok) {
-                take(CloudClient.types(ok.value().value()));
+                MachineTypesCodec.decode(ok.value().value()).ifPresent(this::take);
             }
             if (typesKnown) {
                 timer.after(REFRESH_PERIOD_MS, this::refresh);
@@ -79,24 +80,21 @@
 
     private void queryCloud(long nextRefreshMs) {
         cloud.types(callbacks.inTurn(types -> {
-            if (types != null) {
-                take(types);
-                cache(types);
-            }
+            types.ifPresent(listed -> {
+                take(listed);
+                cache(listed);
+            });
             timer.after(typesKnown ? nextRefreshMs : RETRY_MS, this::refresh);
         }));
     }
 
-    /** @param types null if they are malformed */
     private void take(List<MachineType> types) {
-        if (types != null) {
-            typesKnown = true;
-            listener.typesRefreshed(types);
-        }
+        typesKnown = true;
+        listener.typesRefreshed(types);
     }
 
     private void cache(List<MachineType> types) {
-        JsonNode value = CloudClient.typesJson(types);
+        JsonNode value = MachineTypesCodec.encode(types);
         // A part of the list would make controllers reject jobs that fit a type left out.
         if (Json.bytes(value).length <= maxValueBytes) {
             stateStore.commit(new Transaction().put(StateKeys.MACHINE_TYPES, value), result -> {});
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -121,11 +121,11 @@
     private Batch takeBatch(String leader) {
         List<RelayedHeartbeat> heartbeats = new ArrayList<>();
         int bytes = 0;
-        long timeoutMs = WorkerProtocol.PATIENCE_MS;
+        long timeoutMs = WorkerProtocol.REPLY_TIMEOUT_MS;
         while (!queue.isEmpty() && heartbeats.size() < MAX_BATCH_SIZE && bytes < MAX_BATCH_BYTES) {
             RelayedHeartbeat next = queue.poll();
             long remainingMs = remainingMs(next);
-            if (remainingMs < WorkerProtocol.PATIENCE_MS / MIN_REMAINING_TIMEOUT_PART
+            if (remainingMs < WorkerProtocol.REPLY_TIMEOUT_MS / MIN_REMAINING_TIMEOUT_PART
                     || leader == null
                     || !peers.canRelay(leader)) {
                 next.reply().accept(REFUSED);
@@ -139,7 +139,8 @@
     }
 
     private long remainingMs(RelayedHeartbeat heartbeat) {
-        return (long) (heartbeat.receivedAt() + WorkerProtocol.PATIENCE_MS * (1 - REPLY_TIME_RATIO) - loop.nowMs());
+        return (long)
+                (heartbeat.receivedAt() + WorkerProtocol.REPLY_TIMEOUT_MS * (1 - REPLY_TIME_RATIO) - loop.nowMs());
     }
 
     private void send(String leader, Batch batch) {
--- a/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
@@ -45,7 +45,7 @@
         String id;
         try {
             if (body == null) {
-                throw new InvalidMessageException("the body must be a JSON object");
+                throw InvalidMessageException.notAnObject();
             }
             id = UserProtocol.jobId(body);
         } catch (InvalidMessageException e) {
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
+import notchpick.protocol.MachineTypesCodec;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.NodePool;
 import notchpick.transport.HttpCaller.Request;
@@ -134,7 +134,8 @@
             return;
         }
         switch (call.path()) {
-            case "/machine_types" -> reply.accept(new Response(200, Json.bytes(CloudClient.typesJson(types.values()))));
+            case "/machine_types" ->
+                reply.accept(new Response(200, Json.bytes(MachineTypesCodec.encode(types.values()))));
             case "/rentals" -> handleRental(Json.object(call.body()), reply);
             case "/rentals/release" -> handleRelease(Json.object(call.body()), reply);
             default -> reply.accept(list());
