--- /dev/null
+++ b/src/main/java/notchpick/app/ControllerServer.java
@@ -0,0 +1,57 @@
+package notchpick.app;
+
+import java.util.Map;
+import java.util.Random;
+import notchpick.coordination.Deployment;
+import notchpick.coordination.Tuning;
+import notchpick.transport.HttpHandler;
+import notchpick.transport.JettyHttpCaller;
+import notchpick.transport.JettyHttpServer;
+import notchpick.transport.SerialEventLoop;
+import org.eclipse.jetty.io.ArrayByteBufferPool;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
+
+/** Serves one controller over HTTP, with threads, connections and timers that last as long as the process. */
+final class ControllerServer {
+    private static final long CONNECT_TIMEOUT_MS = 1000;
+    private static final int CONNECTIONS_PER_TARGET = 16;
+    private static final int MIN_THREADS = 4;
+    private static final int MAX_THREADS = 16;
+    private static final int THREAD_IDLE_TIMEOUT_MS = 60_000;
+    /** An idle connection is closed after so many worker leases. */
+    private static final int IDLE_TIMEOUT_LEASES = 4;
+    /** Near the limit of connections, an idle one is closed after so many heartbeat periods. */
+    private static final int CROWDED_IDLE_TIMEOUT_PERIODS = 2;
+
+    private ControllerServer() {}
+
+    /** Starts the controller and serves it; returns when it is ready for connections. */
+    static void start(Deployment deployment, Tuning tuning) throws Exception {
+        QueuedThreadPool threads = threads();
+        threads.start();
+        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", false);
+        scheduler.start();
+        JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS);
+        Controller controller = new Controller(new SerialEventLoop(), deployment, tuning, caller, new Random());
+        HttpHandler clients = controller::serve;
+        HttpHandler peers = controller::servePeer;
+        JettyHttpServer server = new JettyHttpServer(
+                threads,
+                scheduler,
+                new ArrayByteBufferPool(),
+                Map.of(deployment.serveOn(), clients, deployment.peerBind(), peers),
+                deployment.peerBind(),
+                IDLE_TIMEOUT_LEASES * deployment.workerLeaseMs(),
+                deployment.maxClientConnections(),
+                CROWDED_IDLE_TIMEOUT_PERIODS * deployment.heartbeatPeriodMs());
+        controller.tell(new Controller.Begin());
+        server.start();
+    }
+
+    /** Jetty's default thread factory looks for a security manager, which takes a tenth of the start-up time. */
+    private static QueuedThreadPool threads() {
+        return new QueuedThreadPool(
+                MAX_THREADS, MIN_THREADS, THREAD_IDLE_TIMEOUT_MS, -1, null, null, work -> new Thread(work, "jetty"));
+    }
+}
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -1,10 +1,12 @@
 package notchpick.app;
 
+import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import notchpick.coordination.Deployment;
@@ -14,70 +16,108 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.JettyHttpCaller;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
-/** Asks every controller of a deployment for its links, and writes them down for people. */
+/** Queries all controllers of a deployment for the condition of their links, and formats it for operators. */
 final class LinkStatusCommand {
-    private static final long PATIENCE_MS = 3000;
+    private static final long CALL_TIMEOUT_MS = 3000;
+    private static final long CONNECT_TIMEOUT_MS = 1000;
+    private static final int MIN_THREADS = 2;
+    private static final int MAX_THREADS = 16;
+    private static final int OK = 200;
+    private static final double MS_PER_S = 1000.0;
 
     private LinkStatusCommand() {}
 
-    /** What came of asking one controller. */
-    record Asked(String node, Response answer) {}
+    /** The response of one controller. */
+    record NodeResponse(String node, Response response) {}
 
-    /** Asks all at once. */
-    static List<Asked> ask(Deployment deployment, HttpCaller caller) throws InterruptedException {
+    /** Queries all controllers and prints the result; returns the exit status, 1 if no controller answered. */
+    static int run(Deployment deployment, PrintStream out) throws Exception {
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
+        threads.start();
+        try {
+            scheduler.start();
+            JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS);
+            try {
+                List<NodeResponse> responses = query(deployment, caller);
+                responses.forEach(response -> out.print(format(response)));
+                return responses.stream()
+                                .allMatch(response -> response.response().isNone())
+                        ? 1
+                        : 0;
+            } finally {
+                caller.stop();
+            }
+        } finally {
+            scheduler.stop();
+            threads.stop();
+        }
+    }
+
+    /** Queries all controllers in parallel; gives their responses by name of the controller. */
+    static List<NodeResponse> query(Deployment deployment, HttpCaller caller) throws InterruptedException {
         Map<String, String> addresses = new TreeMap<>();
         addresses.put(deployment.node(), deployment.peerBind());
         deployment.peers().forEach(peer -> addresses.put(peer.node(), peer.address()));
-        byte[] question = PeerProtocol.bytes(new LinkTable("", 0L, null, null, 0L, List.of()));
-        Map<String, Response> answers = new TreeMap<>();
-        CountDownLatch open = new CountDownLatch(addresses.size());
+        byte[] query = PeerProtocol.bytes(new LinkTable("", 0L, null, null, 0L, List.of()));
+        Map<String, Response> responses = new ConcurrentHashMap<>();
+        CountDownLatch pending = new CountDownLatch(addresses.size());
         addresses.forEach((node, address) ->
-                caller.call(new Request(address, "POST", PeerProtocol.PATH, question), PATIENCE_MS, answer -> {
-                    synchronized (answers) {
-                        answers.put(node, answer);
-                    }
-                    open.countDown();
+                caller.call(new Request(address, "POST", PeerProtocol.PATH, query), CALL_TIMEOUT_MS, response -> {
+                    responses.put(node, response);
+                    pending.countDown();
                 }));
-        open.await(2 * PATIENCE_MS, TimeUnit.MILLISECONDS);
-        List<Asked> all = new ArrayList<>();
-        synchronized (answers) {
-            addresses.keySet().forEach(node -> all.add(new Asked(node, answers.getOrDefault(node, Response.NONE))));
-        }
-        return all;
+        // The calls time out by themselves; should one not, its controller is shown without an answer.
+        pending.await(2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        List<NodeResponse> ordered = new ArrayList<>();
+        addresses
+                .keySet()
+                .forEach(node -> ordered.add(new NodeResponse(node, responses.getOrDefault(node, Response.NONE))));
+        return ordered;
     }
 
-    /** One paragraph for a controller. */
-    static String text(Asked asked) {
-        Response answer = asked.answer();
-        if (answer.isUnsent()) {
-            return asked.node() + ": connection refused\n";
+    /** Formats the response of one controller: a line, and one more for each link. */
+    static String format(NodeResponse nodeResponse) {
+        String node = nodeResponse.node();
+        Response response = nodeResponse.response();
+        if (response.isUnsent()) {
+            return node + ": connection refused\n";
         }
-        if (answer.isNone()) {
-            return asked.node() + ": no answer\n";
+        if (response.isNone()) {
+            return node + ": no answer\n";
         }
-        if (answer.status() != 200 || !(PeerProtocol.body(answer.body()) instanceof LinkTable table)) {
-            return asked.node() + ": runs a version that does not tell its links\n";
+        if (response.status() != OK || !(PeerProtocol.body(response.body()) instanceof LinkTable table)) {
+            return node + ": runs a version that does not tell its links\n";
         }
-        StringBuilder text = new StringBuilder(String.format(
+        StringBuilder text = new StringBuilder(summary(table));
+        table.getLinks().forEach(link -> text.append(line(link)));
+        return text.toString();
+    }
+
+    private static String summary(LinkTable table) {
+        return String.format(
                 Locale.ROOT,
                 "%s: term %d, leader %s, state service %s, timers %d ms late%n",
                 table.getNode(),
                 table.getTerm(),
                 table.getLeader() == null ? "unknown" : table.getLeader(),
                 table.getStateBy() == null ? "by its own link" : "through " + table.getStateBy(),
-                table.getLagMs()));
-        for (LinkRow row : table.getLinks()) {
-            text.append(String.format(
-                    Locale.ROOT,
-                    "  %-8s %-20s %-12s %12s %10s %12s%n",
-                    row.getKind().name().toLowerCase(Locale.ROOT),
-                    row.getName(),
-                    row.getCondition().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    row.getAgeMs() < 0 ? "never" : String.format(Locale.ROOT, "%.1f s ago", row.getAgeMs() / 1000.0),
-                    row.getDelayMs() < 0 ? "-" : row.getDelayMs() + " ms",
-                    String.format(Locale.ROOT, "%.1f a s", row.getPerS())));
-        }
-        return text.toString();
+                table.getLagMs());
+    }
+
+    private static String line(LinkRow link) {
+        return String.format(
+                Locale.ROOT,
+                "  %-8s %-20s %-12s %12s %10s %12s%n",
+                link.getKind().name().toLowerCase(Locale.ROOT),
+                link.getName(),
+                link.getCondition().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                link.getAgeMs() < 0 ? "never" : String.format(Locale.ROOT, "%.1f s ago", link.getAgeMs() / MS_PER_S),
+                link.getDelayMs() < 0 ? "-" : link.getDelayMs() + " ms",
+                String.format(Locale.ROOT, "%.1f a s", link.getPerS()));
     }
 }
--- a/src/main/java/notchpick/app/Main.java
+++ b/src/main/java/notchpick/app/Main.java
@@ -1,20 +1,10 @@
 package notchpick.app;
 
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Locale;
-import java.util.Map;
-import java.util.Random;
 import java.util.concurrent.Callable;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
-import notchpick.transport.HttpHandler;
-import notchpick.transport.JettyHttpCaller;
-import notchpick.transport.JettyHttpServer;
-import notchpick.transport.SerialEventLoop;
-import org.eclipse.jetty.io.ArrayByteBufferPool;
-import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -32,14 +22,11 @@
             "Logs go to standard error; LOG_LEVEL is one of error, info (default), debug."
         })
 public final class Main implements Callable<Integer> {
-    private static final long CONNECT_TIMEOUT_MS = 1000;
-    private static final int CONNECTIONS_PER_TARGET = 16;
-    private static final int THREADS = 16;
-    private static final int IDLE_THREAD_MS = 60_000;
-    /** An idle connection is closed after so many worker leases. */
-    private static final int IDLE_LEASES = 4;
-    /** Where connections run short, an idle one is closed after so many heartbeat periods. */
-    private static final int CROWDED_IDLE_PERIODS = 2;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    /** No exit status: the process goes on after the command has returned. */
+    private static final int RUNNING = -1;
 
     @Option(
             names = "--config",
@@ -64,27 +51,32 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         int status = args.length == 2 && args[0].equals("--config")
-                // The platform's own call: a parser would take a third of the time in which users wait.
-                ? run(Path.of(args[1]), null, false)
+                // How the platform starts the process: the parser would take a third of the start-up time.
+                ? serve(Path.of(args[1]), null)
                 : new CommandLine(new Main()).execute(args);
-        if (status >= 0) {
+        if (status != RUNNING) {
             System.exit(status);
         }
     }
 
-    private static final int RUNNING = -1;
-
     @Override
     public Integer call() {
-        return run(config, tuning, false);
+        return serve(config, tuning);
     }
 
+    /** Checks both settings files. */
     @Command(description = "Checks both files and ends without starting.", mixinStandardHelpOptions = true)
     int check() {
-        return run(config, tuning, true);
+        try {
+            Settings.read(config);
+            readTuning(tuning);
+            return EXIT_OK;
+        } catch (InvalidSettingsException e) {
+            return invalidSettings(e);
+        }
     }
 
-    /** Prints how the links of all controllers are. */
+    /** Prints the condition of the links of all controllers. */
     @Command(
             description = "Asks all controllers of the deployment how their links are, and prints that; status 1 "
                     + "if none answered.",
@@ -93,66 +85,36 @@
         Deployment deployment;
         try {
             deployment = Settings.read(config);
-        } catch (Settings.Unusable e) {
-            System.err.println("notchpick: " + e.getMessage());
-            return 2;
+        } catch (InvalidSettingsException e) {
+            return invalidSettings(e);
         }
-        QueuedThreadPool threads = new QueuedThreadPool(THREADS, 2);
-        threads.start();
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
-        scheduler.start();
-        JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS);
-        List<LinkStatusCommand.Asked> all = LinkStatusCommand.ask(deployment, caller);
-        all.forEach(asked -> System.out.print(LinkStatusCommand.text(asked)));
-        caller.stop();
-        scheduler.stop();
-        threads.stop();
-        return all.stream().allMatch(asked -> asked.answer().isNone()) ? 1 : 0;
+        return LinkStatusCommand.run(deployment, System.out);
     }
 
-    private static int run(Path config, Path tuning, boolean check) {
+    private static int serve(Path config, Path tuningFile) {
         Deployment deployment;
-        Tuning tuned;
+        Tuning tuning;
         try {
             deployment = Settings.read(config);
-            tuned = tuning == null ? Tuning.DEFAULT : TuningFile.read(tuning);
-        } catch (Settings.Unusable e) {
-            System.err.println("notchpick: " + e.getMessage());
-            return 2;
-        }
-        if (check) {
-            return 0;
+            tuning = readTuning(tuningFile);
+        } catch (InvalidSettingsException e) {
+            return invalidSettings(e);
         }
         try {
-            serve(deployment, tuned);
+            ControllerServer.start(deployment, tuning);
         } catch (Exception e) {
             System.err.println("notchpick: can't serve: " + e.getMessage());
-            return 1;
+            return EXIT_FAILED;
         }
         return RUNNING;
     }
 
-    private static void serve(Deployment deployment, Tuning tuned) throws Exception {
-        // Jetty's own way to make threads looks for a security manager, which takes a tenth of the start.
-        QueuedThreadPool threads =
-                new QueuedThreadPool(THREADS, 4, IDLE_THREAD_MS, -1, null, null, work -> new Thread(work, "jetty"));
-        threads.start();
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", false);
-        scheduler.start();
-        JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS);
-        Controller controller = new Controller(new SerialEventLoop(), deployment, tuned, caller, new Random());
-        HttpHandler outside = controller::serve;
-        HttpHandler peers = controller::servePeer;
-        JettyHttpServer server = new JettyHttpServer(
-                threads,
-                scheduler,
-                new ArrayByteBufferPool(),
-                Map.of(deployment.serveOn(), outside, deployment.peerBind(), peers),
-                deployment.peerBind(),
-                IDLE_LEASES * deployment.workerLeaseMs(),
-                deployment.connectionsTaken(),
-                CROWDED_IDLE_PERIODS * deployment.heartbeatPeriodMs());
-        controller.tell(new Controller.Begin());
-        server.start();
+    private static Tuning readTuning(Path file) throws InvalidSettingsException {
+        return file == null ? Tuning.DEFAULT : TuningFile.read(file);
+    }
+
+    private static int invalidSettings(InvalidSettingsException e) {
+        System.err.println("notchpick: " + e.getMessage());
+        return EXIT_INVALID_SETTINGS;
     }
 }
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -9,169 +9,158 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.regex.Pattern;
+import java.util.Optional;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Deployment.StateStoreLimits;
+import notchpick.coordination.Deployment.WorkerTiming;
 import notchpick.protocol.Json;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives;
 import notchpick.scheduling.ServiceObjectives.Kind;
 import notchpick.scheduling.ServiceObjectives.Objective;
 
-/** Reads the settings file that the platform hands over. */
+/** Reads the settings file that the platform provides. */
 public final class Settings {
-    private static final Pattern ADDRESS = Pattern.compile("[0-9.]+:[0-9]{1,5}");
-
-    /** A job's end is two changes that belong together. */
-    private static final int LEAST_TXN_OPS = 2;
+    private static final int BYTES_PER_KB = 1024;
+    /** The end of a job takes two writes in one transaction. */
+    private static final int MIN_TRANSACTION_WRITES = 2;
 
     private Settings() {}
 
-    /** Settings that can't be used; the message is one line that names the field. */
-    public static final class Unusable extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        public Unusable(String message) {
-            super(message, null, false, false);
-        }
+    /**
+     * Reads and checks the platform's settings.
+     *
+     * @throws InvalidSettingsException if the file can't be read, or a field is missing or not allowed
+     */
+    public static Deployment read(Path file) throws InvalidSettingsException {
+        SettingsSection root = SettingsSection.root(parse(file));
+        SettingsSection deployment = root.section("deployment");
+        SettingsSection workers = deployment.section("workers");
+        SettingsSection stateStore = deployment.section("state");
+        SettingsSection cloud = deployment.section("cloud");
+        SettingsSection machineLimits = deployment.section("machine_limits");
+        SettingsSection outside = root.section("outside");
+        List<Peer> peers = peers(root);
+        List<Quota> quotas = quotas(deployment);
+        ServiceObjectives objectives = objectives(deployment);
+        List<String> zones = deployment.texts("zones");
+        return new Deployment(
+                root.text("node"),
+                root.address("serve_on"),
+                root.address("peer_bind"),
+                peers,
+                outside.address("cloud"),
+                outside.address("state"),
+                zones,
+                quotas,
+                objectives,
+                workerTiming(workers),
+                stateStoreLimits(stateStore),
+                cloudRps(cloud),
+                (int) machineLimits.positive("fd_limit"));
     }
 
-    /** Reads and checks the platform's file. */
-    public static Deployment read(Path file) throws Unusable {
+    private static ObjectNode parse(Path file) throws InvalidSettingsException {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new Unusable("can't read the settings file " + file);
+            throw InvalidSettingsException.inFile("can't read the settings file " + file);
         }
         ObjectNode root = Json.object(bytes);
         if (root == null) {
-            throw new Unusable("the settings file " + file + " does not hold a JSON object");
+            throw InvalidSettingsException.inFile("the settings file " + file + " does not hold a JSON object");
         }
-        JsonNode deployment = node(root, "", "deployment");
-        JsonNode workers = node(deployment, "deployment.", "workers");
-        JsonNode state = node(deployment, "deployment.", "state");
-        JsonNode cloud = node(deployment, "deployment.", "cloud");
-        JsonNode limits = node(deployment, "deployment.", "machine_limits");
-        JsonNode outside = node(root, "", "outside");
+        return root;
+    }
+
+    private static List<Peer> peers(SettingsSection root) throws InvalidSettingsException {
         List<Peer> peers = new ArrayList<>();
-        for (JsonNode peer : list(root, "", "known")) {
-            peers.add(new Peer(text(peer, "known.", "node"), address(peer, "known.", "addr")));
+        for (SettingsSection peer : root.sections("known")) {
+            peers.add(new Peer(peer.text("node"), peer.address("addr")));
         }
-        List<Quota> teams = new ArrayList<>();
-        for (JsonNode team : list(deployment, "deployment.", "teams")) {
-            teams.add(new Quota(
-                    text(team, "deployment.teams.", "name"),
-                    new Resources(optional(team, "cpus"), optional(team, "gpus"), 0),
-                    new Resources(optional(team, "cpus_max"), optional(team, "gpus_max"), 0)));
+        return peers;
+    }
+
+    private static List<Quota> quotas(SettingsSection deployment) throws InvalidSettingsException {
+        List<Quota> quotas = new ArrayList<>();
+        for (SettingsSection team : deployment.sections("teams")) {
+            quotas.add(new Quota(
+                    team.text("name"),
+                    new Resources(team.optionalNumber("cpus"), team.optionalNumber("gpus"), 0),
+                    new Resources(team.optionalNumber("cpus_max"), team.optionalNumber("gpus_max"), 0)));
         }
-        Map<String, List<Objective>> objectives = new HashMap<>();
-        for (JsonNode node : deployment.path("objectives")) {
-            Objective objective = objective(node);
-            if (objective != null && node.path("class").isTextual()) {
-                objectives
-                        .computeIfAbsent(node.path("class").asText(), c -> new ArrayList<>())
-                        .add(objective);
+        return quotas;
+    }
+
+    private static ServiceObjectives objectives(SettingsSection deployment) {
+        Map<String, List<Objective>> byClass = new HashMap<>();
+        for (JsonNode node : deployment.unchecked("objectives")) {
+            Optional<Objective> objective = objective(node);
+            if (objective.isPresent() && node.path("class").isTextual()) {
+                byClass.computeIfAbsent(node.path("class").asText(), name -> new ArrayList<>())
+                        .add(objective.get());
             }
         }
-        List<String> zones = new ArrayList<>();
-        list(deployment, "deployment.", "zones").forEach(zone -> zones.add(zone.asText()));
-        return new Deployment(
-                text(root, "", "node"),
-                address(root, "", "serve_on"),
-                address(root, "", "peer_bind"),
-                peers,
-                address(outside, "outside.", "cloud"),
-                address(outside, "outside.", "state"),
-                zones,
-                teams,
-                new ServiceObjectives(objectives),
-                positive(workers, "deployment.workers.", "report_s"),
-                positive(workers, "deployment.workers.", "lease_s"),
-                positive(workers, "deployment.workers.", "cancel_s"),
-                lasting(state, "rps"),
-                lasting(state, "write_rps"),
-                (int) (lasting(state, "value_kb") * 1024),
-                transactionOps(state),
-                positive(cloud, "deployment.cloud.", "rps"),
-                positive(cloud, "deployment.cloud.", "list_lag_s"),
-                (int) positive(limits, "deployment.machine_limits.", "fd_limit"));
+        return new ServiceObjectives(byClass);
     }
 
-    /** Null for what says nothing of a class of jobs, or what this version does not know. */
-    private static Objective objective(JsonNode node) {
-        JsonNode within = node.path("within_s");
+    /** Empty for an objective of something else than a class of jobs, or of a kind that this version does not know. */
+    private static Optional<Objective> objective(JsonNode node) {
         return switch (node.path("kind").asText()) {
-            case "wait" -> within.isNumber() ? new Objective(Kind.STARTED, within.asDouble()) : null;
-            case "finished" -> within.isNumber() ? new Objective(Kind.FINISHED, within.asDouble()) : null;
-            case "deadline" -> new Objective(Kind.DEADLINE, node.path("times").asDouble(1));
-            default -> null;
+            case "wait" -> objectiveWithin(Kind.STARTED, node);
+            case "finished" -> objectiveWithin(Kind.FINISHED, node);
+            case "deadline" ->
+                Optional.of(new Objective(Kind.DEADLINE, node.path("times").asDouble(1)));
+            default -> Optional.empty();
         };
     }
 
-    private static JsonNode node(JsonNode parent, String where, String field) throws Unusable {
-        JsonNode node = parent.get(field);
-        if (node == null || !node.isObject()) {
-            throw new Unusable("settings: " + where + field + " must be an object");
-        }
-        return node;
-    }
-
-    private static JsonNode list(JsonNode parent, String where, String field) throws Unusable {
-        JsonNode node = parent.get(field);
-        if (node == null || !node.isArray()) {
-            throw new Unusable("settings: " + where + field + " must be a list");
-        }
-        return node;
+    private static Optional<Objective> objectiveWithin(Kind kind, JsonNode node) {
+        JsonNode within = node.path("within_s");
+        return within.isNumber() ? Optional.of(new Objective(kind, within.asDouble())) : Optional.empty();
     }
 
-    private static String text(JsonNode parent, String where, String field) throws Unusable {
-        JsonNode node = parent.get(field);
-        if (node == null || !node.isTextual() || node.asText().isEmpty()) {
-            throw new Unusable("settings: " + where + field + " must be text");
-        }
-        return node.asText();
+    private static WorkerTiming workerTiming(SettingsSection workers) throws InvalidSettingsException {
+        return new WorkerTiming(
+                workers.positive("report_s"), workers.positive("lease_s"), workers.positive("cancel_s"));
     }
 
-    private static String address(JsonNode parent, String where, String field) throws Unusable {
-        String text = text(parent, where, field);
-        if (!ADDRESS.matcher(text).matches()) {
-            throw new Unusable("settings: " + where + field + " must have the form 10.0.0.1:8080");
-        }
-        return text;
+    private static StateStoreLimits stateStoreLimits(SettingsSection stateStore) throws InvalidSettingsException {
+        return new StateStoreLimits(
+                lowestLimit(stateStore, "rps"),
+                lowestLimit(stateStore, "write_rps"),
+                (int) (lowestLimit(stateStore, "value_kb") * BYTES_PER_KB),
+                transactionWrites(stateStore));
     }
 
-    private static double positive(JsonNode parent, String where, String field) throws Unusable {
-        JsonNode node = parent.get(field);
-        if (node == null || !node.isNumber() || !(node.asDouble() > 0)) {
-            throw new Unusable("settings: " + where + field + " must be a number above 0");
-        }
-        return node.asDouble();
+    private static double cloudRps(SettingsSection cloud) throws InvalidSettingsException {
+        double requestsPerS = cloud.positive("rps");
+        // Not used, but settings without it are not the platform's.
+        cloud.positive("list_lag_s");
+        return requestsPerS;
     }
 
     /**
-     * The smaller of a limit's value now and from some moment on. Nobody says when that is: to stay below both
-     * all along spares noticing, and costs nothing that could be measured.
+     * The lower of a limit's present and announced value. The settings do not say when the announced one takes effect;
+     * a controller that stays below both needs not find out.
      */
-    private static double lasting(JsonNode state, String field) throws Unusable {
-        double now = positive(state, "deployment.state.", field);
-        if (!state.has("next")) {
-            return now;
+    private static double lowestLimit(SettingsSection stateStore, String field) throws InvalidSettingsException {
+        double present = stateStore.positive(field);
+        if (!stateStore.has("next")) {
+            return present;
         }
-        JsonNode next = node(state, "deployment.state.", "next");
-        return next.has(field) ? Math.min(now, positive(next, "deployment.state.next.", field)) : now;
+        SettingsSection next = stateStore.section("next");
+        return next.has(field) ? Math.min(present, next.positive(field)) : present;
     }
 
-    private static int transactionOps(JsonNode state) throws Unusable {
-        double ops = lasting(state, "txn_ops");
-        if (ops < LEAST_TXN_OPS) {
-            throw new Unusable("settings: deployment.state.txn_ops must be at least " + LEAST_TXN_OPS);
+    private static int transactionWrites(SettingsSection stateStore) throws InvalidSettingsException {
+        double writes = lowestLimit(stateStore, "txn_ops");
+        if (writes < MIN_TRANSACTION_WRITES) {
+            throw stateStore.invalid("txn_ops", "be at least " + MIN_TRANSACTION_WRITES);
         }
-        return (int) ops;
-    }
-
-    private static double optional(JsonNode parent, String field) {
-        return parent.path(field).asDouble(0);
+        return (int) writes;
     }
 }
--- a/src/main/java/notchpick/app/TuningFile.java
+++ b/src/main/java/notchpick/app/TuningFile.java
@@ -1,7 +1,6 @@
 package notchpick.app;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.networknt.schema.JsonSchema;
 import com.networknt.schema.JsonSchemaFactory;
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
@@ -13,34 +12,47 @@
 import notchpick.coordination.Tuning;
 import notchpick.protocol.Json;
 
-/** Reads the operators' own settings, as far as there are any. */
+/** Reads the operators' own settings, which are optional, as is each of their fields. */
 final class TuningFile {
+    private static final String SCHEMA_RESOURCE = "/tuning.schema.json";
+
     private TuningFile() {}
 
-    /** Reads and checks the operators' file. */
-    static Tuning read(Path file) throws Settings.Unusable {
-        ObjectNode node;
-        Set<ValidationMessage> faults;
-        try (InputStream schemaStream = TuningFile.class.getResourceAsStream("/tuning.schema.json")) {
-            node = Json.object(Files.readAllBytes(file));
+    /**
+     * Reads the file and checks it against the schema.
+     *
+     * @throws InvalidSettingsException if the file can't be read, or does not match the schema
+     */
+    static Tuning read(Path file) throws InvalidSettingsException {
+        try (InputStream schema = TuningFile.class.getResourceAsStream(SCHEMA_RESOURCE)) {
+            ObjectNode node = Json.object(Files.readAllBytes(file));
             if (node == null) {
-                throw new Settings.Unusable("the tuning file " + file + " does not hold a JSON object");
+                throw InvalidSettingsException.inFile("the tuning file " + file + " does not hold a JSON object");
             }
-            JsonSchema schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                    .getSchema(schemaStream);
-            faults = schema.validate(node);
+            validate(node, schema);
+            return tuning(node);
         } catch (IOException e) {
-            throw new Settings.Unusable("can't read the tuning file " + file);
+            throw InvalidSettingsException.inFile("can't read the tuning file " + file);
         }
+    }
+
+    private static void validate(ObjectNode node, InputStream schema) throws InvalidSettingsException {
+        Set<ValidationMessage> faults = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                .getSchema(schema)
+                .validate(node);
         if (!faults.isEmpty()) {
-            throw new Settings.Unusable("tuning: " + faults.iterator().next().getMessage());
+            throw InvalidSettingsException.inFile(
+                    "tuning: " + faults.iterator().next().getMessage());
         }
-        Tuning standard = Tuning.DEFAULT;
+    }
+
+    private static Tuning tuning(ObjectNode node) {
+        Tuning defaults = Tuning.DEFAULT;
         return new Tuning(
-                node.path("commitmentMemoryS").asDouble(standard.commitmentDecayS()),
-                node.path("commitmentSaveS").asDouble(standard.commitmentSaveS()),
-                node.path("roomLeaseMs").asLong(standard.resourceLeaseMs()),
-                node.path("barringWaitS").asDouble(standard.maxSkippedS()),
-                node.path("leaderLeaseRatio").asDouble(standard.leaderLeaseRatio()));
+                node.path("commitmentMemoryS").asDouble(defaults.commitmentDecayS()),
+                node.path("commitmentSaveS").asDouble(defaults.commitmentSaveS()),
+                node.path("roomLeaseMs").asLong(defaults.resourceLeaseMs()),
+                node.path("barringWaitS").asDouble(defaults.maxSkippedS()),
+                node.path("leaderLeaseRatio").asDouble(defaults.leaderLeaseRatio()));
     }
 }
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -4,7 +4,17 @@
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives;
 
-/** What the platform tells a controller of the deployment, and what follows from it. */
+/**
+ * What the platform's settings say of the deployment, and the time bounds that follow from it.
+ *
+ * @param node the name of this controller
+ * @param serveOn the address at which clients are served
+ * @param peerBind the address at which peers are served
+ * @param peers the other controllers
+ * @param teams the quotas of all teams
+ * @param cloudRps the requests that the cloud takes in a second
+ * @param socketLimit the most connections that this process may have open
+ */
 public record Deployment(
         String node,
         String serveOn,
@@ -15,23 +25,36 @@
         List<String> zones,
         List<Quota> teams,
         ServiceObjectives objectives,
-        double heartbeatPeriodS,
-        double workerLeaseS,
-        double cancelTimeoutS,
-        double stateRps,
-        double stateWriteRps,
-        int valueBytes,
-        int txnOps,
+        WorkerTiming workers,
+        StateStoreLimits stateStore,
         double cloudRps,
-        double listLagS,
         int socketLimit) {
 
     /** Another controller. */
     public record Peer(String node, String address) {}
 
-    /** What a team may always have, and what it may have at the most; an amount of 0 stands for no limit. */
+    /**
+     * The time bounds that workers and users are promised.
+     *
+     * @param heartbeatPeriodS how often a worker sends a heartbeat
+     * @param leaseS how long a worker keeps its tasks running without a reply to its heartbeats
+     * @param cancelTimeoutS how long after the confirmation of a job's cancellation its tasks may still run
+     */
+    public record WorkerTiming(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {}
+
+    /**
+     * What the state store takes from all controllers together.
+     *
+     * @param requestsPerS requests of any kind
+     * @param writesPerS written keys
+     * @param valueBytes the largest value
+     * @param transactionWrites the most keys that one transaction writes
+     */
+    public record StateStoreLimits(double requestsPerS, double writesPerS, int valueBytes, int transactionWrites) {}
+
+    /** What a team is guaranteed, and the most that it may hold; an amount of 0 stands for no limit. */
     public record Quota(String team, Resources guaranteed, Resources maximum) {
-        /** Whether the team may hold so much at once. */
+        /** Whether the team may hold so much in all. */
         public boolean allows(Resources held) {
             return (maximum.cores() <= 0 || held.cores() <= maximum.cores() + Resources.SLACK)
                     && (maximum.gpus() <= 0 || held.gpus() <= maximum.gpus() + Resources.SLACK);
@@ -47,57 +70,74 @@
 
     private static final double MS_PER_S = 1000;
 
-    /** The end of a job takes two changes that belong together. */
-    private static final int END_WRITES = 2;
-    /** Of the writes that the state store takes in a second, one transaction holds no more than this part. */
+    /** The end of a job takes two writes in one transaction. */
+    private static final int JOB_END_WRITES = 2;
+    /** One transaction takes no more than this part of the writes that the state store takes in a second. */
     private static final int TRANSACTIONS_PER_S = 5;
-    /** One connection in so many is kept for this controller's own calls. */
-    private static final int OWN_CONNECTIONS_PART = 8;
-    /** A lease ends elsewhere no later than this after its time, besides clock drift. */
+    /** One connection in so many is reserved for this controller's own calls. */
+    private static final int RESERVED_CONNECTIONS_PART = 8;
+    /** A lease expires elsewhere no later than this after its time, besides clock drift. */
     private static final long EXPIRY_MARGIN_MS = 100;
-    /** Steady clocks differ by at most a twentieth of a percent each; this counts for both, amply. */
-    private static final double DRIFT = 0.002;
+    /** Steady clocks differ by at most a twentieth of a percent each; this covers two of them with a margin. */
+    private static final double MAX_CLOCK_DRIFT = 0.002;
 
     /**
-     * So many changes the leader makes in one transaction at the most. The state service takes no burst
-     * of more than a second's worth: a transaction larger than that would be turned away for ever.
+     * The most keys that the leader writes in one transaction. The state store takes no burst of more than a second's
+     * writes: it would refuse a larger transaction forever.
      */
-    public int writesAtOnce() {
-        return Math.min(txnOps, Math.max(END_WRITES, (int) (stateWriteRps / TRANSACTIONS_PER_S)));
+    public int maxTransactionWrites() {
+        int writesPerTransaction = (int) (stateStore.writesPerS() / TRANSACTIONS_PER_S);
+        return Math.min(stateStore.transactionWrites(), Math.max(JOB_END_WRITES, writesPerTransaction));
     }
 
-    /** Connections that others may hold here: without some of its own a controller could reach nobody. */
-    public int connectionsTaken() {
-        return socketLimit - socketLimit / OWN_CONNECTIONS_PART;
+    /** The most connections that clients may open: without some of its own a controller could call nobody. */
+    public int maxClientConnections() {
+        return socketLimit - socketLimit / RESERVED_CONNECTIONS_PART;
     }
 
+    /** The number of controllers in the deployment. */
     public int controllers() {
         return peers.size() + 1;
     }
 
+    /** The largest value that the state store takes. */
+    public int valueBytes() {
+        return stateStore.valueBytes();
+    }
+
+    /** The keys that all controllers together may write in a second. */
+    public double stateWriteRps() {
+        return stateStore.writesPerS();
+    }
+
+    /** This controller's part of the requests that the state store takes in a second. */
+    public double requestsPerS() {
+        return stateStore.requestsPerS() / controllers();
+    }
+
+    /** How often a worker sends a heartbeat. */
+    public double heartbeatPeriodS() {
+        return workers.heartbeatPeriodS();
+    }
+
     /** How often a worker sends a heartbeat. */
     public long heartbeatPeriodMs() {
-        return (long) (heartbeatPeriodS * MS_PER_S);
+        return toMs(workers.heartbeatPeriodS());
     }
 
     /** How long a worker keeps its tasks running without a reply to its heartbeats. */
     public long workerLeaseMs() {
-        return (long) (workerLeaseS * MS_PER_S);
+        return toMs(workers.leaseS());
     }
 
     /** How long after the confirmation of a job's cancellation its tasks may still run. */
     public long cancelTimeoutMs() {
-        return (long) (cancelTimeoutS * MS_PER_S);
+        return toMs(workers.cancelTimeoutS());
     }
 
     /** The length of the leader lease. */
     public long leaderLeaseMs(Tuning tuning) {
-        return (long) (workerLeaseS * MS_PER_S * tuning.leaderLeaseRatio());
-    }
-
-    /** This controller's part of the requests that the state service takes. */
-    public double requestsPerS() {
-        return stateRps / controllers();
+        return (long) (workers.leaseS() * MS_PER_S * tuning.leaderLeaseRatio());
     }
 
     /** The quota of a team; null if there is no such team. */
@@ -110,42 +150,53 @@
         return null;
     }
 
-    /** How long a lease of this length may surely be relied on, measured from before it was asked. */
+    /** How long a lease of this length is surely held, counted from before it was requested. */
     public static long leaseSafelyHeldMs(double leaseMs) {
-        return (long) (leaseMs * (1 - DRIFT));
+        return (long) (leaseMs * (1 - MAX_CLOCK_DRIFT));
     }
 
-    /** After so long a lease of this length has surely run out elsewhere. */
+    /** After how long a lease of this length has surely expired elsewhere. */
     public static long leaseSafelyExpiredMs(double leaseMs) {
-        return (long) Math.ceil(leaseMs * (1 + DRIFT)) + EXPIRY_MARGIN_MS;
+        return (long) Math.ceil(leaseMs * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN_MS;
     }
 
     /**
-     * How old what a leader knows of users' cancellations may be when it prolongs a worker's lease. A cancellation that
-     * it does not know was confirmed after its last complete read was sent; the worker's lease, which runs from when
-     * its report was sent, must be over within the time that a cancellation has, with a report period to spare.
-     * Where the settings leave no room for that, it is as much as a leader needs to go on at all.
+     * How old the leader's last complete read of users' cancellations may be when it renews a worker's lease. A
+     * cancellation that it does not know was confirmed after that read was sent; the worker's lease, which is counted
+     * from when its heartbeat was sent, must expire within the time that a cancellation may take, with a heartbeat
+     * period to spare. Where the settings leave no time for that, the bound is what a leader needs to lead at all: the
+     * length of its lease.
      */
     public long stalenessBoundMs(double leaderLeaseS) {
         return Math.max(
-                (long) (1000 * leaderLeaseS),
-                (long) (1000 * (cancelTimeoutS - heartbeatPeriodS)) - leaseSafelyExpiredMs(1000 * workerLeaseS));
+                toMs(leaderLeaseS),
+                toMs(workers.cancelTimeoutS() - workers.heartbeatPeriodS()) - workerLeaseSafelyExpiredMs());
     }
 
-    /** In what time from its confirmation every task of a cancelled job is surely gone, whatever fails. */
+    /** How long after its confirmation every task of a cancelled job has surely ended, whatever fails. */
     public long cancellationBoundMs(double leaderLeaseS) {
-        return stalenessBoundMs(leaderLeaseS) + leaseSafelyExpiredMs(1000 * workerLeaseS);
+        return stalenessBoundMs(leaderLeaseS) + workerLeaseSafelyExpiredMs();
     }
 
     /**
-     * How long a leader whose claim has lapsed may go on answering reports, without any order, so
-     * that work survives an outage of the state service. A job's cancellation may have been taken elsewhere right
-     * after this controller was cut off, while its claim stood: even then claim, grace and the worker's lease,
-     * which runs from when its last answered report was sent, must fit into the time that a
-     * cancellation has, with a report period to spare.
+     * How long a leader whose lease has expired may go on replying to heartbeats, without any command, so that tasks
+     * survive an outage of the state store. A cancellation may have been confirmed by another controller right after
+     * this one was cut off, while its lease was held: even then the leader lease, the grace period and the worker's
+     * lease, which is counted from when the last heartbeat that got a reply was sent, must fit into the time that a
+     * cancellation may take, with a heartbeat period to spare.
      */
     public long gracePeriodMs(double leaderLeaseS) {
-        double graceS = Math.min(workerLeaseS / 2, cancelTimeoutS - workerLeaseS - leaderLeaseS - heartbeatPeriodS);
-        return (long) (1000 * Math.max(0, graceS));
+        double graceS = Math.min(
+                workers.leaseS() / 2,
+                workers.cancelTimeoutS() - workers.leaseS() - leaderLeaseS - workers.heartbeatPeriodS());
+        return toMs(Math.max(0, graceS));
+    }
+
+    private long workerLeaseSafelyExpiredMs() {
+        return leaseSafelyExpiredMs(workers.leaseS() * MS_PER_S);
+    }
+
+    private static long toMs(double seconds) {
+        return (long) (seconds * MS_PER_S);
     }
 }
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -140,7 +140,7 @@
                 loop,
                 this::after,
                 term.keyVersion(),
-                deployment.writesAtOnce(),
+                deployment.maxTransactionWrites(),
                 WRITE_RATE_RATIO * deployment.stateWriteRps(),
                 () -> stepDownHandler.stepDown("the leader key is gone"));
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -50,7 +50,7 @@
                 new PackedRecords.Form<>(Records::startBytes, Records::starts),
                 PackedRecords.Fill.EMPTIEST,
                 deployment.valueBytes(),
-                deployment.writesAtOnce(),
+                deployment.maxTransactionWrites(),
                 this::recorded);
         records.writtenOnlyIf(assignments -> new Conditions(openJobs(assignments), this::jobsEnded));
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -40,7 +40,7 @@
                 new PackedRecords.Form<>(Records::doneBytes, Records::done),
                 PackedRecords.Fill.FULLEST,
                 deployment.valueBytes(),
-                deployment.writesAtOnce(),
+                deployment.maxTransactionWrites(),
                 this::written);
     }
 
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -62,7 +62,7 @@
         this.outcomes = outcomes;
         this.stages = stages;
         this.listener = listener;
-        this.maxCascadeJobs = Math.max(1, context.deployment().writesAtOnce() / CASCADE_PART);
+        this.maxCascadeJobs = Math.max(1, context.deployment().maxTransactionWrites() / CASCADE_PART);
         this.graph = new DependencyGraph(cluster::isOpen);
     }
 
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -43,7 +43,7 @@
                 loop,
                 validator,
                 new DependencyValidator(openJobs, outcomes),
-                new SubmissionBatcher(stateStore, deployment.writesAtOnce(), this::after),
+                new SubmissionBatcher(stateStore, deployment.maxTransactionWrites(), this::after),
                 statuses);
         this.cancellations = new CancellationHandler(loop, stateStore, jobs, outcomes, this::here);
     }
--- a/src/test/java/notchpick/app/LinkStatusCommandTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -2,10 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import java.util.ArrayList;
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.Deployment.StateStoreLimits;
+import notchpick.coordination.Deployment.WorkerTiming;
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
@@ -15,55 +16,51 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** What operators see of the links: a refused connection, silence and an older version are told apart. */
+/** The output for operators, which distinguishes a refused connection, no answer, and an older version. */
 class LinkStatusCommandTest {
+    private static final Deployment DEPLOYMENT = new Deployment(
+            "n-0",
+            "a:1",
+            "a:2",
+            List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2"), new Peer("n-3", "d:2")),
+            "c:1",
+            "s:1",
+            List.of("east"),
+            List.of(),
+            ServiceObjectives.NONE,
+            new WorkerTiming(3, 20, 40),
+            new StateStoreLimits(100, 100, 16 << 10, 12),
+            5,
+            100);
+    private static final LinkTable TABLE = new LinkTable(
+            "n-0",
+            7L,
+            "n-1",
+            "n-2",
+            40L,
+            List.of(
+                    new LinkRow(LinkKind.STATE, "", LinkCondition.SILENT, 12_300L, 6L, 0.0),
+                    new LinkRow(LinkKind.PEER, "n-1", LinkCondition.TURNED_AWAY, 200L, -1L, 1.6),
+                    new LinkRow(LinkKind.WORKERS, "east", LinkCondition.UNKNOWN, -1L, -1L, 0.0)));
+
+    private static Response response(String target) {
+        return switch (target) {
+            case "a:2" -> new Response(200, PeerProtocol.bytes(TABLE));
+            case "b:2" -> Response.UNSENT;
+            case "c:2" -> Response.NONE;
+            default -> new Response(400, new byte[0]);
+        };
+    }
+
     @Test
-    void tellsWhatEachControllerSees() throws Exception {
-        LinkTable table = new LinkTable(
-                "n-0",
-                7L,
-                "n-1",
-                "n-2",
-                40L,
-                List.of(
-                        new LinkRow(LinkKind.STATE, "", LinkCondition.SILENT, 12_300L, 6L, 0.0),
-                        new LinkRow(LinkKind.PEER, "n-1", LinkCondition.TURNED_AWAY, 200L, -1L, 1.6),
-                        new LinkRow(LinkKind.WORKERS, "east", LinkCondition.UNKNOWN, -1L, -1L, 0.0)));
-        Deployment deployment = new Deployment(
-                "n-0",
-                "a:1",
-                "a:2",
-                List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2"), new Peer("n-3", "d:2")),
-                "c:1",
-                "s:1",
-                List.of("east"),
-                List.of(),
-                ServiceObjectives.NONE,
-                3,
-                20,
-                40,
-                100,
-                100,
-                16 << 10,
-                12,
-                5,
-                3,
-                100);
-        List<String> text = new ArrayList<>();
-        for (LinkStatusCommand.Asked asked : LinkStatusCommand.ask(
-                deployment,
-                (call, timeoutMs, then) -> then.accept(
-                        switch (call.target()) {
-                            case "a:2" -> new Response(200, PeerProtocol.bytes(table));
-                            case "b:2" -> Response.UNSENT;
-                            case "c:2" -> Response.NONE;
-                            default -> new Response(400, new byte[0]);
-                        }))) {
-            text.addAll(LinkStatusCommand.text(asked)
-                    .lines()
-                    .map(line -> line.strip().replaceAll(" +", " "))
-                    .toList());
-        }
+    void formatsTheLinksOfEachController() throws Exception {
+        List<String> lines =
+                LinkStatusCommand.query(
+                                DEPLOYMENT, (request, timeoutMs, then) -> then.accept(response(request.target())))
+                        .stream()
+                        .flatMap(response -> LinkStatusCommand.format(response).lines())
+                        .map(line -> line.strip().replaceAll(" +", " "))
+                        .toList();
         assertEquals(
                 List.of(
                         "n-0: term 7, leader n-1, state service through n-2, timers 40 ms late",
@@ -73,6 +70,6 @@
                         "n-1: connection refused",
                         "n-2: no answer",
                         "n-3: runs a version that does not tell its links"),
-                text);
+                lines);
     }
 }
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** What is read of the platform's file, and how a mistake in it is named. */
+/** Settings files: what is read of them, and that each error names its field. */
 class SettingsTest {
     private static final String GOOD = """
             {"node":"n-0","location":"east","serve_on":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void readsWhatThePlatformSays() throws Exception {
+    void readsThePlatformsSettings() throws Exception {
         Deployment deployment = Settings.read(file("s.json", GOOD));
         assertEquals(2, deployment.controllers());
         assertEquals(
@@ -48,23 +48,24 @@
     }
 
     @Test
-    void theSmallerOfPresentAndComingLimitsCounts() throws Exception {
+    void takesTheLowerOfPresentAndAnnouncedLimits() throws Exception {
         Deployment deployment = Settings.read(file(
                 "s.json",
                 GOOD.replace(
                         "\"txn_ops\":12",
                         "\"txn_ops\":12,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":200,\"later\":1}")));
         assertEquals(2048, deployment.valueBytes());
-        assertEquals(4, deployment.txnOps());
-        assertEquals(4, deployment.writesAtOnce());
-        assertEquals(100, deployment.stateWriteRps());
-        assertEquals(250, deployment.stateRps());
+        assertEquals(4, deployment.stateStore().transactionWrites());
+        assertEquals(4, deployment.maxTransactionWrites());
+        assertEquals(100, deployment.stateStore().writesPerS());
+        assertEquals(250, deployment.stateStore().requestsPerS());
     }
 
     @Test
-    void theGraceOfALapsedLeaderFitsIntoACancellationsTime() throws Exception {
+    void gracePeriodFitsIntoTheCancellationTimeout() throws Exception {
         Deployment deployment = Settings.read(file("s.json", GOOD));
-        // 42 s less the worker's lease of 22, the leader's of 8 and a report; at most half the worker's lease.
+        // 42 s less the worker lease of 22 s, the leader lease of 8 s and a heartbeat period; at most half the worker
+        // lease.
         assertEquals(9000, deployment.gracePeriodMs(8));
         assertEquals(11000, deployment.gracePeriodMs(3.3));
     }
@@ -81,28 +82,30 @@
         "'\"lease_s\":22', '\"lease_s\":\"x\"', workers.lease_s",
         "'\"teams\":[', '\"team\":[', teams"
     })
-    void namesTheFieldThatIsWrong(String what, String instead, String named) throws Exception {
-        Path file = file("s.json", GOOD.replace(what, instead));
-        Settings.Unusable fault = assertThrows(Settings.Unusable.class, () -> Settings.read(file));
-        assertTrue(fault.getMessage().contains(named), fault.getMessage());
+    void namesTheInvalidField(String original, String replacement, String field) throws Exception {
+        Path file = file("s.json", GOOD.replace(original, replacement));
+        InvalidSettingsException fault = assertThrows(InvalidSettingsException.class, () -> Settings.read(file));
+        assertTrue(fault.getMessage().contains(field), fault.getMessage());
+        assertTrue(fault.field().endsWith(field), fault.field());
+        assertEquals("settings: " + fault.field() + " must " + fault.requirement(), fault.getMessage());
         assertEquals(1, fault.getMessage().lines().count());
     }
 
     @Test
-    void tuningHasDefaultsAndASchema() throws Exception {
+    void checksTuningAgainstItsSchema() throws Exception {
         assertEquals(Tuning.DEFAULT, TuningFile.read(file("t.json", "{}")));
         assertEquals(
                 60,
                 TuningFile.read(file("t.json", "{\"commitmentMemoryS\":60}")).commitmentDecayS());
         for (String wrong : new String[] {"{\"commitmentMemoryS\":-1}", "{\"commitmentMemory\":60}"}) {
             Path file = file("t.json", wrong);
-            Settings.Unusable fault = assertThrows(Settings.Unusable.class, () -> TuningFile.read(file));
+            InvalidSettingsException fault = assertThrows(InvalidSettingsException.class, () -> TuningFile.read(file));
             assertTrue(fault.getMessage().contains("commitmentMemory"), fault.getMessage());
         }
     }
 
     @Test
-    void theCommandTellsFailureByItsStatus() throws Exception {
+    void checkCommandExitsWithTwoOnInvalidFiles() throws Exception {
         String good = file("s.json", GOOD).toString();
         assertEquals(0, new CommandLine(new Main()).execute("check", "--config", good));
         assertEquals(2, new CommandLine(new Main()).execute("check", "--config", good + "x"));
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -5,11 +5,13 @@
 
 import java.util.List;
 import java.util.Map;
+import notchpick.coordination.Deployment.StateStoreLimits;
+import notchpick.coordination.Deployment.WorkerTiming;
 import notchpick.scheduling.ServiceObjectives;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** From a confirmation to the last task gone, term by term, as design.md argues it; in milliseconds and seconds. */
+/** The bounds from the confirmation of a cancellation to the end of the last task, term by term as in design.md. */
 class CancellationBoundTest {
     private static Deployment deployment(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         return new Deployment(
@@ -22,14 +24,8 @@
                 List.of(),
                 List.of(),
                 new ServiceObjectives(Map.of()),
-                heartbeatPeriodS,
-                leaseS,
-                cancelTimeoutS,
-                100,
-                100,
-                1000,
-                12,
-                1,
+                new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS),
+                new StateStoreLimits(100, 100, 1000, 12),
                 1,
                 100);
     }
@@ -38,10 +34,10 @@
         return leaseS * Tuning.DEFAULT.leaderLeaseRatio();
     }
 
-    /** The known deployments: what is known may be so old; claim, grace and lease fit in as well. */
+    /** Known deployments: staleness bound, leader lease, grace period and worker lease fit into the time. */
     @ParameterizedTest
     @CsvSource({"3, 22, 42, 16856", "5, 22, 42, 14856", "3, 29, 54, 21842", "5, 29, 54, 19842", "3, 20, 40, 16860"})
-    void fitsWithAReportPeriodToSpare(
+    void fitsWithAHeartbeatPeriodToSpare(
             double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long stalenessBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
@@ -50,24 +46,24 @@
         double lapsedMs = 1000 * leaderS + deployment.gracePeriodMs(leaderS) + 1000 * leaseS;
         assertTrue(
                 lapsedMs <= 1000 * (cancelTimeoutS - heartbeatPeriodS),
-                () -> "claim, grace and lease take " + lapsedMs);
+                () -> "leader lease, grace period and worker lease take ms=" + lapsedMs);
     }
 
-    /** Barely above the workers' lease: no more than a leader needs to go on, no grace, and still in time. */
+    /** A timeout barely above the worker lease: the bound is the leader lease, there is no grace period, and it fits. */
     @ParameterizedTest
     @CsvSource({"2, 20, 24, 23140", "3, 20, 23.5, 23140"})
-    void barelyFits(double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long surelyMs) {
+    void barelyFits(double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long cancellationBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
-        assertEquals(surelyMs, deployment.cancellationBoundMs(leaderS));
-        assertTrue(surelyMs <= 1000 * cancelTimeoutS);
+        assertEquals(cancellationBoundMs, deployment.cancellationBoundMs(leaderS));
+        assertTrue(cancellationBoundMs <= 1000 * cancelTimeoutS);
         assertEquals(0, deployment.gracePeriodMs(leaderS));
     }
 
-    /** Not above it: a machine that can't be reached keeps its tasks for longer, and the start says so. */
+    /** A timeout not above the worker lease: a machine that can't be reached keeps its tasks for longer. */
     @ParameterizedTest
     @CsvSource({"3, 20, 20", "3, 20, 22", "5, 29, 10"})
-    void cannotBeKept(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
+    void exceedsTheTimeout(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertTrue(deployment.cancellationBoundMs(leaderS) > 1000 * cancelTimeoutS);
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -10,6 +10,8 @@
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Deployment.StateStoreLimits;
+import notchpick.coordination.Deployment.WorkerTiming;
 import notchpick.coordination.Tuning;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.coordination.membership.LinkMonitor;
@@ -57,15 +59,9 @@
                     new Quota("a", Resources.NONE, Resources.NONE),
                     new Quota("b", Resources.NONE, new Resources(4, 0, 0))),
             ServiceObjectives.NONE,
-            3,
-            20,
-            40,
-            100,
-            100,
-            16 << 10,
-            12,
+            new WorkerTiming(3, 20, 40),
+            new StateStoreLimits(100, 100, 16 << 10, 12),
             5,
-            3,
             100);
     private final PeerMembership peers = new PeerMembership(
             loop,
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -14,6 +14,8 @@
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.Deployment.Quota;
+import notchpick.coordination.Deployment.StateStoreLimits;
+import notchpick.coordination.Deployment.WorkerTiming;
 import notchpick.coordination.Tuning;
 import notchpick.protocol.InvalidMessageException;
 import notchpick.protocol.Json;
@@ -293,15 +295,9 @@
                 ZONES,
                 teams,
                 new ServiceObjectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
-                timing.heartbeatPeriodS(),
-                timing.leaseS(),
-                timing.cancelTimeoutS(),
-                requestsPerS,
-                known.writesPerS(),
-                known.valueBytes(),
-                known.txnOps(),
+                new WorkerTiming(timing.heartbeatPeriodS(), timing.leaseS(), timing.cancelTimeoutS()),
+                new StateStoreLimits(requestsPerS, known.writesPerS(), known.valueBytes(), known.txnOps()),
                 10,
-                3,
                 1000);
         // Clocks at the edges of their bounds.
         double fast = index == 0 ? 0.05 : index == 1 ? -0.05 : 0;
