--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -51,7 +51,7 @@
                 new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
                 PackedRecords.Packing.WORST_FIT,
                 deployment.valueBytes(),
-                deployment.writesAtOnce(),
+                deployment.maxTransactionWrites(),
                 this::recorded);
         records.setPreconditions(assignments -> new Preconditions(openJobs(assignments), this::jobsEnded));
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -41,7 +41,7 @@
                 new PackedRecords.Encoding<>(CompletionCodec::maxBytes, CompletionCodec::encode),
                 PackedRecords.Packing.BEST_FIT,
                 deployment.valueBytes(),
-                deployment.writesAtOnce(),
+                deployment.maxTransactionWrites(),
                 this::written);
     }
 
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -30,14 +30,8 @@
             List.of(),
             List.of(),
             new ServiceObjectives(Map.of()),
-            3,
-            20,
-            40,
-            100,
-            100,
-            1000,
-            12,
-            1,
+            new Deployment.WorkerTiming(3, 20, 40),
+            new Deployment.StateStoreLimits(100, 100, 1000, 12),
             1,
             100);
 
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -41,14 +41,8 @@
             List.of("east"),
             List.of(),
             ServiceObjectives.NONE,
-            PERIOD_MS / 1000.0,
-            20,
-            40,
-            100,
-            100,
-            1000,
-            12,
-            1,
+            new Deployment.WorkerTiming(PERIOD_MS / 1000.0, 20, 40),
+            new Deployment.StateStoreLimits(100, 100, 1000, 12),
             1,
             100);
 
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -38,14 +38,8 @@
             List.of("east", "west"),
             List.of(),
             ServiceObjectives.NONE,
-            4,
-            20,
-            40,
-            100,
-            100,
-            1000,
-            12,
-            1,
+            new Deployment.WorkerTiming(4, 20, 40),
+            new Deployment.StateStoreLimits(100, 100, 1000, 12),
             1,
             100);
 
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -22,7 +22,6 @@
     private static final double FAST_CLOCK_PERCENT = 0.05;
     private static final double SLOW_CLOCK_PERCENT = -0.05;
     private static final int CLOUD_REQUESTS_PER_S = 10;
-    private static final int CLOUD_LIST_LAG_S = 3;
     private static final int MAX_CONNECTIONS = 1000;
 
     private final ClusterConfig config;
@@ -143,15 +142,10 @@
                 ClusterConfig.ZONES,
                 config.teams(),
                 new ServiceObjectives(Map.of("slow", List.of(new Objective(Kind.FINISHED, 300)))),
-                timing.heartbeatPeriodS(),
-                timing.leaseS(),
-                timing.cancelTimeoutS(),
-                config.requestsPerS(),
-                limits.writesPerS(),
-                limits.valueBytes(),
-                limits.transactionWrites(),
+                new Deployment.WorkerTiming(timing.heartbeatPeriodS(), timing.leaseS(), timing.cancelTimeoutS()),
+                new Deployment.StateStoreLimits(
+                        config.requestsPerS(), limits.writesPerS(), limits.valueBytes(), limits.transactionWrites()),
                 CLOUD_REQUESTS_PER_S,
-                CLOUD_LIST_LAG_S,
                 MAX_CONNECTIONS);
     }
 
