--- a/src/main/java/notchpick/app/MachineTypeRefresher.java
+++ b/src/main/java/notchpick/app/MachineTypeRefresher.java
@@ -17,7 +17,7 @@
  * a controller which starts during an outage of the cloud can serve.
  */
 final class MachineTypeRefresher {
-    /** Is told of the machine types. */
+    /** Receives the machine types. */
     @FunctionalInterface
     interface Listener {
         /** The cloud offers these types now. */
--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -26,7 +26,7 @@
  */
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
-    /** A conflict means that the job has ended or was written in between; reading it again tells which. */
+    /** A conflict means that the job has ended or was written in between; reading it again shows which. */
     private static final int MAX_ATTEMPTS = 3;
 
     private final EventLoop loop;
--- a/src/main/java/notchpick/coordination/userapi/UserReplies.java
+++ b/src/main/java/notchpick/coordination/userapi/UserReplies.java
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Tells users to retry as the state store can't be reached. */
+    /** The reason for an unavailable reply when the state store did not answer, or may not have executed a request. */
     static final String NO_STATE_STORE = "the state service does not answer";
 
     private static final int OK = 200;
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
+import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives.Kind;
 import notchpick.scheduling.ServiceObjectives.Objective;
 import org.junit.jupiter.api.Test;
@@ -44,7 +45,7 @@
         assertEquals(
                 List.of(new Objective(Kind.FINISHED, 150), new Objective(Kind.STARTED, 90)),
                 deployment.objectives().byClass().get("c"));
-        assertTrue(deployment.quota("a").allows(new notchpick.scheduling.Resources(1000, 0, 0)));
+        assertTrue(deployment.quota("a").allows(new Resources(1000, 0, 0)));
     }
 
     @Test
