--- a/src/main/java/notchpick/protocol/StateStoreResponses.java
+++ b/src/main/java/notchpick/protocol/StateStoreResponses.java
@@ -61,10 +61,12 @@
         return body.path(StateStoreFields.REVISION).asLong();
     }
 
+    /** Reads the number of a lease. */
     static long lease(JsonNode body) {
         return body.path(StateStoreFields.LEASE).asLong();
     }
 
+    /** Reads a key. */
     static Entry entry(JsonNode node) {
         return new Entry(
                 node.path(StateStoreFields.KEY).asText(),
@@ -73,12 +75,14 @@
                 node.path(StateStoreFields.LEASE).asLong());
     }
 
+    /** Reads a page of keys. */
     static Listing listing(JsonNode body) {
         List<Entry> entries = new ArrayList<>();
         body.path("items").forEach(item -> entries.add(entry(item)));
         return new Listing(entries, body.path("truncated").asBoolean(), revision(body));
     }
 
+    /** Reads the changes of keys. */
     static Changes changes(JsonNode body) {
         List<Change> log = new ArrayList<>();
         for (JsonNode item : body.path("log")) {
--- a/src/main/java/notchpick/protocol/Transaction.java
+++ b/src/main/java/notchpick/protocol/Transaction.java
@@ -38,6 +38,7 @@
         return this;
     }
 
+    /** The body of the request that commits the transaction. */
     byte[] body() {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("guards");
--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -55,11 +55,13 @@
         maxBytes = most;
     }
 
+    /** Adds a record. */
     void add(R record, int size) {
         records.add(record);
         bytes += size;
     }
 
+    /** Removes a record; the durable value holds it until it is written anew. */
     void remove(R record, int size) {
         records.remove(record);
         bytes -= size;
--- a/src/main/java/notchpick/storage/Preconditions.java
+++ b/src/main/java/notchpick/storage/Preconditions.java
@@ -19,6 +19,7 @@
         void preconditionsFailed(List<String> keys);
     }
 
+    /** Tells the listener which of these keys are preconditions. */
     void reportConflicts(List<String> conflictingKeys) {
         List<String> failed =
                 conflictingKeys.stream().filter(versions::containsKey).toList();
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -36,6 +36,7 @@
         return writes + change.writes().size() <= maxWrites && bytes + change.maxBytes() <= MAX_BYTES;
     }
 
+    /** Adds a change, be there room for it or not. */
     void add(Member member) {
         members.add(member);
         writes += member.prepared().writes().size();
