--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -55,13 +55,13 @@
         maxBytes = most;
     }
 
-    /** Puts a record on the page. */
+    /** Adds a record. */
     void add(R record, int size) {
         records.add(record);
         bytes += size;
     }
 
-    /** Takes a record off the page; the stored value holds it until the page is written again. */
+    /** Removes a record; the durable value holds it until it is written anew. */
     void remove(R record, int size) {
         records.remove(record);
         bytes -= size;
