--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -16,10 +16,11 @@
 import notchpick.protocol.StateStoreClient.Listing;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Conditions;
+import notchpick.storage.LaunchRecord;
+import notchpick.storage.LaunchRecordCodec;
 import notchpick.storage.PackedRecords;
-import notchpick.storage.Records;
-import notchpick.storage.Records.Hint;
+import notchpick.storage.Preconditions;
+import notchpick.storage.StateKeys;
 
 /** Keeps durable which tasks may be on which machines; a launch command goes out only once its record is. */
 public final class TaskLaunchLog {
@@ -46,13 +47,13 @@
         Deployment deployment = context.deployment();
         this.records = new PackedRecords<>(
                 writer,
-                Records.STARTS,
-                new PackedRecords.Form<>(Records::startBytes, Records::starts),
-                PackedRecords.Fill.EMPTIEST,
+                StateKeys.LAUNCHES,
+                new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
+                PackedRecords.Packing.WORST_FIT,
                 deployment.valueBytes(),
                 deployment.writesAtOnce(),
                 this::recorded);
-        records.writtenOnlyIf(assignments -> new Conditions(openJobs(assignments), this::jobsEnded));
+        records.setPreconditions(assignments -> new Preconditions(openJobs(assignments), this::jobsEnded));
     }
 
     /**
@@ -66,7 +67,7 @@
             String id = assignment.spec().id();
             Job job = cluster.job(id);
             if (assignment.phase() == Phase.PLANNED && job != null) {
-                versions.put(Records.OPEN + id, job.version());
+                versions.put(StateKeys.OPEN_JOBS + id, job.version());
             }
         }
         return versions;
@@ -74,16 +75,16 @@
 
     private void jobsEnded(List<String> descriptionKeys) {
         listener.jobsFoundEnded(descriptionKeys.stream()
-                .map(key -> key.substring(Records.OPEN.length()))
+                .map(key -> key.substring(StateKeys.OPEN_JOBS.length()))
                 .toList());
     }
 
     /** Takes in the launches of a former leader: these tasks are not launched anew, and count, until workers report. */
     public void load(Listing listing) {
         for (Entry entry : listing.entries()) {
-            writer.known(entry.key(), entry.version());
+            writer.versionRead(entry.key(), entry.version());
             Set<TaskAssignment> loaded = new LinkedHashSet<>();
-            for (Hint launch : Records.hints(entry.value())) {
+            for (LaunchRecord launch : LaunchRecordCodec.decode(entry.value())) {
                 Machine machine = cluster.machineOrAdd(launch.machine(), name -> readyMachine(launch));
                 machine.markLaunchedToByFormerLeader();
                 Job job = cluster.job(launch.job().id());
@@ -92,11 +93,11 @@
                     loaded.add(cluster.assign(spec, launch.task(), machine, launch.attempt(), Phase.INHERITED));
                 }
             }
-            records.loaded(entry.key(), loaded);
+            records.load(entry.key(), loaded);
         }
     }
 
-    private Machine readyMachine(Hint launch) {
+    private Machine readyMachine(LaunchRecord launch) {
         long now = context.now();
         Machine machine = new Machine(
                 launch.machine(),
@@ -114,7 +115,7 @@
 
     /** The task surely is not on its machine any more. */
     public void drop(TaskAssignment assignment) {
-        records.drop(assignment);
+        records.remove(assignment);
     }
 
     /** Rewrites the value that holds most of what has ended. */
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -6,13 +6,13 @@
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
 import notchpick.protocol.StateStoreClient.Changes;
-import notchpick.protocol.StateStoreClient.Conflict;
 import notchpick.protocol.StateStoreClient.Entry;
-import notchpick.protocol.StateStoreClient.Missing;
-import notchpick.protocol.StateStoreClient.Ok;
-import notchpick.protocol.StateStoreClient.Result;
-import notchpick.protocol.StateStoreClient.Transaction;
-import notchpick.storage.Records;
+import notchpick.protocol.StateStoreResult;
+import notchpick.protocol.StateStoreResult.Conflict;
+import notchpick.protocol.StateStoreResult.Missing;
+import notchpick.protocol.StateStoreResult.Ok;
+import notchpick.protocol.Transaction;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
@@ -165,14 +165,14 @@
         if (state.isLeading()) {
             return;
         }
-        stateStore.getHastily(Records.LEADER, here(result -> {
+        stateStore.getHedged(StateKeys.LEADER, here(result -> {
             if (!state.isLeading()) {
                 leaderKeyPolled(result);
             }
         }));
     }
 
-    private void leaderKeyPolled(Result<Entry> result) {
+    private void leaderKeyPolled(StateStoreResult<Entry> result) {
         if (result instanceof Ok<Entry> ok) {
             state.leaderKeyNotMissing();
             leaderKeyRead(ok.value());
@@ -218,7 +218,7 @@
             return;
         }
         watching = true;
-        stateStore.changes(Records.LEADER, version, leaseMs, here(result -> {
+        stateStore.changes(StateKeys.LEADER, version, leaseMs, here(result -> {
             watching = false;
             if (!state.isLeading() && result instanceof Ok<Changes> ok && isLeaderKeyDeleted(ok.value())) {
                 schedulePoll(random.nextInt((int) Math.max(1, pollIntervalMs / WATCH_JITTER_PART)));
@@ -233,7 +233,7 @@
     // ---- campaigning --------------------------------------------------------------------------
 
     private void campaign() {
-        stateStore.get(Records.TERM, here(result -> {
+        stateStore.get(StateKeys.TERM, here(result -> {
             if (result instanceof Ok<Entry> ok) {
                 JsonNode record = ok.value().value();
                 checkFormat(record.path(FORMAT_FIELD).asInt(1));
@@ -252,12 +252,12 @@
 
     private void checkFormat(int format) {
         boolean wasIncompatible = formatIncompatible;
-        formatIncompatible = format != Records.FORMAT;
+        formatIncompatible = format != StateKeys.FORMAT;
         if (formatIncompatible && !wasIncompatible) {
             log.error(
                     "not serving: reason=\"incompatible records in the state store\" format={} supportedFormat={}",
                     format,
-                    Records.FORMAT);
+                    StateKeys.FORMAT);
         }
     }
 
@@ -275,10 +275,10 @@
     /** Writes the leader key if nobody else has, and no election has taken place since the term was read. */
     private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAt) {
         Transaction transaction = new Transaction()
-                .guard(Records.LEADER, 0)
-                .guard(Records.TERM, termVersion)
-                .put(Records.LEADER, Json.object().put(NODE_FIELD, node).put(TERM_FIELD, newTerm), newLease)
-                .put(Records.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, Records.FORMAT));
+                .guard(StateKeys.LEADER, 0)
+                .guard(StateKeys.TERM, termVersion)
+                .put(StateKeys.LEADER, Json.object().put(NODE_FIELD, node).put(TERM_FIELD, newTerm), newLease)
+                .put(StateKeys.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, StateKeys.FORMAT));
         stateStore.commit(transaction, here(result -> {
             if (result instanceof Ok<Long> version) {
                 state.elected(newTerm, newLease);
@@ -291,7 +291,7 @@
         }));
     }
 
-    private void electionLost(Result<Long> result, long unusedLease) {
+    private void electionLost(StateStoreResult<Long> result, long unusedLease) {
         // If the reply was lost the key may still appear, and is deleted with this lease.
         stateStore.endLease(unusedLease, here(ended -> {}));
         if (result instanceof Conflict<Long>) {
@@ -323,7 +323,7 @@
         }));
     }
 
-    private void leaseRenewalCompleted(Result<Boolean> result, long sentAt, long generation) {
+    private void leaseRenewalCompleted(StateStoreResult<Boolean> result, long sentAt, long generation) {
         if (result instanceof Missing<Boolean>) {
             log.info("leader lease lost: term={} lease={}", state.term(), state.lease());
             state.leaseExpired();
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 import notchpick.protocol.Json;
 import notchpick.protocol.StateStoreClient;
-import notchpick.protocol.StateStoreClient.Transaction;
+import notchpick.protocol.Transaction;
 import notchpick.simulation.SimulatedStateStore;
 import notchpick.simulation.SimulatedTime;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
@@ -43,7 +43,7 @@
             });
 
     private void startWithTermRecord(ObjectNode term) {
-        client.commit(new Transaction().put(Records.TERM, term), result -> {});
+        client.commit(new Transaction().put(StateKeys.TERM, term), result -> {});
         election.tell(new LeaderElection.Begin());
         simulation.runUntil(10_000);
     }
@@ -58,9 +58,9 @@
 
     @Test
     void continuesFromTheTermOfItsOwnFormat() {
-        startWithTermRecord(Json.object().put("term", 7).put("format", Records.FORMAT));
+        startWithTermRecord(Json.object().put("term", 7).put("format", StateKeys.FORMAT));
         assertFalse(election.isFormatIncompatible());
         assertEquals(1, elections);
-        assertEquals(8, stateStore.value(Records.TERM).path("term").asInt());
+        assertEquals(8, stateStore.value(StateKeys.TERM).path("term").asInt());
     }
 }
