--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -15,6 +15,7 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /**
  * Sends requests to the state store over the direct link, and over a peer as relay while the direct link is cut or
@@ -26,7 +27,6 @@
  * the former one are given up as lost. Every sender allows for a lost request that is executed late.
  */
 public final class FailoverStateStoreTransport extends Actor<Void> implements StateStoreTransport {
-    private static final int SERVICE_UNAVAILABLE = 503;
     /** A hedged request is sent over another path after this part of the leader lease without a response. */
     private static final double HEDGE_DELAY_RATIO = 0.08;
     /** The circuit breaker stays open for this part of the leader lease. */
@@ -79,30 +79,30 @@
     }
 
     @Override
-    public void sendDirect(Request call, long timeoutMs, Consumer<Response> then) {
+    public void sendDirect(Request request, long timeoutMs, Consumer<Response> onResponse) {
         if (path.isRelayed()) {
             // Whoever asks must try another peer: a request is relayed once at the most.
-            then.accept(new Response(SERVICE_UNAVAILABLE, new byte[0]));
+            onResponse.accept(new Response(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
         long sentAt = loop.nowMs();
-        caller.call(call, timeoutMs, response -> {
+        caller.call(request, timeoutMs, response -> {
             links.stateStoreRequestCompleted(response, sentAt);
-            then.accept(response);
+            onResponse.accept(response);
         });
     }
 
     @Override
-    public void send(Request call, long timeoutMs, boolean hasty, Consumer<Response> then) {
-        StateStoreRequest request = new StateStoreRequest(call, loop.nowMs(), timeoutMs, hasty, then);
+    public void send(Request call, long timeoutMs, boolean hedged, Consumer<Response> onResponse) {
+        StateStoreRequest request = new StateStoreRequest(call, loop.nowMs(), timeoutMs, hedged, onResponse);
         openRequests.add(request);
         if (!path.isRelayed()) {
-            sendDirectly(request);
+            sendCopyDirectly(request);
         } else {
-            sendToRelay(path.relay(), request);
+            sendCopyToRelay(path.relay(), request);
             if (request.isHedged()) {
                 // Probes whether the direct link is back.
-                sendDirectly(request);
+                sendCopyDirectly(request);
             }
         }
         if (request.isHedged()) {
@@ -116,21 +116,22 @@
     }
 
     private static boolean isServed(Response response) {
-        return !response.isNone() && response.status() != SERVICE_UNAVAILABLE;
+        return !response.isNone() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
     }
 
     /** A copy has failed. The last one completes the request, unless there is another path to try. */
     private void copyFailed(StateStoreRequest request, Response response) {
         request.copyFailed();
-        boolean mayRetry = request.isHedged() || response.isUnsent() || response.status() == SERVICE_UNAVAILABLE;
-        if (!request.isCompleted() && !(mayRetry && sendToUntriedRelay(request)) && !request.hasCopiesInFlight()) {
+        boolean mayRetry =
+                request.isHedged() || response.isUnsent() || response.status() == HttpStatus.SERVICE_UNAVAILABLE;
+        if (!request.isCompleted() && !(mayRetry && sendCopyToUntriedRelay(request)) && !request.hasCopiesInFlight()) {
             complete(request, response);
         }
     }
 
     // ---- the direct link ----------------------------------------------------------------------
 
-    private void sendDirectly(StateStoreRequest request) {
+    private void sendCopyDirectly(StateStoreRequest request) {
         request.sentDirectly();
         long sentAt = loop.nowMs();
         caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), here(response -> {
@@ -163,13 +164,13 @@
                 && request.isCompleted()
                 && !request.isServedByRelay()) {
             switchToDirect("direct link faster than relay");
-        } else if (!request.isCompleted() && sendToUntriedRelay(request)) {
+        } else if (!request.isCompleted() && sendCopyToUntriedRelay(request)) {
             after(hedgeDelayMs, () -> hedge(request));
         }
     }
 
     /** Sends a copy over a relay that the request has not tried; false if there is none. */
-    private boolean sendToUntriedRelay(StateStoreRequest request) {
+    private boolean sendCopyToUntriedRelay(StateStoreRequest request) {
         long now = loop.nowMs();
         if (path.isBreakerOpen(now) || request.remainingMs(now) <= 0) {
             return false;
@@ -177,11 +178,11 @@
         Optional<String> relay = peers.stateStoreRelays().stream()
                 .filter(peer -> !request.hasTried(peer))
                 .findFirst();
-        relay.ifPresent(peer -> sendToRelay(peer, request));
+        relay.ifPresent(peer -> sendCopyToRelay(peer, request));
         return relay.isPresent();
     }
 
-    private void sendToRelay(String relay, StateStoreRequest request) {
+    private void sendCopyToRelay(String relay, StateStoreRequest request) {
         long remainingMs = request.remainingMs(loop.nowMs());
         request.sentTo(relay);
         Request call = request.request();
@@ -217,7 +218,7 @@
     }
 
     private void relayFailed(String relay, StateStoreRequest request, Response response) {
-        if (response.status() == SERVICE_UNAVAILABLE) {
+        if (response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
             path.openBreaker(loop.nowMs());
         }
         if (path.isRelayedBy(relay)) {
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -15,6 +15,7 @@
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /**
  * Relays workers' heartbeats to the leader in batches, which cost the leader less than the same heartbeats one by one,
@@ -32,10 +33,8 @@
 
     private record Batch(List<RelayedHeartbeat> heartbeats, long timeoutMs) {}
 
-    private static final int OK = 200;
-    private static final int SERVICE_UNAVAILABLE = 503;
     /** A worker that gets it tries another controller. */
-    private static final Response REFUSED = new Response(SERVICE_UNAVAILABLE, new byte[0]);
+    private static final Response REFUSED = new Response(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]);
     /** So many heartbeats wait; one more displaces the oldest. */
     private static final int MAX_QUEUED = 1000;
 
@@ -173,7 +172,7 @@
             heartbeat.reply().accept(REFUSED);
             return;
         }
-        if (outcome.getStatus() == OK) {
+        if (outcome.getStatus() == HttpStatus.OK) {
             heartbeat.route().relayed(loop.nowMs());
         }
         heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -16,6 +16,7 @@
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /**
  * Takes workers' heartbeats at a controller that does not lead: redirects the worker, or relays the heartbeat to the
@@ -31,9 +32,6 @@
     /** @param receivedAt when the worker's heartbeat came, in milliseconds of the steady clock */
     public record HeartbeatReceived(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
 
-    private static final int BAD_REQUEST = 400;
-    private static final int MISDIRECTED_REQUEST = 421;
-
     private final String node;
     private final long heartbeatPeriodMs;
     private final LeaderElection election;
@@ -71,7 +69,8 @@
                         WorkerProtocol.heartbeat(Json.object(received.request().body()));
                 route(received, heartbeat);
             } catch (InvalidMessageException e) {
-                received.reply().accept(new Response(BAD_REQUEST, Json.bytes(UserProtocol.error(e.getMessage()))));
+                received.reply()
+                        .accept(new Response(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(e.getMessage()))));
             }
         }
     }
@@ -105,6 +104,7 @@
 
     /** @param controller null if none is known: the worker goes on to the next one of its list */
     private static void redirect(HeartbeatReceived received, String controller) {
-        received.reply().accept(new Response(MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(controller))));
+        received.reply()
+                .accept(new Response(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(controller))));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -1,6 +1,7 @@
 package notchpick.coordination.membership;
 
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /** The health of one link of this controller, judged by the traffic that flows over it anyway. Times are handed in. */
 final class LinkHealth {
@@ -13,7 +14,6 @@
         SILENT
     }
 
-    private static final int SERVICE_UNAVAILABLE = 503;
     private static final double MS_PER_S = 1000.0;
     /** The weight of the newest latency in the moving average. */
     private static final double LATENCY_WEIGHT = 0.2;
@@ -41,7 +41,7 @@
             condition = Condition.SILENT;
         } else {
             recordActivity(now);
-            condition = response.status() == SERVICE_UNAVAILABLE ? Condition.TURNED_AWAY : Condition.UP;
+            condition = response.status() == HttpStatus.SERVICE_UNAVAILABLE ? Condition.TURNED_AWAY : Condition.UP;
             double latencyMs = now - sentAt;
             meanLatencyMs =
                     meanLatencyMs < 0 ? latencyMs : meanLatencyMs + LATENCY_WEIGHT * (latencyMs - meanLatencyMs);
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -11,11 +11,10 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /** Sends requests to the other controllers, and lets the link monitor know how each one completes. */
 public final class PeerClient extends Actor<Void> {
-    private static final int OK = 200;
-    private static final int SERVICE_UNAVAILABLE = 503;
     /** After how many seconds a user whose relayed request found the service unavailable should retry. */
     private static final int RETRY_AFTER_S = 1;
 
@@ -63,8 +62,8 @@
 
     private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
         long sentAt = loop.nowMs();
-        Consumer<Response> onResponse =
-                here(response -> onReply.accept(response.status() == OK ? PeerProtocol.body(response.body()) : null));
+        Consumer<Response> onResponse = here(response ->
+                onReply.accept(response.status() == HttpStatus.OK ? PeerProtocol.body(response.body()) : null));
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
             links.peerRequestCompleted(peer, response, sentAt);
             onResponse.accept(response);
@@ -79,7 +78,7 @@
                 onResponse.accept(new Response(
                         relayed.getStatus(),
                         relayed.getContent().getBytes(StandardCharsets.UTF_8),
-                        relayed.getStatus() == SERVICE_UNAVAILABLE ? RETRY_AFTER_S : 0));
+                        relayed.getStatus() == HttpStatus.SERVICE_UNAVAILABLE ? RETRY_AFTER_S : 0));
             } else {
                 onResponse.accept(Response.NONE);
             }
