--- a/src/test/java/notchpick/ScenarioDeployment.java
+++ b/src/test/java/notchpick/ScenarioDeployment.java
@@ -23,7 +23,7 @@
             case "", "#" -> {}
             case "requests-per-second" -> config.requestsPerS(Double.parseDouble(words[1]));
             case "writes-per-second" -> config.writesPerS(Double.parseDouble(words[1]));
-            case "next" ->
+            case "announced-limits" ->
                 config.announcedLimits(
                         new StateStoreLimits(
                                 Integer.parseInt(words[1]), Integer.parseInt(words[2]), Double.parseDouble(words[3])),
--- a/src/test/java/notchpick/ScenarioExpectations.java
+++ b/src/test/java/notchpick/ScenarioExpectations.java
@@ -20,28 +20,30 @@
     /** Figures that a scenario bounds by {@code at-most} or {@code at-least}; times in seconds. */
     private static final Map<String, ToDoubleFunction<SimulatedCluster>> BOUNDED_FIGURES = Map.ofEntries(
             entry("starts-after-cancel", cluster -> cluster.invariants().startsAfterCancel()),
-            entry("gone-after-cancel", cluster -> cluster.invariants().longestRunAfterCancelMs() / 1000.0),
-            entry("order-after-cancel", cluster -> cluster.invariants().longestStartOrderAfterCancelMs() / 1000.0),
-            entry("lost-starts", SimulatedCluster::lostStartOrders),
-            entry("killed-by-lease", cluster -> cluster.invariants().killedByLeaseExpiry()),
-            entry("pause", cluster -> cluster.invariants().longestPauseMs() / 1000.0),
+            entry("longest-run-after-cancel", cluster -> cluster.invariants().longestRunAfterCancelMs() / 1000.0),
             entry(
-                    "running",
+                    "longest-start-order-after-cancel",
+                    cluster -> cluster.invariants().longestStartOrderAfterCancelMs() / 1000.0),
+            entry("lost-start-orders", SimulatedCluster::lostStartOrders),
+            entry("killed-by-lease-expiry", cluster -> cluster.invariants().killedByLeaseExpiry()),
+            entry("longest-pause", cluster -> cluster.invariants().longestPauseMs() / 1000.0),
+            entry(
+                    "running-tasks",
                     cluster -> cluster.fleet().workers().stream()
                             .mapToInt(worker -> worker.tasks().size())
                             .sum()),
             entry("machines", cluster -> cluster.cloud().machineCount()),
             entry("starts", cluster -> cluster.invariants().starts()),
-            entry("rented", cluster -> cluster.cloud().rentedCount()),
-            entry("over-requests", cluster -> cluster.stateStore().requestsOverRate()),
+            entry("rented-machines", cluster -> cluster.cloud().rentedCount()),
+            entry("requests-over-rate", cluster -> cluster.stateStore().requestsOverRate()),
             entry("writes", cluster -> cluster.stateStore().writes()),
-            entry("turned-away", cluster -> cluster.users().deferredSubmissions()),
-            entry("over-rate", cluster -> cluster.stateStore().transactionsOverRate()));
+            entry("deferred-submissions", cluster -> cluster.users().deferredSubmissions()),
+            entry("transactions-over-rate", cluster -> cluster.stateStore().transactionsOverRate()));
 
     /** Figures that a scenario gives exactly. */
     private static final Map<String, ToIntFunction<SimulatedCluster>> EXACT_FIGURES = Map.of(
-            "untold", cluster -> cluster.users().deferredWithoutRetryAfter(),
-            "malformed", cluster -> cluster.stateStore().transactionsTooLarge(),
+            "deferred-without-retry-after", cluster -> cluster.users().deferredWithoutRetryAfter(),
+            "transactions-too-large", cluster -> cluster.stateStore().transactionsTooLarge(),
             "term", cluster -> cluster.controllers().term());
 
     private ScenarioExpectations() {}
@@ -55,12 +57,12 @@
             assertEquals(step.intArgument(1), EXACT_FIGURES.get(what).applyAsInt(cluster), step.text());
         } else {
             switch (what) {
-                case "met" -> checkOccurrence(cluster, step);
-                case "storm-answers" ->
+                case "occurred" -> checkOccurrence(cluster, step);
+                case "poll-burst-answers" ->
                     assertWithinBound(step, 2, cluster.users().pollBurstAnswers(step.intArgument(1)));
                 case "served" -> assertEquals(List.of(), cluster.invariants().underserved(), step.text());
                 case "leader" -> checkLeader(cluster, step);
-                case "status" ->
+                case "http-status" ->
                     assertEquals(step.intArgument(2), cluster.users().lastHttpStatus(step.argument(1)), step.text());
                 default -> checkJobState(cluster, step);
             }
@@ -81,7 +83,7 @@
 
     private static void checkOccurrence(SimulatedCluster cluster, ScenarioStep step) {
         Occurrence occurrence = Occurrence.ofScenarioWord(step.argument(1))
-                .orElseThrow(() -> new IllegalArgumentException("nothing is counted as " + step.argument(1)));
+                .orElseThrow(() -> new IllegalArgumentException("unknown occurrence " + step.argument(1)));
         assertWithinBound(step, 2, cluster.occurrences().count(occurrence));
     }
 
@@ -104,7 +106,7 @@
             throw new IllegalArgumentException("no line before submits " + job);
         }
         if (!JOB_STATES.contains(expectedState)) {
-            throw new IllegalArgumentException("no job is ever told to be " + expectedState);
+            throw new IllegalArgumentException("unknown job state " + expectedState);
         }
         assertEquals(expectedState, cluster.users().lastState(job), step.text());
     }
--- a/src/test/java/notchpick/ScenarioInputTest.java
+++ b/src/test/java/notchpick/ScenarioInputTest.java
@@ -23,16 +23,16 @@
                 "at 3 submit run-000002 tusks 3 | unknown word tusks",
                 "at 3 submit run-000002 tasks | a value is missing: at 3 submit run-000002 tasks",
                 "at 3 expect run-000009 done | no line before submits run-000009",
-                "at 3 expect run-000001 finished | no job is ever told to be finished",
-                "at 3 expect met miracles at-least 1 | nothing is counted as miracles",
+                "at 3 expect run-000001 finished | unknown job state finished",
+                "at 3 expect occurred miracles at-least 1 | unknown occurrence miracles",
                 "at 3 slow node-0 state | a value is missing: at 3 slow node-0 state",
                 "at 3 slow node-0 state much | not a number in: at 3 slow node-0 state much",
-                "at 3 looks-at-elections | a value is missing: at 3 looks-at-elections",
-                "at 3 looks-at-elections perhaps | neither on nor off: perhaps",
-                "at 3 expect lost-starts at-most | a value is missing: at 3 expect lost-starts at-most",
-                "at 3 expect order-after-cancel at-most soon "
-                        + "| not a number in: at 3 expect order-after-cancel at-most soon",
-                "at 3 expect met looks at-least | a value is missing: at 3 expect met looks at-least",
+                "at 3 read-at-elections | a value is missing: at 3 read-at-elections",
+                "at 3 read-at-elections perhaps | neither on nor off: perhaps",
+                "at 3 expect lost-start-orders at-most | a value is missing: at 3 expect lost-start-orders at-most",
+                "at 3 expect longest-start-order-after-cancel at-most soon "
+                        + "| not a number in: at 3 expect longest-start-order-after-cancel at-most soon",
+                "at 3 expect occurred read-at-all-controllers at-least | a value is missing: at 3 expect occurred read-at-all-controllers at-least",
             })
     void mistakeIsReportedWithFileAndLine(String line, String message) {
         List<String> lines = List.of("# a remark", "at 2 submit run-000001 tasks 1 run 1", line);
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -24,7 +24,7 @@
 
     private static final Map<String, Verb> USER_VERBS = Map.ofEntries(
             entry("submit", (cluster, step) -> Submissions.submit(cluster, step.subject(), step.options(1))),
-            entry("try", (cluster, step) -> submitOnce(cluster, step)),
+            entry("submit-once", (cluster, step) -> submitOnce(cluster, step)),
             entry("burst", (cluster, step) -> {
                 for (int i = 0; i < step.intArgument(1); i++) {
                     Submissions.submit(cluster, step.subject() + (100 + i), step.options(2));
@@ -32,27 +32,27 @@
             }),
             entry("stream", (cluster, step) -> Submissions.stream(cluster, step.subject(), step.options(1))),
             entry("resubmit", (cluster, step) -> cluster.users().resubmit(step.subject())),
-            entry("odd-requests", (cluster, step) -> Submissions.sendInvalid(cluster, step.subject())),
+            entry("submit-invalid", (cluster, step) -> Submissions.sendInvalid(cluster, step.subject())),
             entry("cancel", (cluster, step) -> cluster.users().cancel(step.subject())),
-            entry("cancel-now", (cluster, step) -> {
+            entry("cancel-running", (cluster, step) -> {
                 List<String> jobs = cluster.cancelRunning(step.intArgument(0));
                 if (step.hasArgument(1)) {
                     cluster.fleet().hangMachinesOf(jobs, step.millisArgument(2));
                 }
             }),
             entry(
-                    "cancel-at-end",
+                    "cancel-at-completion",
                     (cluster, step) -> cluster.users().setCancelAtCompletionShare(step.doubleArgument(0))),
-            entry("ask", (cluster, step) -> cluster.users().poll(step.subject())),
-            entry("storm", (cluster, step) -> cluster.users().pollBurst(step.subject(), step.intArgument(1))),
-            entry("look", (cluster, step) -> cluster.users().readAtAllControllers(step.subject())),
-            entry("close-looks", (cluster, step) -> cluster.users().setReadAfterEachChange(step.isOn(0))),
-            entry("looks-at-elections", (cluster, step) -> cluster.users().setReadAtElections(step.isOn(0))));
+            entry("poll", (cluster, step) -> cluster.users().poll(step.subject())),
+            entry("poll-burst", (cluster, step) -> cluster.users().pollBurst(step.subject(), step.intArgument(1))),
+            entry("read-at-all-controllers", (cluster, step) -> cluster.users().readAtAllControllers(step.subject())),
+            entry("read-after-each-change", (cluster, step) -> cluster.users().setReadAfterEachChange(step.isOn(0))),
+            entry("read-at-elections", (cluster, step) -> cluster.users().setReadAtElections(step.isOn(0))));
 
     private static final Map<String, Verb> CONTROLLER_AND_LINK_VERBS = Map.ofEntries(
             entry("crash", (cluster, step) -> crash(cluster, step)),
             entry(
-                    "silence",
+                    "lose-power",
                     (cluster, step) -> cluster.controllers()
                             .losePower(controller(cluster, step.subject()), step.millisArgument(1))),
             entry(
@@ -60,7 +60,7 @@
                     (cluster, step) ->
                             cluster.controllers().freeze(controller(cluster, step.subject()), step.millisArgument(1))),
             entry(
-                    "name",
+                    "alias",
                     (cluster, step) ->
                             cluster.controllers().setAlias(step.subject(), controller(cluster, step.argument(1)))),
             entry("cut", (cluster, step) -> {
@@ -88,8 +88,9 @@
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().heal(link.from(), link.to()))),
             entry(
-                    "late-reports",
-                    (cluster, step) -> cluster.duplicateHeartbeats(step.doubleArgument(0), hasFlag(step, "for-next"))));
+                    "duplicate-heartbeats",
+                    (cluster, step) ->
+                            cluster.duplicateHeartbeats(step.doubleArgument(0), hasFlag(step, "for-next-leader"))));
 
     private static final Map<String, Verb> STATE_STORE_VERBS = Map.ofEntries(
             entry("outage", (cluster, step) -> cluster.setOutage(step.isOn(0))),
@@ -100,31 +101,31 @@
                             .nodes()
                             .forEach(node -> cluster.stateStore().setRefused(node, false))),
             entry("watches-hang", (cluster, step) -> cluster.stateStore().setWatchesHanging(step.isOn(0))),
-            entry("lists-take", (cluster, step) -> cluster.stateStore().setListDelay(step.millisArgument(0))),
-            entry("pages", (cluster, step) -> cluster.stateStore().setMaxListItems(step.intArgument(0))),
-            entry("limits-fall", (cluster, step) -> cluster.enforceAnnouncedLimits()),
+            entry("list-delay", (cluster, step) -> cluster.stateStore().setListDelay(step.millisArgument(0))),
+            entry("max-list-items", (cluster, step) -> cluster.stateStore().setMaxListItems(step.intArgument(0))),
+            entry("enforce-announced-limits", (cluster, step) -> cluster.enforceAnnouncedLimits()),
             entry(
                     "lose-commits",
                     (cluster, step) -> cluster.stateStore().loseCommits(step.intArgument(0), step.millisArgument(1))),
             entry(
-                    "late-writes",
+                    "unanswered-writes",
                     (cluster, step) -> cluster.stateStore()
-                            .setUnansweredCommits(step.doubleArgument(0), hasFlag(step, "at-once"))));
+                            .setUnansweredCommits(step.doubleArgument(0), hasFlag(step, "applied-immediately"))));
 
     private static final Map<String, Verb> MACHINE_VERBS = Map.ofEntries(
-            entry("boots", (cluster, step) -> cluster.cloud().setBootTimeFactor(step.doubleArgument(0))),
+            entry("boot-time-factor", (cluster, step) -> cluster.cloud().setBootTimeFactor(step.doubleArgument(0))),
             entry(
                     "cloud",
                     (cluster, step) ->
                             cluster.cloud().setUnavailable(step.subject().equals("down"))),
             entry("cloud-lists", (cluster, step) -> cluster.cloud().setListing(Listing.valueOf(step.subject()))),
-            entry("late-release", (cluster, step) -> cluster.cloud().delayNextRelease(step.millisArgument(0))),
-            entry("late-rental", (cluster, step) -> cluster.cloud().delayNextRental(step.millisArgument(0))),
-            entry("never-up", (cluster, step) -> cluster.cloud().failNextBoots(step.intArgument(0))),
-            entry("die", (cluster, step) -> cluster.cloud().reclaim(machine(cluster, step.subject()))),
-            entry("wave", (cluster, step) -> reclaimAll(cluster, step.subject())),
+            entry("delay-next-release", (cluster, step) -> cluster.cloud().delayNextRelease(step.millisArgument(0))),
+            entry("delay-next-rental", (cluster, step) -> cluster.cloud().delayNextRental(step.millisArgument(0))),
+            entry("fail-next-boots", (cluster, step) -> cluster.cloud().failNextBoots(step.intArgument(0))),
+            entry("reclaim", (cluster, step) -> cluster.cloud().reclaim(machine(cluster, step.subject()))),
+            entry("reclaim-all", (cluster, step) -> reclaimAll(cluster, step.subject())),
             entry(
-                    "notice",
+                    "announce-reclaim",
                     (cluster, step) -> cluster.fleet()
                             .workers()
                             .forEach(worker -> worker.announceReclaim(step.doubleArgument(0)))),
@@ -135,11 +136,13 @@
                     (cluster, step) -> cluster.fleet().workers().stream()
                             .limit(step.intArgument(0))
                             .forEach(worker -> cluster.fleet().hang(worker, step.millisArgument(1)))),
-            entry("unhang", (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
+            entry(
+                    "unhang-all",
+                    (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
             entry("deaf", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
             entry("mute", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
             entry(
-                    "all-hear",
+                    "heal-machines",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
                         worker.setDeaf(false);
                         worker.setMute(false);
@@ -148,8 +151,8 @@
 
     private static final Map<String, Verb> CHECK_VERBS = Map.of(
             "expect", ScenarioExpectations::check,
-            "watch-pauses", (cluster, step) -> cluster.invariants().resetLongestPause(),
-            "troubles-over", (cluster, step) -> cluster.faultsOver());
+            "reset-longest-pause", (cluster, step) -> cluster.invariants().resetLongestPause(),
+            "faults-over", (cluster, step) -> cluster.faultsOver());
 
     private ScenarioVerbs() {}
 
--- a/src/test/java/notchpick/simulation/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -222,7 +222,7 @@
         invariants.completed("run-1/0");
         now = 10;
         invariants.answered("run-1", 200, "done", 6);
-        // Asked before anybody had been told: the answers have crossed.
+        // Requested before any user knew of the end: the answers overtook each other.
         now = 12;
         invariants.answered("run-1", 200, "running", 9);
         assertNoViolation();
--- a/src/test/java/notchpick/simulation/JobGroundTruth.java
+++ b/src/test/java/notchpick/simulation/JobGroundTruth.java
@@ -9,7 +9,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** What the submitted jobs really do when they run, which the service is not told. */
+/** What the tasks of the submitted jobs do when they run, which the service does not know. */
 final class JobGroundTruth implements SimulatedWorker.Jobs {
     /**
      * A submitted job.
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -96,18 +96,18 @@
         }
     }
 
-    /** Cuts both ways between two hosts or groups. */
+    /** Cuts both directions between two hosts or groups. */
     public void cut(String one, String other, Cut how) {
         cutOneWay(one, other, how);
         cutOneWay(other, one, how);
     }
 
-    /** Packets the other way still pass. */
+    /** Cuts one direction; packets in the other still pass. */
     public void cutOneWay(String from, String to, Cut how) {
         cuts.put(new Route(from, to), how);
     }
 
-    /** Packets one way take longer by this from now on; 0 ends that. */
+    /** Packets in one direction take longer by this from now on; 0 ends that. */
     public void delayOneWay(String from, String to, long byMs) {
         if (byMs > 0) {
             delaysMs.put(new Route(from, to), byMs);
