--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -27,8 +27,8 @@
 import notchpick.protocol.peer.Room;
 import notchpick.protocol.peer.StateCall;
 import notchpick.protocol.peer.Want;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.simulation.LoopbackAddresses;
 import notchpick.simulation.SimulatedCloud;
@@ -96,7 +96,7 @@
         MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
         SimulatedCloud cloud =
                 new SimulatedCloud(System::currentTimeMillis, timer, Map.of(type.name(), type), machine -> {});
-        cloud.setCapacity(new Pool(type.name(), "east", true), 4);
+        cloud.setCapacity(new NodePool(type.name(), "east", true), 4);
         HttpHandler stateHandler = (call, reply) -> executor.execute(() -> stateStore.handle(call, reply));
         HttpHandler cloudHandler = (call, reply) -> executor.execute(() -> cloud.handle(call, reply));
         HttpHandler peerHandler = (call, reply) -> reply.accept(new Response(200, PeerProtocol.bytes(pulse())));
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.simulation.InvariantChecker;
 import notchpick.simulation.LoopbackAddresses;
@@ -116,8 +116,8 @@
                 time::after,
                 Map.of(type.name(), type),
                 machine -> new SimulatedWorker(machine, countingCaller, environment));
-        cloud.setCapacity(new Pool(type.name(), "east", true), machines / 2);
-        cloud.setCapacity(new Pool(type.name(), "west", true), machines - machines / 2);
+        cloud.setCapacity(new NodePool(type.name(), "east", true), machines / 2);
+        cloud.setCapacity(new NodePool(type.name(), "west", true), machines - machines / 2);
         return cloud;
     }
 
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -14,8 +14,8 @@
 import java.util.function.LongSupplier;
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.Json;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
@@ -47,7 +47,7 @@
     private final Timer timer;
     private final Map<String, MachineType> types;
     private final MachineListener listener;
-    private final Map<Pool, Integer> capacity = new HashMap<>();
+    private final Map<NodePool, Integer> capacity = new HashMap<>();
     private final Map<String, RentedMachine> machines = new TreeMap<>();
     private final Set<String> booted = new HashSet<>();
     /** Answers to rentals by request id, as a repeated request must not rent again. */
@@ -71,7 +71,7 @@
     }
 
     /** The cloud has so many machines in this pool. */
-    public void setCapacity(Pool pool, int machineCount) {
+    public void setCapacity(NodePool pool, int machineCount) {
         capacity.put(pool, machineCount);
     }
 
@@ -172,7 +172,7 @@
             return new Response(200, rentalAnswers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
-        Pool pool = new Pool(
+        NodePool pool = new NodePool(
                 type.name(), body.path("site").asText(), body.path("borrowed").asBoolean());
         int number = Math.min(body.path("number").asInt(), capacity.getOrDefault(pool, 0) - rentedIn(pool));
         if (number <= 0) {
@@ -187,7 +187,7 @@
         return new Response(200, rentalAnswers.get(request));
     }
 
-    private int rentedIn(Pool pool) {
+    private int rentedIn(NodePool pool) {
         return (int) machines.values().stream()
                 .filter(machine -> machine.type().name().equals(pool.type())
                         && machine.zone().equals(pool.zone())
@@ -195,7 +195,7 @@
                 .count();
     }
 
-    private String rentMachine(MachineType type, Pool pool, long extraBootMs) {
+    private String rentMachine(MachineType type, NodePool pool, long extraBootMs) {
         String name = String.format("m-%06d", rentedCount++);
         RentedMachine machine = new RentedMachine(name, type, pool.zone(), pool.spot(), clock.getAsLong());
         machines.put(name, machine);
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Random;
 import notchpick.coordination.Deployment.Quota;
-import notchpick.scheduling.FleetPlanner.Pool;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.NodePool;
 import notchpick.storage.Records;
 import notchpick.transport.HttpCaller;
 
@@ -146,7 +146,7 @@
 
     /** How many machines of a type, in a zone, as spot instances or not, the cloud has. */
     public void setCapacity(String type, String zone, boolean spot, int machines) {
-        cloud.setCapacity(new Pool(type, zone, spot), machines);
+        cloud.setCapacity(new NodePool(type, zone, spot), machines);
     }
 
     /** Commands that were sent straight to workers; all orders are to travel in answers to heartbeats. */
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -55,12 +55,12 @@
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
-            public long now() {
+            public long nowMs() {
                 return STEADY_CLOCK_START_MS + (long) (now * rate);
             }
 
             @Override
-            public long wallTime() {
+            public long wallTimeMs() {
                 return WALL_CLOCK_START_MS + now + wallOffsetMs;
             }
 
