--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -1,6 +1,7 @@
 package notchpick.coordination.leader;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.leader.allocation.ResourceAllocator;
@@ -24,10 +25,11 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.RuntimeEstimator;
+import notchpick.storage.CommitmentsCodec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
+import notchpick.storage.StateKeys;
 import notchpick.transport.Actor;
 import notchpick.transport.HttpCaller.Response;
 
@@ -102,8 +104,12 @@
         this.authority = new LeaderAuthority(loop::nowMs, deployment, leaderLeaseS, term.leaseUntil());
         this.writer = writer(environment, term);
         this.autoscaler = new Autoscaler(context, environment.cloud(), writer, this::machineGone, this::reviewScaling);
-        this.leases =
-                new ResourceLeases(context, environment.tuning(), environment.peers(), new ResourceLeaseListener());
+        this.leases = new ResourceLeases(
+                context,
+                environment.tuning(),
+                environment.peers(),
+                environment.peerClient(),
+                new ResourceLeaseListener());
         this.allocator = new ResourceAllocator(context, environment.tuning(), leases);
         this.rounds = new AllocationScheduler(context, authority, allocator, this::replyToHeartbeats);
         this.jobs = jobTracker(environment, leaderLeaseMs / WATCHES_PER_LEASE);
@@ -218,9 +224,9 @@
     }
 
     private void saveCommitments() {
-        writer.write(Records.COMMITMENTS, () -> {
-            var value = Records.commitments(allocator.commitments(), deployment.valueBytes());
-            return new Prepared(List.of(Write.put(Records.COMMITMENTS, value)), () -> {}, () -> {});
+        writer.write(StateKeys.COMMITMENTS, () -> {
+            var value = CommitmentsCodec.encode(allocator.commitments(), deployment.valueBytes());
+            return Optional.of(new PreparedChange(List.of(KeyWrite.put(StateKeys.COMMITMENTS, value)), () -> {}));
         });
     }
 
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import notchpick.coordination.JobOutcomes;
 import notchpick.coordination.leader.term.TermContext;
@@ -14,9 +15,10 @@
 import notchpick.scheduling.CriticalPath;
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.JobRecordCodec;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
+import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -109,9 +111,7 @@
                 Set.copyOf(graph.unresolved()),
                 found -> context.timer().after(0, () -> {
                     resolving = false;
-                    if (found != null) {
-                        found.forEach(this::ended);
-                    }
+                    found.ifPresent(outcomes -> outcomes.forEach(this::ended));
                     if (!graph.unresolved().isEmpty()) {
                         context.timer().after(RETRY_MS, this::resolveEnded);
                     }
@@ -129,36 +129,42 @@
 
     private void cascade() {
         // What will never run must not raise the priority of its dependencies.
-        graph.doomed().forEach(id -> updatePriorities(criticalPath.remove(id)));
-        if (!graph.doomed().isEmpty()) {
+        graph.cancelledByDependency().forEach(id -> updatePriorities(criticalPath.remove(id)));
+        if (!graph.cancelledByDependency().isEmpty()) {
             writer.write("cascade", this::prepareCascade);
         }
     }
 
     /** A few at a time: that they are cancelled follows from what is stored, so other writes may go first. */
-    private Prepared prepareCascade() {
+    private Optional<PreparedChange> prepareCascade() {
         List<String> cancelled = new ArrayList<>();
-        List<Write> writes = new ArrayList<>();
-        for (String id : graph.doomed()) {
+        List<KeyWrite> writes = new ArrayList<>();
+        for (String id : graph.cancelledByDependency()) {
             Job job = cluster.job(id);
             if (job != null && cancelled.size() < maxCascadeJobs) {
                 cancelled.add(id);
                 JobRecord record =
                         JobRecord.open(job.spec()).cancelled(context.loop().wallTimeMs());
-                writes.add(Write.put(Records.JOB + id, Records.job(record)).unguarded());
-                writes.add(Write.delete(Records.OPEN + id).at(job.version()));
+                writes.add(KeyWrite.put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(record))
+                        .unconditional());
+                writes.add(KeyWrite.delete(StateKeys.OPEN_JOBS + id).ifVersion(job.version()));
             }
         }
         if (cancelled.isEmpty()) {
-            return null;
+            return Optional.empty();
         }
-        return new Prepared(
-                writes,
-                () -> {
-                    LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
-                    listener.cancelledWithDependencies(cancelled);
-                    cascade();
-                },
-                () -> context.timer().after(RETRY_MS, this::cascade));
+        return Optional.of(new PreparedChange(writes, new PreparedChange.Listener() {
+            @Override
+            public void committed() {
+                LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
+                listener.cancelledWithDependencies(cancelled);
+                cascade();
+            }
+
+            @Override
+            public void conflicted() {
+                context.timer().after(RETRY_MS, DependencyTracker.this::cascade);
+            }
+        }));
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.ClusterState;
@@ -10,9 +11,10 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.storage.FencedWriter;
-import notchpick.storage.FencedWriter.Prepared;
-import notchpick.storage.FencedWriter.Write;
-import notchpick.storage.Records;
+import notchpick.storage.KeyWrite;
+import notchpick.storage.PreparedChange;
+import notchpick.storage.ReleasedMachinesCodec;
+import notchpick.storage.StateKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -58,7 +60,7 @@
             unrecorded |= machine.state() == Machine.State.RELEASED && !machine.isReleaseDurable();
         }
         if (unrecorded) {
-            writer.write(Records.RELEASED, this::prepareRecord);
+            writer.write(StateKeys.RELEASED_MACHINES, this::prepareRecord);
         }
         requestRelease();
     }
@@ -67,28 +69,26 @@
      * Names all machines whose release may have been requested, and of the others that are to be released as many as
      * one value takes. A list that is too long already, by another version's limit, stays until enough are confirmed.
      */
-    private Prepared prepareRecord() {
+    private Optional<PreparedChange> prepareRecord() {
         List<Machine> recorded = released(true);
-        int bytes = recorded.stream().mapToInt(Records::releasedBytes).sum();
+        int bytes = recorded.stream().mapToInt(ReleasedMachinesCodec::maxBytes).sum();
         List<Machine> names = new ArrayList<>(recorded);
         for (Machine machine : released(false)) {
-            int size = Records.releasedBytes(machine);
+            int size = ReleasedMachinesCodec.maxBytes(machine);
             if (bytes + size <= context.deployment().valueBytes() - RECORD_FRAME_BYTES) {
                 names.add(machine);
                 bytes += size;
             }
         }
         if (names.size() == recorded.size()) {
-            return null;
+            return Optional.empty();
         }
-        Write write = Write.put(Records.RELEASED, Records.released(names)).bytes(bytes + RECORD_FRAME_BYTES);
-        return new Prepared(
-                List.of(write),
-                () -> {
-                    names.forEach(Machine::releaseRecorded);
-                    requestRelease();
-                },
-                () -> {});
+        KeyWrite write = KeyWrite.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
+                .withMaxBytes(bytes + RECORD_FRAME_BYTES);
+        return Optional.of(new PreparedChange(List.of(write), () -> {
+            names.forEach(Machine::releaseRecorded);
+            requestRelease();
+        }));
     }
 
     private List<Machine> released(boolean durable) {
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import notchpick.coordination.Deployment.Quota;
 import notchpick.scheduling.Resources;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 
 /** Counts under which circumstances cancellations were confirmed to users. */
 final class CancellationCircumstances implements SimulatedUsers.CancellationListener {
@@ -52,7 +52,7 @@
     }
 
     private long openRecordDeletedAt(String job) {
-        return stateStore.deletedAt(Records.OPEN + job);
+        return stateStore.deletedAt(StateKeys.OPEN_JOBS + job);
     }
 
     @Override
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -8,7 +8,7 @@
 import notchpick.coordination.Deployment.Quota;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.NodePool;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.HttpCaller;
 
 /**
@@ -92,7 +92,7 @@
             network.joinZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
         }
         users.setCancellationListener(cancellationCircumstances);
-        stateStore.whenPut(Records.LEADER, users::leaderElected);
+        stateStore.whenPut(StateKeys.LEADER, users::leaderElected);
         occurrences.countedBy(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
         occurrences.countedBy(Occurrence.PACKET_DELAYED, network::delayedPackets);
     }
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -14,7 +14,7 @@
 import notchpick.scheduling.ServiceObjectives;
 import notchpick.scheduling.ServiceObjectives.Kind;
 import notchpick.scheduling.ServiceObjectives.Objective;
-import notchpick.storage.Records;
+import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 
 /** The processes of the real controllers, which tests start, crash, freeze and cut off from power. */
@@ -66,13 +66,13 @@
 
     /** The controller that holds the leader's key. */
     public Optional<String> leader() {
-        return Optional.ofNullable(stateStore.value(Records.LEADER))
+        return Optional.ofNullable(stateStore.value(StateKeys.LEADER))
                 .map(value -> value.path("node").asText());
     }
 
     /** The newest term; 0: nobody has led yet. */
     public int term() {
-        var value = stateStore.value(Records.TERM);
+        var value = stateStore.value(StateKeys.TERM);
         return value == null ? 0 : value.path("term").asInt();
     }
 
