--- a/src/main/java/notchpick/app/ControllerReplies.java
+++ b/src/main/java/notchpick/app/ControllerReplies.java
@@ -7,26 +7,22 @@
 import notchpick.protocol.WorkerProtocol;
 import notchpick.protocol.peer.Outcome;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /** The replies that a controller gives by itself, before a component has handled the request. */
 final class ControllerReplies {
-    static final int OK = 200;
 
-    private static final int BAD_REQUEST = 400;
-    private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int MISDIRECTED_REQUEST = 421;
-    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int RETRY_AFTER_S = 1;
 
     private ControllerReplies() {}
 
     static Response ok() {
-        return empty(OK);
+        return empty(HttpStatus.OK);
     }
 
     /** A message for a peer, one of the generated classes. */
     static Response peerMessage(Object message) {
-        return new Response(OK, PeerProtocol.bytes(message));
+        return new Response(HttpStatus.OK, PeerProtocol.encode(message));
     }
 
     /** A reply in the form in which it is relayed to a peer. */
@@ -35,29 +31,29 @@
     }
 
     static Response badRequest() {
-        return empty(BAD_REQUEST);
+        return empty(HttpStatus.BAD_REQUEST);
     }
 
     static Response badRequest(String message) {
-        return new Response(BAD_REQUEST, Json.bytes(UserProtocol.error(message)));
+        return new Response(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(message)));
     }
 
     static Response methodNotAllowed() {
-        return empty(METHOD_NOT_ALLOWED);
+        return empty(HttpStatus.METHOD_NOT_ALLOWED);
     }
 
     /** @param leader the controller that a worker should report to; null if none is known */
     static Response misdirected(String leader) {
-        return new Response(MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(leader)));
+        return new Response(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(leader)));
     }
 
     static Response unavailable() {
-        return empty(SERVICE_UNAVAILABLE);
+        return empty(HttpStatus.SERVICE_UNAVAILABLE);
     }
 
     /** A user should retry, for this reason. */
     static Response unavailable(String reason) {
-        return new Response(SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(reason)), RETRY_AFTER_S);
+        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(reason)), RETRY_AFTER_S);
     }
 
     private static Response empty(int status) {
--- a/src/main/java/notchpick/app/HeartbeatReceiver.java
+++ b/src/main/java/notchpick/app/HeartbeatReceiver.java
@@ -15,6 +15,7 @@
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 import notchpick.transport.ResultCollector;
 import notchpick.transport.Timer;
 
@@ -56,7 +57,7 @@
 
     /** A redirected worker would leave its connection open, and there are thousands of workers. */
     private static Consumer<Response> closingUnlessOk(Consumer<Response> reply) {
-        return response -> reply.accept(response.status() == ControllerReplies.OK ? response : response.last());
+        return response -> reply.accept(response.status() == HttpStatus.OK ? response : response.last());
     }
 
     private void handle(Request request, Consumer<Response> reply, long receivedAt) {
@@ -90,7 +91,7 @@
             Consumer<Response> replyToOne = response -> outcomes.put(index, ControllerReplies.relayed(response));
             Optional<Leader> leader = localLeader.current();
             if (leader.isPresent()) {
-                byte[] body = PeerProtocol.content(batch.getReports().get(i));
+                byte[] body = PeerProtocol.toBytes(batch.getReports().get(i));
                 handle(leader.get(), body, replyToOne, true);
             } else {
                 replyToOne.accept(ControllerReplies.misdirected(otherLeader()));
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -16,6 +16,7 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 import notchpick.transport.JettyHttpCaller;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -26,7 +27,6 @@
     private static final long CONNECT_TIMEOUT_MS = 1000;
     private static final int MIN_THREADS = 2;
     private static final int MAX_THREADS = 16;
-    private static final int OK = 200;
     private static final double MS_PER_S = 1000.0;
 
     private LinkStatusCommand() {}
@@ -63,7 +63,7 @@
         Map<String, String> addresses = new TreeMap<>();
         addresses.put(deployment.node(), deployment.peerBind());
         deployment.peers().forEach(peer -> addresses.put(peer.node(), peer.address()));
-        byte[] query = PeerProtocol.bytes(new LinkTable("", 0L, null, null, 0L, List.of()));
+        byte[] query = PeerProtocol.encode(new LinkTable("", 0L, null, null, 0L, List.of()));
         Map<String, Response> responses = new ConcurrentHashMap<>();
         CountDownLatch pending = new CountDownLatch(addresses.size());
         addresses.forEach((node, address) ->
@@ -90,7 +90,7 @@
         if (response.isNone()) {
             return node + ": no answer\n";
         }
-        if (response.status() != OK || !(PeerProtocol.body(response.body()) instanceof LinkTable table)) {
+        if (response.status() != HttpStatus.OK || !(PeerProtocol.decode(response.body()) instanceof LinkTable table)) {
             return node + ": runs a version that does not tell its links\n";
         }
         StringBuilder text = new StringBuilder(summary(table));
--- a/src/main/java/notchpick/app/PeerRequestDispatcher.java
+++ b/src/main/java/notchpick/app/PeerRequestDispatcher.java
@@ -48,7 +48,7 @@
 
     /** Handles a message that was received then, by the steady clock. */
     void dispatch(Request request, Consumer<Response> reply, long receivedAt) {
-        Object message = request.path().equals(PeerProtocol.PATH) ? PeerProtocol.body(request.body()) : null;
+        Object message = request.path().equals(PeerProtocol.PATH) ? PeerProtocol.decode(request.body()) : null;
         if (message instanceof Pulse heartbeat) {
             handleHeartbeat(heartbeat, reply);
         } else if (message instanceof Grant grant) {
@@ -76,7 +76,7 @@
         stateStore.sendForPeer(
                 call.getMethod(),
                 call.getPath(),
-                PeerProtocol.content(call.getContent()),
+                PeerProtocol.toBytes(call.getContent()),
                 timeLeftMs,
                 response -> reply.accept(ControllerReplies.peerMessage(ControllerReplies.relayed(response))));
     }
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -151,7 +151,7 @@
     }
 
     /** How long a lease of this length is surely held, counted from before it was requested. */
-    public static long leaseSafelyHeldMs(double leaseMs) {
+    public static long leaseSafelyHeldMs(long leaseMs) {
         return (long) (leaseMs * (1 - MAX_CLOCK_DRIFT));
     }
 
@@ -192,7 +192,8 @@
         return toMs(Math.max(0, graceS));
     }
 
-    private long workerLeaseSafelyExpiredMs() {
+    /** After so long a worker has surely ended its tasks, if no reply has renewed its lease. */
+    public long workerLeaseSafelyExpiredMs() {
         return leaseSafelyExpiredMs(workers.leaseS() * MS_PER_S);
     }
 
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Optional;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -63,7 +64,9 @@
     }
 
     private void readPages(
-            TreeSet<String> missing, Map<String, JobRecord> found, Consumer<Optional<Map<String, JobRecord>>> then) {
+            NavigableSet<String> missing,
+            Map<String, JobRecord> found,
+            Consumer<Optional<Map<String, JobRecord>>> then) {
         if (missing.isEmpty()) {
             then.accept(Optional.of(found));
             return;
@@ -79,7 +82,7 @@
         });
     }
 
-    private void takePage(Listing page, TreeSet<String> missing, Map<String, JobRecord> found) {
+    private void takePage(Listing page, NavigableSet<String> missing, Map<String, JobRecord> found) {
         for (Entry entry : page.entries()) {
             String job = jobOf(entry);
             if (missing.remove(job)) {
@@ -100,7 +103,7 @@
     }
 
     private static String jobOf(Entry entry) {
-        return entry.key().substring(StateKeys.JOB_RECORDS.length());
+        return StateKeys.jobRecordId(entry.key());
     }
 
     /** A text that sorts before the key and after all keys before it. */
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -50,7 +50,11 @@
     /** The machine types, without which no machine's resources are known. */
     public record TypesKnown(List<MachineType> types) implements Message {}
 
-    /** @param relayed whether the heartbeat has come through another controller */
+    /**
+     * A worker's heartbeat has come.
+     *
+     * @param relayed whether it has come through another controller
+     */
     public record HeartbeatReceived(Heartbeat heartbeat, Consumer<Response> reply, boolean relayed)
             implements Message {}
 
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -125,10 +125,10 @@
      */
     private boolean othersMayBeBetterConnected() {
         return peers.redirects() > 0
-                || !context.deployment().peers().isEmpty()
+                || (!context.deployment().peers().isEmpty()
                         && peers.livePeers().isEmpty()
                         && context.cluster().machines().stream()
-                                .anyMatch(machine -> machine.state() == Machine.State.READY);
+                                .anyMatch(machine -> machine.state() == Machine.State.READY));
     }
 
     /**
--- a/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
@@ -1,6 +1,5 @@
 package notchpick.coordination.leader;
 
-import notchpick.coordination.Deployment;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.Machine;
 import org.slf4j.Logger;
@@ -18,8 +17,7 @@
     WorkerLeaseMonitor(TermContext context, long gracePeriodMs) {
         this.context = context;
         this.gracePeriodMs = gracePeriodMs;
-        this.leaseSafelyExpiredMs =
-                Deployment.leaseSafelyExpiredMs(context.deployment().workerLeaseMs());
+        this.leaseSafelyExpiredMs = context.deployment().workerLeaseSafelyExpiredMs();
     }
 
     /** Frees the machine's tasks if its worker has surely killed them. */
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -4,7 +4,6 @@
 import java.util.Comparator;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.Job;
 import notchpick.model.Machine;
@@ -105,7 +104,7 @@
     private boolean grantNext(TeamTurn turn) {
         List<Job> jobs = turn.jobs();
         Candidate first = null;
-        Map<EquivalenceClass, Machine> selected = new IdentityHashMap<>();
+        IdentityHashMap<EquivalenceClass, Machine> selected = new IdentityHashMap<>();
         for (int i = 0; i < jobs.size(); ) {
             Job job = jobs.get(i);
             if (!job.isWaiting() || !turn.isWithinQuota(job.spec())) {
@@ -148,7 +147,7 @@
     }
 
     /** The machine for the job's next task; null if there is none, and the job is skipped. */
-    private Machine selectOrSkip(Job job, TeamTurn turn, Map<EquivalenceClass, Machine> selected) {
+    private Machine selectOrSkip(Job job, TeamTurn turn, IdentityHashMap<EquivalenceClass, Machine> selected) {
         Machine machine = select(job, turn, selected);
         if (machine == null) {
             turn.skip(job);
@@ -159,7 +158,7 @@
         return machine;
     }
 
-    private Machine select(Job job, TeamTurn turn, Map<EquivalenceClass, Machine> selected) {
+    private Machine select(Job job, TeamTurn turn, IdentityHashMap<EquivalenceClass, Machine> selected) {
         EquivalenceClass equivalenceClass = turn.classOf(job);
         if (equivalenceClass == null) {
             return nodes.select(job, turn, index, reservations, now);
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -74,9 +74,8 @@
     }
 
     private void jobsEnded(List<String> descriptionKeys) {
-        listener.jobsFoundEnded(descriptionKeys.stream()
-                .map(key -> key.substring(StateKeys.OPEN_JOBS.length()))
-                .toList());
+        listener.jobsFoundEnded(
+                descriptionKeys.stream().map(key -> StateKeys.openJobId(key)).toList());
     }
 
     /** Takes in the launches of a former leader: these tasks are not launched anew, and count, until workers report. */
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -18,6 +18,7 @@
 import notchpick.protocol.WorkerProtocol.TaskStatus;
 import notchpick.scheduling.NodePool;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,8 +37,6 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
-    private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
     /** A reply waits for this part of the heartbeat period at the most. */
     private static final double MAX_WAIT_RATIO = 0.1;
 
@@ -51,7 +50,17 @@
     private Response emptyReply;
 
     /** A heartbeat that has not been replied to, and how many rounds had begun when it came. */
-    private record PendingHeartbeat(Consumer<Response> reply, List<TaskStatus> tasks, long roundsBegun) {}
+    private static final class PendingHeartbeat {
+        private final Consumer<Response> reply;
+        private final List<TaskStatus> tasks;
+        private final long roundsBegun;
+
+        PendingHeartbeat(Consumer<Response> reply, List<TaskStatus> tasks, long roundsBegun) {
+            this.reply = reply;
+            this.tasks = tasks;
+            this.roundsBegun = roundsBegun;
+        }
+    }
 
     public HeartbeatHandler(
             TermContext context,
@@ -125,7 +134,7 @@
         PendingHeartbeat waiting = pending.remove(machine);
         machine.setAwaitsReply(false);
         if (waiting != null) {
-            waiting.reply().accept(refusal());
+            waiting.reply.accept(refusal());
         }
     }
 
@@ -146,7 +155,7 @@
     }
 
     private boolean mustWait(Machine machine, PendingHeartbeat waiting) {
-        if (machine.isLeased() || waiting.roundsBegun() == rounds.begun()) {
+        if (machine.isLeased() || waiting.roundsBegun == rounds.begun()) {
             return true;
         }
         for (TaskAssignment assignment : machine.assignments()) {
@@ -154,7 +163,7 @@
                 return true;
             }
         }
-        for (TaskStatus status : waiting.tasks()) {
+        for (TaskStatus status : waiting.tasks) {
             if (status.phase() == TaskPhase.EXITED && !planner.mayForget(status)) {
                 return true;
             }
@@ -171,28 +180,28 @@
         }
         // Time may have passed since the heartbeat came.
         if (!authority.mayRenewWorkerLease()
-                || !authority.holdsLease() && planner.mustExpire(machine, waiting.tasks())) {
-            waiting.reply().accept(refusal());
+                || (!authority.holdsLease() && planner.mustExpire(machine, waiting.tasks))) {
+            waiting.reply.accept(refusal());
             return;
         }
-        List<TaskCommand> commands = planner.commands(machine, waiting.tasks());
+        List<TaskCommand> commands = planner.commands(machine, waiting.tasks);
         if (!commands.isEmpty()) {
             LOG.debug("commands sent: machine={} count={}", machine.name(), commands.size());
         }
-        waiting.reply().accept(reply(commands));
+        waiting.reply.accept(reply(commands));
     }
 
     private static Response refusal() {
-        return new Response(UNAVAILABLE, Json.bytes(Json.object()));
+        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(Json.object()));
     }
 
     private Response reply(List<TaskCommand> commands) {
         if (!commands.isEmpty()) {
-            return new Response(OK, Json.bytes(WorkerProtocol.commands(context.number(), commands)));
+            return new Response(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), commands)));
         }
         // Most replies carry no command: they are serialized once.
         if (emptyReply == null) {
-            emptyReply = new Response(OK, Json.bytes(WorkerProtocol.commands(context.number(), List.of())));
+            emptyReply = new Response(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), List.of())));
         }
         return emptyReply;
     }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -123,7 +123,7 @@
             return adopt(machine, status);
         }
         boolean isOtherAttempt = assignment.attempt() != status.attempt();
-        if (isOtherAttempt && assignment.phase() != Phase.INHERITED || !assignment.mayBeOnWorker()) {
+        if ((isOtherAttempt && assignment.phase() != Phase.INHERITED) || !assignment.mayBeOnWorker()) {
             return null;
         }
         if (assignment.phase() == Phase.SENT) {
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -132,7 +132,7 @@
     // ---- lifecycle of a job --------------------------------------------------------------------
 
     private void opened(String key, JsonNode description, long version) {
-        String id = key.substring(StateKeys.OPEN_JOBS.length());
+        String id = StateKeys.openJobId(key);
         if (!cluster.isOpen(id)) {
             Job job = new Job(JobSpecCodec.decode(id, description), version);
             cluster.addJob(job);
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -75,7 +75,7 @@
             if (change.value() != null) {
                 listener.jobOpened(change.key(), change.value(), change.version());
             } else {
-                listener.jobClosed(change.key().substring(StateKeys.OPEN_JOBS.length()));
+                listener.jobClosed(StateKeys.openJobId(change.key()));
             }
         }
         authority.completeReadSentAt(sentAt);
@@ -94,7 +94,7 @@
             }
             Set<String> open = new HashSet<>();
             for (Entry entry : ok.value().entries()) {
-                open.add(entry.key().substring(StateKeys.OPEN_JOBS.length()));
+                open.add(StateKeys.openJobId(entry.key()));
                 listener.jobOpened(entry.key(), entry.value(), entry.version());
             }
             context.cluster().jobIds().stream().filter(id -> !open.contains(id)).forEach(listener::jobClosed);
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -197,7 +197,7 @@
 
     private void relayReplied(String relay, StateStoreRequest request, Object reply) {
         Response response = reply instanceof Outcome outcome
-                ? new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent()))
+                ? new Response(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent()))
                 : Response.NONE;
         if (isServed(response)) {
             relayServed(relay, request, response);
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -176,6 +176,6 @@
         if (outcome.getStatus() == HttpStatus.OK) {
             heartbeat.route().relayed(loop.nowMs());
         }
-        heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.content(outcome.getContent())));
+        heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent())));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -29,7 +29,11 @@
     /** The process has started: state that is out of date is dropped periodically from now on. */
     public record Begin() implements Message {}
 
-    /** @param receivedAt when the worker's heartbeat came, in milliseconds of the steady clock */
+    /**
+     * A worker's heartbeat has come.
+     *
+     * @param receivedAt when it came, in milliseconds of the steady clock
+     */
     public record HeartbeatReceived(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
 
     private final String node;
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -40,12 +40,12 @@
      * @param onReply gets the peer's message, or null if none came in time
      */
     public void send(String peer, Object message, long timeoutMs, Consumer<Object> onReply) {
-        post(peer, address(peer), PeerProtocol.bytes(message), timeoutMs, onReply);
+        post(peer, address(peer), PeerProtocol.encode(message), timeoutMs, onReply);
     }
 
     /** Sends the same message to all peers; calls back once for each, as {@link #send} does. */
     void broadcast(Object message, long timeoutMs, Consumer<Object> onReply) {
-        byte[] body = PeerProtocol.bytes(message);
+        byte[] body = PeerProtocol.encode(message);
         for (Deployment.Peer peer : deployment.peers()) {
             post(peer.node(), peer.address(), body, timeoutMs, onReply);
         }
@@ -63,7 +63,7 @@
     private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
         long sentAt = loop.nowMs();
         Consumer<Response> onResponse = here(response ->
-                onReply.accept(response.status() == HttpStatus.OK ? PeerProtocol.body(response.body()) : null));
+                onReply.accept(response.status() == HttpStatus.OK ? PeerProtocol.decode(response.body()) : null));
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
             links.peerRequestCompleted(peer, response, sentAt);
             onResponse.accept(response);
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -132,7 +132,7 @@
         if (result instanceof Ok<Changes> ok) {
             for (Change change : ok.value().log()) {
                 if (change.value() == null) {
-                    closed(change.key().substring(StateKeys.OPEN_JOBS.length()));
+                    closed(StateKeys.openJobId(change.key()));
                 } else {
                     opened(change.key(), change.value(), change.version());
                 }
@@ -145,7 +145,7 @@
     }
 
     private String opened(String key, JsonNode value, long version) {
-        String id = key.substring(StateKeys.OPEN_JOBS.length());
+        String id = StateKeys.openJobId(key);
         JobSpec spec = JobSpecCodec.decode(id, value);
         jobs.put(id, new OpenJob(JobRecord.open(spec), version));
         dependencies.opened(id, spec.dependencies());
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -14,6 +14,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.storage.JobSpecCodec;
 import notchpick.storage.StateKeys;
+import notchpick.transport.HttpStatus;
 import notchpick.transport.Timer;
 
 /**
@@ -32,8 +33,6 @@
         RETRY_LATER
     }
 
-    private static final int TOO_MANY_REQUESTS = 429;
-    private static final int BAD_REQUEST = 400;
     private static final int MAX_IN_FLIGHT = 4;
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
     private static final int MAX_BATCH_BYTES = 48 << 10;
@@ -79,7 +78,7 @@
             bytes += JobSpecCodec.maxBytes(submission.spec());
             // A retry that was sent before the first reply goes into the next batch, and finds the job stored.
             if (batch.size() == maxBatchJobs
-                    || bytes > MAX_BATCH_BYTES && !batch.isEmpty()
+                    || (bytes > MAX_BATCH_BYTES && !batch.isEmpty())
                     || !ids.add(submission.id())) {
                 break;
             }
@@ -112,10 +111,10 @@
         } else if (result instanceof Conflict<Long> conflict) {
             conflicted(batch, conflict);
         } else if (result instanceof Refused<Long> refused
-                && refused.status() == TOO_MANY_REQUESTS
+                && refused.status() == HttpStatus.TOO_MANY_REQUESTS
                 && batch.size() > 1) {
             retryHalf(batch);
-        } else if (result instanceof Refused<Long> refused && refused.status() == BAD_REQUEST) {
+        } else if (result instanceof Refused<Long> refused && refused.status() == HttpStatus.BAD_REQUEST) {
             isolateMalformed(batch);
         } else {
             failAll(batch);
--- a/src/main/java/notchpick/coordination/userapi/UserReplies.java
+++ b/src/main/java/notchpick/coordination/userapi/UserReplies.java
@@ -4,6 +4,7 @@
 import notchpick.protocol.Json;
 import notchpick.protocol.UserProtocol;
 import notchpick.transport.HttpCaller.Response;
+import notchpick.transport.HttpStatus;
 
 /** The replies of the interface for users: HTTP status codes and JSON bodies. */
 final class UserReplies {
@@ -29,60 +30,53 @@
     /** The reason for an unavailable reply when the state store did not answer, or may not have executed a request. */
     static final String NO_STATE_STORE = "the state service does not answer";
 
-    private static final int OK = 200;
-    private static final int CREATED = 201;
-    private static final int BAD_REQUEST = 400;
-    private static final int NOT_FOUND = 404;
-    private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int UNPROCESSABLE_CONTENT = 422;
-    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int RETRY_AFTER_S = 1;
 
     private UserReplies() {}
 
     /** A submission has been accepted. */
     static Response accepted(String job, DisplayedStatus status) {
-        return new Response(CREATED, Json.bytes(UserProtocol.status(job, status.text)));
+        return new Response(HttpStatus.CREATED, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
     /** A cancellation request found the job ended, or ended it. */
     static Response ended(String job, DisplayedStatus status) {
-        return new Response(OK, Json.bytes(UserProtocol.status(job, status.text)));
+        return new Response(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
     /** The status of a job, with the counts of its tasks that are done and running. */
     static Response status(String job, DisplayedStatus status, int done, int running) {
-        return new Response(OK, Json.bytes(UserProtocol.status(job, status.text, done, running)));
+        return new Response(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text, done, running)));
     }
 
     /** The request is malformed. */
     static Response badRequest(String message) {
-        return error(BAD_REQUEST, message);
+        return error(HttpStatus.BAD_REQUEST, message);
     }
 
     /** There is no such path. */
     static Response noSuchPath() {
-        return error(NOT_FOUND, "no such path");
+        return error(HttpStatus.NOT_FOUND, "no such path");
     }
 
     /** There is no such job. */
     static Response noSuchJob() {
-        return error(NOT_FOUND, "no such job");
+        return error(HttpStatus.NOT_FOUND, "no such job");
     }
 
     /** The path serves another method only. */
     static Response methodNotAllowed(String allowedMethod) {
-        return error(METHOD_NOT_ALLOWED, "only " + allowedMethod + " is served here");
+        return error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowedMethod + " is served here");
     }
 
     /** The request is well formed but asks for what is impossible here. */
     static Response unprocessable(String message) {
-        return error(UNPROCESSABLE_CONTENT, message);
+        return error(HttpStatus.UNPROCESSABLE, message);
     }
 
     /** The user should retry. */
     static Response unavailable(String message) {
-        return new Response(SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
+        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
     }
 
     /** A submission was rejected for this reason. */
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -166,7 +166,7 @@
     /** Whether a heartbeat with these numbers is older than the newest one, or the same. */
     public boolean isStale(long heartbeatIncarnation, long heartbeatSequence) {
         return heartbeatIncarnation < incarnation
-                || heartbeatIncarnation == incarnation && heartbeatSequence <= sequence;
+                || (heartbeatIncarnation == incarnation && heartbeatSequence <= sequence);
     }
 
     /** Takes over what identifies the newest heartbeat. */
--- a/src/main/java/notchpick/protocol/PeerProtocol.java
+++ b/src/main/java/notchpick/protocol/PeerProtocol.java
@@ -17,7 +17,7 @@
     private PeerProtocol() {}
 
     /** Encodes a message. */
-    public static byte[] bytes(Object body) {
+    public static byte[] encode(Object body) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             var encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -29,7 +29,7 @@
     }
 
     /** The bytes that a relayed request or its outcome carries; null if it carries none. */
-    public static byte[] content(ByteBuffer buffer) {
+    public static byte[] toBytes(ByteBuffer buffer) {
         if (buffer == null) {
             return null;
         }
@@ -42,7 +42,7 @@
      * Decodes a message; null if the bytes hold none, as of an unknown type from a later version. Each message is
      * dispatched by {@code instanceof}, which null never matches.
      */
-    public static Object body(byte[] bytes) {
+    public static Object decode(byte[] bytes) {
         if (bytes.length == 0) {
             return null;
         }
--- a/src/main/java/notchpick/storage/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -182,7 +182,7 @@
             }
         }
         boolean isHalfFull = best != null && best.bytes() > maxPageBytes / 2;
-        if (best == null || packing == Packing.WORST_FIT && !best.isWriteDue() && isHalfFull) {
+        if (best == null || (packing == Packing.WORST_FIT && !best.isWriteDue() && isHalfFull)) {
             return addPage();
         }
         return best;
--- a/src/main/java/notchpick/storage/StateKeys.java
+++ b/src/main/java/notchpick/storage/StateKeys.java
@@ -25,4 +25,14 @@
     public static final int FORMAT = 2;
 
     private StateKeys() {}
+
+    /** The id of the job that the key of an open job belongs to. */
+    public static String openJobId(String key) {
+        return key.substring(OPEN_JOBS.length());
+    }
+
+    /** The id of the job that the key of a job record belongs to. */
+    public static String jobRecordId(String key) {
+        return key.substring(JOB_RECORDS.length());
+    }
 }
--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -89,7 +89,7 @@
             send(new HttpCaller.Response(400, new byte[0]), response, callback);
             return;
         }
-        Content.Source.asByteArrayAsync(request, limit).whenComplete((body, failure) -> {
+        var unused = Content.Source.asByteArrayAsync(request, limit).whenComplete((body, failure) -> {
             if (failure != null) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
                 send(new HttpCaller.Response(400, new byte[0]), response, callback);
--- a/src/main/java/notchpick/transport/SerialEventLoop.java
+++ b/src/main/java/notchpick/transport/SerialEventLoop.java
@@ -47,7 +47,7 @@
         if (delayMs <= 0) {
             execute(work);
         } else {
-            timers.schedule(() -> execute(work), delayMs, TimeUnit.MILLISECONDS);
+            var unused = timers.schedule(() -> execute(work), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -44,7 +44,7 @@
 
     /** The seeds to play. */
     static IntStream seeds() {
-        String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-");
+        String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-", 2);
         return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]));
     }
 
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -65,7 +65,7 @@
 
     /** The layer that a package belongs to: parts of coordination are layers, those of others are not. */
     private static String layerOf(String name) {
-        return ALLOWED_DEPENDENCIES.containsKey(name) ? name : name.split("\\.")[0];
+        return ALLOWED_DEPENDENCIES.containsKey(name) ? name : name.split("\\.", 2)[0];
     }
 
     @Test
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -3,6 +3,7 @@
 import static java.util.Map.entry;
 
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
 import notchpick.protocol.InvalidMessageException;
@@ -64,7 +65,7 @@
                     (cluster, step) ->
                             cluster.controllers().setAlias(step.subject(), controller(cluster, step.argument(1)))),
             entry("cut", (cluster, step) -> {
-                Cut cut = Cut.valueOf(step.argument(2).toUpperCase());
+                Cut cut = Cut.valueOf(step.argument(2).toUpperCase(Locale.ROOT));
                 links(cluster, step).forEach(link -> cluster.network().cut(link.from(), link.to(), cut));
             }),
             // Requests of the first to the second still pass.
--- a/src/test/java/notchpick/app/LinkStatusCommandTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -45,7 +45,7 @@
 
     private static Response response(String target) {
         return switch (target) {
-            case "a:2" -> new Response(200, PeerProtocol.bytes(TABLE));
+            case "a:2" -> new Response(200, PeerProtocol.encode(TABLE));
             case "b:2" -> Response.UNSENT;
             case "c:2" -> Response.NONE;
             default -> new Response(400, new byte[0]);
--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -91,7 +91,9 @@
     /** Serves the state service, the cloud and another controller. */
     private static void startServer(Addresses addresses) throws Exception {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
-        Timer timer = (delayMs, work) -> executor.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        Timer timer = (delayMs, work) -> {
+            var unused = executor.schedule(work, Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        };
         SimulatedStateStore stateStore = new SimulatedStateStore(System::currentTimeMillis, timer, 12, 300, 100);
         MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 1, List.of("east"));
         SimulatedCloud cloud =
@@ -99,7 +101,7 @@
         cloud.setCapacity(new NodePool(type.name(), "east", true), 4);
         HttpHandler stateHandler = (call, reply) -> executor.execute(() -> stateStore.handle(call, reply));
         HttpHandler cloudHandler = (call, reply) -> executor.execute(() -> cloud.handle(call, reply));
-        HttpHandler peerHandler = (call, reply) -> reply.accept(new Response(200, PeerProtocol.bytes(pulse())));
+        HttpHandler peerHandler = (call, reply) -> reply.accept(new Response(200, PeerProtocol.encode(pulse())));
         QueuedThreadPool threads = new QueuedThreadPool(8, 2);
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -225,11 +227,11 @@
                 List.of(new Room("m-000000", "m8", "east", true, 8.0, 0.0, 32.0, List.of("i"))),
                 List.of(new Want("run-000001", 1.0, 0.0, 1.0, "i", null, null, true, Map.of(), List.of(0))));
         ReportBatch batch = new ReportBatch(3000L, List.of(ByteBuffer.wrap(heartbeat(100, 1, null))));
-        untilAccepted(peers, PeerProtocol.bytes(grant));
-        untilAccepted(peers, PeerProtocol.bytes(pulse()));
-        untilAccepted(peers, PeerProtocol.bytes(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
-        untilAccepted(peers, PeerProtocol.bytes(new StateCall("GET", "/keys/term", null, 1000L)));
-        untilAccepted(peers, PeerProtocol.bytes(batch));
+        untilAccepted(peers, PeerProtocol.encode(grant));
+        untilAccepted(peers, PeerProtocol.encode(pulse()));
+        untilAccepted(peers, PeerProtocol.encode(new LinkTable("r-1", 0L, null, null, 0L, List.of())));
+        untilAccepted(peers, PeerProtocol.encode(new StateCall("GET", "/keys/term", null, 1000L)));
+        untilAccepted(peers, PeerProtocol.encode(batch));
     }
 
     private static void untilAccepted(String peers, byte[] message) throws InterruptedException {
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -73,7 +73,7 @@
             loop,
             deployment,
             (call, timeoutMs, then) -> {
-                if (PeerProtocol.body(call.body()) instanceof Grant grant) {
+                if (PeerProtocol.decode(call.body()) instanceof Grant grant) {
                     granted = grant;
                 } else {
                     then.accept(Response.NONE);
@@ -237,8 +237,8 @@
     @Test
     void envelopesSurviveTheWire() {
         leaseToPeer(2);
-        assertEquals(granted, PeerProtocol.body(PeerProtocol.bytes(granted)));
-        assertEquals(null, PeerProtocol.body(new byte[] {9, 9, 9}));
+        assertEquals(granted, PeerProtocol.decode(PeerProtocol.encode(granted)));
+        assertEquals(null, PeerProtocol.decode(new byte[] {9, 9, 9}));
         assertEquals(pulse("x"), new Envelope(pulse("x")).getBody());
     }
 }
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -188,7 +188,7 @@
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads.toList()) {
                 nanos += Double.parseDouble(
-                        Files.readString(thread.resolve("schedstat")).split(" ")[0]);
+                        Files.readString(thread.resolve("schedstat")).split(" ", 2)[0]);
             }
         }
         return nanos / 1e6;
@@ -208,7 +208,7 @@
 
     private static long ticks(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
-        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -323,7 +323,7 @@
         if (knownState != null && (httpStatus == 404 || httpStatus == 400 || httpStatus == 422)) {
             violation("forgotten", job + " was answered " + httpStatus);
         }
-        if (httpStatus != 200 && httpStatus != 201 || spec == null) {
+        if ((httpStatus != 200 && httpStatus != 201) || spec == null) {
             checkIsAnswered(job);
             return;
         }
--- a/src/test/java/notchpick/simulation/SimulatedFleet.java
+++ b/src/test/java/notchpick/simulation/SimulatedFleet.java
@@ -83,7 +83,7 @@
         Map<String, Integer> tasks = new HashMap<>();
         for (SimulatedWorker worker : workers.values()) {
             for (String task : worker.tasks()) {
-                if (jobs.specOfTask(task) == job) {
+                if (jobs.specOfTask(task).equals(job)) {
                     tasks.merge(worker.zone(), 1, Integer::sum);
                 }
             }
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -246,7 +246,7 @@
             long lease = leases.grant(Json.object(call.body()).path("lifeMs").asLong());
             return ok(Json.object().put("permit", lease));
         }
-        long lease = Long.parseLong(path.split("/")[2]);
+        long lease = Long.parseLong(path.split("/", -1)[2]);
         if (!leases.exists(lease)) {
             return notFound();
         }
@@ -379,7 +379,7 @@
         Map<String, String> query = new HashMap<>();
         String[] parts = call.path().split("\\?", 2);
         if (parts.length == 2) {
-            for (String part : parts[1].split("&")) {
+            for (String part : parts[1].split("&", -1)) {
                 String[] pair = part.split("=", 2);
                 query.put(pair[0], URLDecoder.decode(pair[1], StandardCharsets.UTF_8));
             }
--- a/src/test/java/notchpick/simulation/Transcript.java
+++ b/src/test/java/notchpick/simulation/Transcript.java
@@ -69,7 +69,7 @@
             return "";
         }
         return path.equals(PeerProtocol.PATH)
-                ? String.valueOf(PeerProtocol.body(body))
+                ? String.valueOf(PeerProtocol.decode(body))
                 : new String(body, StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -198,12 +198,12 @@
                 Relayed.class);
         Map<String, Object> read = new TreeMap<>();
         for (String line : Files.readAllLines(FOLDER.resolve("peer.txt"))) {
-            String[] words = line.split(" ");
+            String[] words = line.split(" ", 2);
             byte[] bytes = Base64.getDecoder().decode(words[1]);
-            Object body = PeerProtocol.body(bytes);
+            Object body = PeerProtocol.decode(bytes);
             assertNotNull(body, words[0]);
             assertEquals(kinds.get(words[0]), body.getClass());
-            assertEquals(words[1], Base64.getEncoder().encodeToString(PeerProtocol.bytes(body)));
+            assertEquals(words[1], Base64.getEncoder().encodeToString(PeerProtocol.encode(body)));
             read.put(words[0], body);
         }
         assertEquals(kinds.keySet(), read.keySet());
@@ -239,8 +239,8 @@
                 old.getField("body").schema().getTypes().size() + later.size(),
                 Envelope.getClassSchema().getField("body").schema().getTypes().size());
         for (Object message : later) {
-            byte[] bytes = PeerProtocol.bytes(message);
-            assertEquals(message, PeerProtocol.body(bytes));
+            byte[] bytes = PeerProtocol.encode(message);
+            assertEquals(message, PeerProtocol.decode(bytes));
             assertThrows(
                     RuntimeException.class,
                     () -> new GenericDatumReader<>(old)
