--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -18,6 +18,7 @@
 
 /** Brings a machine's assignments in line with its heartbeat. */
 final class HeartbeatReconciler {
+    private static final double MS_PER_S = 1000.0;
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
     private final ClusterState cluster;
@@ -101,7 +102,7 @@
         switch (exit) {
             case DONE -> {
                 if (assignment.isRunning()) {
-                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / 1000.0);
+                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / MS_PER_S);
                 }
             }
             case STOPPED -> {}
--- a/src/main/java/notchpick/storage/LaunchRecordCodec.java
+++ b/src/main/java/notchpick/storage/LaunchRecordCodec.java
@@ -15,6 +15,20 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
+    // Positions in the array of a job.
+    private static final int JOB_TEAM = 0;
+    private static final int JOB_CORES = 1;
+    private static final int JOB_GPUS = 2;
+    private static final int JOB_RAM = 3;
+    // Positions in the array of a machine.
+    private static final int MACHINE_TYPE = 0;
+    private static final int MACHINE_ZONE = 1;
+    private static final int MACHINE_SPOT = 2;
+    private static final int MACHINE_TASKS = 3;
+    // Positions among the fields of a task.
+    private static final int TASK_JOB = 0;
+    private static final int TASK_INDEX = 1;
+    private static final int TASK_ATTEMPT = 2;
 /**
  * Encodes launches, grouped by machine. Of each task's job a value holds what counts against its team's limit: the job
  * may have ended, and its description be gone, when a new leader reads the value.
@@ -76,9 +90,11 @@
 
     private static JobSpec decodeJob(String id, JsonNode job) {
         Resources demand = new Resources(
-                job.path(1).asDouble(), job.path(2).asDouble(), job.path(3).asDouble());
+                job.path(JOB_CORES).asDouble(),
+                job.path(JOB_GPUS).asDouble(),
+                job.path(JOB_RAM).asDouble());
         return JobSpec.builder(id)
-                .team(job.path(0).asText())
+                .team(job.path(JOB_TEAM).asText())
                 .tasks(0)
                 .demand(demand)
                 .spot(true)
@@ -88,14 +104,14 @@
     private static void decodeMachine(
             String name, JsonNode machine, Map<String, JobSpec> jobs, List<LaunchRecord> launches) {
         NodePool pool = new NodePool(
-                machine.path(0).asText(),
-                machine.path(1).asText(),
-                machine.path(2).asBoolean());
-        JsonNode tasks = machine.path(3);
+                machine.path(MACHINE_TYPE).asText(),
+                machine.path(MACHINE_ZONE).asText(),
+                machine.path(MACHINE_SPOT).asBoolean());
+        JsonNode tasks = machine.path(MACHINE_TASKS);
         for (int i = 0; i + FIELDS_PER_TASK <= tasks.size(); i += FIELDS_PER_TASK) {
-            JobSpec job = jobs.get(tasks.get(i).asText());
-            int task = tasks.get(i + 1).asInt();
-            long attempt = tasks.get(i + 2).asLong();
+            JobSpec job = jobs.get(tasks.get(i + TASK_JOB).asText());
+            int task = tasks.get(i + TASK_INDEX).asInt();
+            long attempt = tasks.get(i + TASK_ATTEMPT).asLong();
             launches.add(new LaunchRecord(name, pool, job, task, attempt));
         }
     }
--- a/src/main/java/notchpick/transport/HttpStatus.java
+++ b/src/main/java/notchpick/transport/HttpStatus.java
@@ -15,10 +15,13 @@
     public static final int INTERNAL_SERVER_ERROR = 500;
     public static final int SERVICE_UNAVAILABLE = 503;
 
+    private static final int CODES_PER_CLASS = 100;
+    private static final int SUCCESS_CLASS = 2;
+
     private HttpStatus() {}
 
     /** Whether the status is one of the 2xx codes. */
     public static boolean isSuccess(int status) {
-        return status / 100 == 2;
+        return status / CODES_PER_CLASS == SUCCESS_CLASS;
     }
 }
