--- a/src/main/java/notchpick/storage/LaunchRecordCodec.java
+++ b/src/main/java/notchpick/storage/LaunchRecordCodec.java
@@ -15,6 +15,14 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
+/**
+ * Encodes launches, grouped by machine. Of each task's job a value holds what counts against its team's limit: the job
+ * may have ended, and its description be gone, when a new leader reads the value.
+ */
+public final class LaunchRecordCodec {
+    /** The tasks of a machine are one flat list of job, task and attempt. */
+    private static final int FIELDS_PER_TASK = 3;
+
     // Positions in the array of a job.
     private static final int JOB_TEAM = 0;
     private static final int JOB_CORES = 1;
@@ -29,13 +37,6 @@
     private static final int TASK_JOB = 0;
     private static final int TASK_INDEX = 1;
     private static final int TASK_ATTEMPT = 2;
-/**
- * Encodes launches, grouped by machine. Of each task's job a value holds what counts against its team's limit: the job
- * may have ended, and its description be gone, when a new leader reads the value.
- */
-public final class LaunchRecordCodec {
-    /** The tasks of a machine are one flat list of job, task and attempt. */
-    private static final int FIELDS_PER_TASK = 3;
 
     private LaunchRecordCodec() {}
 
