--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -33,15 +33,15 @@
     public record Quota(String team, Resources guaranteed, Resources maximum) {
         /** Whether the team may hold so much at once. */
         public boolean allows(Resources held) {
-            return (maximum.cores() <= 0 || held.cores() <= maximum.cores() + Resources.SLACK)
-                    && (maximum.gpus() <= 0 || held.gpus() <= maximum.gpus() + Resources.SLACK);
+            return (maximum.cores() <= 0 || held.cores() <= maximum.cores() + Resources.EPSILON)
+                    && (maximum.gpus() <= 0 || held.gpus() <= maximum.gpus() + Resources.EPSILON);
         }
 
         /** Whether so much stays within the team's guarantee. */
         public boolean isWithinGuarantee(Resources held) {
             return (guaranteed.cores() > 0 || guaranteed.gpus() > 0)
-                    && held.cores() <= guaranteed.cores() + Resources.SLACK
-                    && held.gpus() <= guaranteed.gpus() + Resources.SLACK;
+                    && held.cores() <= guaranteed.cores() + Resources.EPSILON
+                    && held.gpus() <= guaranteed.gpus() + Resources.EPSILON;
         }
     }
 
--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -78,7 +78,7 @@
             double ranS = (now - assignment.runningSince()) / MS_PER_S;
             double remainingS = context.runtimes().runS(spec) - ranS;
             boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
-            if (!assignment.mayBePreempted(now) || !pays || spec.isConstrained()) {
+            if (!assignment.mayBePreempted(now) || !pays || spec.hasZoneConstraint()) {
                 return null;
             }
             tasks.add(spec);
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -95,7 +95,7 @@
         double ageS = spec.ageS(context.loop().wallTimeMs());
         return context.deployment()
                 .objectives()
-                .canBeKept(spec, ageS, context.runtimes().runS(spec));
+                .isAttainable(spec, ageS, context.runtimes().runS(spec));
     }
 
     /** A job, and the machine that its next task would go to. */
--- a/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
@@ -18,7 +18,7 @@
     /** The class of the job; empty where placement also depends on its other tasks, or on machines that failed it. */
     static Optional<EquivalenceClass> of(Job job) {
         JobSpec spec = job.spec();
-        if (spec.isConstrained() || job.hasFailed()) {
+        if (spec.hasZoneConstraint() || job.hasFailed()) {
             return Optional.empty();
         }
         return Optional.of(new EquivalenceClass(
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -59,7 +59,7 @@
 
     private Want tasks(ResourceLease lease, Job job, BitSet tasks) {
         JobSpec spec = job.spec();
-        String zone = spec.oneZone() ? lease.machines().iterator().next().zone() : spec.zone();
+        String zone = spec.colocated() ? lease.machines().iterator().next().zone() : spec.zone();
         return new Want(
                 spec.id(),
                 spec.demand().cores(),
--- a/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
@@ -27,8 +27,8 @@
         JobSpec spec = job.spec();
         // Not forever: where machines are few, the only one that fits may have failed it once.
         long avoidanceMs = heartbeatPeriodMs * FAILURE_AVOIDANCE_PERIODS;
-        Map<String, Integer> zones = spec.isConstrained() ? tasksByZone(job, turn.lease()) : Map.of();
-        Predicate<Machine> admits = machine -> spec.allowsAmongFellows(machine.zone(), zones)
+        Map<String, Integer> zones = spec.hasZoneConstraint() ? tasksByZone(job, turn.lease()) : Map.of();
+        Predicate<Machine> admits = machine -> spec.allowsZoneAmongTasks(machine.zone(), zones)
                 && (machine.isSpot() || job.mayUseOnDemand())
                 && !machine.health().hasFailedWithin(spec.id(), now, avoidanceMs)
                 && reservations.mayUse(turn, machine);
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -92,7 +92,7 @@
     private List<Machine> schedulableMachines(long now) {
         List<Machine> schedulable = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.freeResources().cores() > Resources.SLACK
+            if (machine.freeResources().cores() > Resources.EPSILON
                     && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
                 schedulable.add(machine);
             }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -167,7 +167,8 @@
                 && machine.isSchedulable(now, context.heartbeatPeriodMs())
                 && spec.demand().fitsIn(machine.freeResources())
                 && spec.allows(machine.type(), machine.zone(), machine.isSpot())
-                && (!spec.isConstrained() || spec.allowsAmongFellows(machine.zone(), cluster.tasksByZone(spec.id())))
+                && (!spec.hasZoneConstraint()
+                        || spec.allowsZoneAmongTasks(machine.zone(), cluster.tasksByZone(spec.id())))
                 && quota != null
                 && quota.allows(cluster.usage(spec.team()).plus(spec.demand()));
     }
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -312,7 +312,7 @@
 
     /** Whether some of its resources are leased to a controller that places tasks. */
     public boolean isLeased() {
-        return leased.cores() > Resources.SLACK;
+        return leased.cores() > Resources.EPSILON;
     }
 
     /** Leases resources to a controller that places tasks. */
@@ -324,7 +324,7 @@
     /** Leased resources come back. */
     public void returnLeased(Resources resources) {
         leased = leased.minus(resources);
-        if (leased.cores() < Resources.SLACK && leased.ram() < Resources.SLACK) {
+        if (leased.cores() < Resources.EPSILON && leased.ram() < Resources.EPSILON) {
             leased = Resources.NONE;
         }
         free = size.minus(leased).minus(held);
--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -52,7 +52,7 @@
                 .demand(demand)
                 .types(types(body))
                 .zone(Json.absent(body, "site") ? null : Json.text(body, "site"))
-                .oneZone(Json.flag(body, "oneZone"))
+                .colocated(Json.flag(body, "oneZone"))
                 .spread(Json.flag(body, "apart"))
                 .spot(Json.flag(body, "borrowed"))
                 .image(Json.text(body, "bundle"))
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -80,7 +80,7 @@
             List<S> inUse = new ArrayList<>();
             for (Candidate<S> machine : machines) {
                 boolean used = machine.tasks() == null || !machine.tasks().isEmpty();
-                if (used && machine.site().freeResources().cores() > Resources.SLACK) {
+                if (used && machine.site().freeResources().cores() > Resources.EPSILON) {
                     inUse.add(machine.site());
                 }
             }
--- a/src/main/java/notchpick/scheduling/FleetPlanner.java
+++ b/src/main/java/notchpick/scheduling/FleetPlanner.java
@@ -104,7 +104,7 @@
                 rent.merge(pool, 1, Integer::sum);
                 held.merge(pool, 1, Integer::sum);
             }
-            open.removeIf(slot -> slot.room.cores() + Resources.SLACK < least);
+            open.removeIf(slot -> slot.room.cores() + Resources.EPSILON < least);
         }
         Set<String> unneeded = new HashSet<>();
         for (Slot slot : slots) {
@@ -126,12 +126,12 @@
 
     private static int pack(Need need, Slot slot, int wanted) {
         JobSpec spec = need.spec();
-        if (slot.room.cores() + Resources.SLACK < spec.demand().cores()
+        if (slot.room.cores() + Resources.EPSILON < spec.demand().cores()
                 || !spec.allows(slot.pool.type(), slot.pool.zone(), slot.pool.spot())
                 || !slot.pool.spot() && spec.spot() && !need.pressed()) {
             return 0;
         }
-        int count = Math.min(wanted, spec.demand().countIn(slot.room));
+        int count = Math.min(wanted, spec.demand().copiesFittingIn(slot.room));
         if (count > 0) {
             slot.room = slot.room.minus(spec.demand().times(count));
             slot.used = true;
@@ -164,7 +164,7 @@
                             || refused.test(pool)) {
                         continue;
                     }
-                    int tasks = Math.min(wanted, need.spec().demand().countIn(type.size()));
+                    int tasks = Math.min(wanted, need.spec().demand().copiesFittingIn(type.size()));
                     double used = Math.max(tasks * need.spec().demand().cores(), 1e-3);
                     double price = (spot ? type.spotPrice() : type.price()) / used * (late.test(pool) ? LATE_PRICE : 1);
                     if (best == null
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -23,7 +23,7 @@
         Resources demand,
         List<String> types,
         String zone,
-        boolean oneZone,
+        boolean colocated,
         boolean spread,
         boolean spot,
         String image,
@@ -53,7 +53,7 @@
         builder.demand = demand;
         builder.types = types;
         builder.zone = zone;
-        builder.oneZone = oneZone;
+        builder.colocated = colocated;
         builder.spread = spread;
         builder.spot = spot;
         builder.image = image;
@@ -79,7 +79,7 @@
         private Resources demand = Resources.NONE;
         private List<String> types;
         private String zone;
-        private boolean oneZone;
+        private boolean colocated;
         private boolean spread;
         private boolean spot;
         private String image = "";
@@ -145,8 +145,8 @@
         }
 
         /** Sets whether all tasks must be in the same zone. */
-        public Builder oneZone(boolean value) {
-            oneZone = value;
+        public Builder colocated(boolean value) {
+            colocated = value;
             return this;
         }
 
@@ -228,7 +228,7 @@
                     demand,
                     types,
                     zone,
-                    oneZone,
+                    colocated,
                     spread,
                     spot,
                     image,
@@ -292,13 +292,13 @@
     }
 
     /** Whether where a task may go depends on where its fellows are. */
-    public boolean isConstrained() {
-        return oneZone || spread;
+    public boolean hasZoneConstraint() {
+        return colocated || spread;
     }
 
     /** @param fellows how many of the job's tasks are, or may be, in each zone */
-    public boolean allowsAmongFellows(String where, Map<String, Integer> fellows) {
-        if (oneZone && !fellows.isEmpty() && !fellows.containsKey(where)) {
+    public boolean allowsZoneAmongTasks(String where, Map<String, Integer> fellows) {
+        if (colocated && !fellows.isEmpty() && !fellows.containsKey(where)) {
             return false;
         }
         return !spread || fellows.getOrDefault(where, 0) < zoneLimit();
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -131,7 +131,7 @@
 
     private S choose(
             TreeSet<Entry<S>> sites, JobSpec spec, Predicate<S> admits, boolean having, ToLongFunction<S> delay) {
-        Entry<S> least = new Entry<>(spec.demand().cores() - Resources.SLACK, -1, null);
+        Entry<S> least = new Entry<>(spec.demand().cores() - Resources.EPSILON, -1, null);
         S best = null;
         long bestDelay = Long.MAX_VALUE;
         for (Entry<S> entry : sites.tailSet(least)) {
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -35,7 +35,7 @@
             double use = Math.min(freed, need);
             freed -= use;
             need -= use;
-            for (int i = 0; i < order.size() && need > Resources.SLACK; ) {
+            for (int i = 0; i < order.size() && need > Resources.EPSILON; ) {
                 Victim<T> victim = order.get(i);
                 double cores = victim.spec().demand().cores();
                 double spare = left.computeIfAbsent(victim.spec().team(), beyond);
@@ -60,7 +60,7 @@
         }
         boolean owed = job.guaranteed()
                 && !spec.team().equals(victim.spec().team())
-                && beyond >= victim.spec().demand().cores() - Resources.SLACK;
+                && beyond >= victim.spec().demand().cores() - Resources.EPSILON;
         boolean outranked = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
                 && victim.spec().priority().ordinal() > spec.priority().ordinal();
         return owed || outranked;
--- a/src/main/java/notchpick/scheduling/Resources.java
+++ b/src/main/java/notchpick/scheduling/Resources.java
@@ -4,7 +4,7 @@
 public record Resources(double cores, double gpus, double ram) {
     public static final Resources NONE = new Resources(0, 0, 0);
     /** Sums of decimal amounts are compared with this much slack. */
-    public static final double SLACK = 1e-6;
+    public static final double EPSILON = 1e-6;
 
     public Resources plus(Resources other) {
         return new Resources(cores + other.cores, gpus + other.gpus, ram + other.ram);
@@ -19,15 +19,15 @@
     }
 
     public boolean fitsIn(Resources room) {
-        return cores <= room.cores + SLACK && gpus <= room.gpus + SLACK && ram <= room.ram + SLACK;
+        return cores <= room.cores + EPSILON && gpus <= room.gpus + EPSILON && ram <= room.ram + EPSILON;
     }
 
     /** How many of these fit into the room side by side. */
-    public int countIn(Resources room) {
+    public int copiesFittingIn(Resources room) {
         double count = Integer.MAX_VALUE;
-        count = cores > 0 ? Math.min(count, (room.cores + SLACK) / cores) : count;
-        count = gpus > 0 ? Math.min(count, (room.gpus + SLACK) / gpus) : count;
-        count = ram > 0 ? Math.min(count, (room.ram + SLACK) / ram) : count;
+        count = cores > 0 ? Math.min(count, (room.cores + EPSILON) / cores) : count;
+        count = gpus > 0 ? Math.min(count, (room.gpus + EPSILON) / gpus) : count;
+        count = ram > 0 ? Math.min(count, (room.ram + EPSILON) / ram) : count;
         return (int) Math.max(0, count);
     }
 }
--- a/src/main/java/notchpick/scheduling/ServiceObjectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -47,7 +47,7 @@
     }
 
     /** Whether something was promised of the job that can still be kept. */
-    public boolean canBeKept(JobSpec spec, double ageS, double runS) {
+    public boolean isAttainable(JobSpec spec, double ageS, double runS) {
         for (Objective objective : of(spec)) {
             if (objective.appliesTo(spec) && objective.slackS(spec, ageS, runS) >= 0) {
                 return true;
--- a/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
@@ -48,8 +48,8 @@
     @Test
     void aJobWithoutADeadlineHasNoneToKeep() {
         assertEquals(260, OBJECTIVES.slackS(job("credit", null), 100, 40));
-        assertFalse(OBJECTIVES.canBeKept(job("credit", null), 100, 40));
-        assertTrue(OBJECTIVES.canBeKept(job("credit", 100.0), 100, 40));
+        assertFalse(OBJECTIVES.isAttainable(job("credit", null), 100, 40));
+        assertTrue(OBJECTIVES.isAttainable(job("credit", 100.0), 100, 40));
     }
 
     @Test
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -218,7 +218,7 @@
         for (Map.Entry<String, Running> entry : running.entrySet()) {
             if (jobOf(entry.getKey()).equals(job.id())) {
                 inZone += entry.getValue().zone().equals(zone) ? 1 : 0;
-                if (job.oneZone() && !entry.getValue().zone().equals(zone)) {
+                if (job.colocated() && !entry.getValue().zone().equals(zone)) {
                     breach("wrong_place", task + " away from its fellows");
                 }
             }
--- a/src/test/java/notchpick/simulation/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -15,17 +15,17 @@
     private long now;
     private final InvariantChecker rules = new InvariantChecker(() -> now, 40_000, Map.of("a", 8.0));
 
-    private void submit(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
-        rules.submitted(job(id, tasks, oneZone, spread, spot));
+    private void submit(String id, int tasks, boolean colocated, boolean spread, boolean spot) {
+        rules.submitted(job(id, tasks, colocated, spread, spot));
     }
 
     /** A job of class c and team a, whose tasks take four cores each. */
-    static JobSpec job(String id, int tasks, boolean oneZone, boolean spread, boolean spot) {
+    static JobSpec job(String id, int tasks, boolean colocated, boolean spread, boolean spot) {
         return TestJobs.job(id)
                 .tasks(tasks)
                 .demand(new Resources(4, 0, 1))
                 .types(List.of("m8"))
-                .oneZone(oneZone)
+                .colocated(colocated)
                 .spread(spread)
                 .spot(spot)
                 .estimateS(1)
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -725,7 +725,7 @@
                 && workers.values().stream()
                         .anyMatch(worker -> worker.takesPart()
                                 && spec.allows(worker.type().name(), worker.zone(), worker.spot())
-                                && spec.allowsAmongFellows(worker.zone(), fellows)
+                                && spec.allowsZoneAmongTasks(worker.zone(), fellows)
                                 && spec.demand().fitsIn(room(worker)));
     }
 
