--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -8,7 +8,8 @@
 import notchpick.model.Machine;
 import notchpick.protocol.CloudClient;
 import notchpick.scheduling.FleetPlanner;
-import notchpick.scheduling.FleetPlanner.Owned;
+import notchpick.scheduling.OwnedMachine;
+import notchpick.scheduling.ScalingPlan;
 import notchpick.storage.FencedWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -80,33 +81,33 @@
             LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), now - machine.provisionedAt());
             machine.release();
         }
-        FleetPlanner.Plan plan = FleetPlanner.plan(
-                demand.needs(),
+        ScalingPlan plan = FleetPlanner.plan(
+                demand.demands(),
                 ownedMachines(awakeSince, now),
                 context.machineTypes().byName(),
                 HORIZON_BOOTS * context.machineTypes().longestBootS(),
                 renter::wasRefused,
                 provisioning::isLate);
-        plan.rent().forEach(renter::rent);
+        plan.scaleOut().forEach(renter::rent);
         retire(plan, awakeSince, now);
         releaser.releaseMarked();
     }
 
-    private List<Owned> ownedMachines(long awakeSince, long now) {
-        List<Owned> owned = new ArrayList<>();
+    private List<OwnedMachine> ownedMachines(long awakeSince, long now) {
+        List<OwnedMachine> owned = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             boolean isUsable = machine.state() == Machine.State.READY
                     && machine.reclaimNoticeS() == null
                     // What is silent takes nothing new; what runs there is not rented for twice.
                     && (!machine.isIdle() || silentMs(machine, awakeSince, now) <= silentThresholdMs());
             if (machine.state() == Machine.State.PROVISIONING || isUsable) {
-                owned.add(new Owned(machine.name(), machine.pool(), machine.size(), machine.isIdle()));
+                owned.add(new OwnedMachine(machine.name(), machine.pool(), machine.size(), machine.isIdle()));
             }
         }
         return owned;
     }
 
-    private void retire(FleetPlanner.Plan plan, long awakeSince, long now) {
+    private void retire(ScalingPlan plan, long awakeSince, long now) {
         ZoneOutageDetector outages = new ZoneOutageDetector(cluster.machines(), now, awakeSince, silentThresholdMs());
         for (Machine machine : cluster.machines()) {
             boolean unneeded = plan.unneeded().contains(machine.name());
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -12,7 +12,7 @@
 import notchpick.model.Job;
 import notchpick.model.Machine;
 import notchpick.model.MachineTypeCatalog;
-import notchpick.scheduling.FleetPlanner.Need;
+import notchpick.scheduling.JobDemand;
 import notchpick.scheduling.JobOrder;
 import notchpick.scheduling.JobOrder.Waiting;
 import notchpick.scheduling.JobSpec;
@@ -38,11 +38,11 @@
     }
 
     /** What the open jobs need, in the order in which they are served. */
-    List<Need> needs() {
+    List<JobDemand> demands() {
         double cores = ownedCores();
         double aheadS = 0;
         Map<String, Resources> demandByTeam = new HashMap<>();
-        List<Need> needs = new ArrayList<>();
+        List<JobDemand> demands = new ArrayList<>();
         long wallTime = context.loop().wallTimeMs();
         for (Waiting<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
@@ -59,10 +59,10 @@
                 if (hasNoSpotMachine(spec)) {
                     job.markSpotUnavailable();
                 }
-                needs.add(new Need(spec, tasks, waiting.runS(), job.mayUseOnDemand(), isGuaranteed));
+                demands.add(new JobDemand(spec, tasks, waiting.runS(), job.mayUseOnDemand(), isGuaranteed));
             }
         }
-        return needs;
+        return demands;
     }
 
     private List<Waiting<Job>> unblockedJobs() {
--- a/src/test/java/notchpick/scheduling/FleetPlannerTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -5,8 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import notchpick.scheduling.FleetPlanner.Need;
-import notchpick.scheduling.FleetPlanner.Owned;
 import org.junit.jupiter.api.Test;
 
 /** What is rented for a backlog, and what is given back. */
@@ -29,39 +27,40 @@
 
     @Test
     void rentsCheapMachinesInBothZones() {
-        FleetPlanner.Plan plan = FleetPlanner.plan(
-                List.of(new Need(job(8, true, false), 8, 60, false, false)),
+        ScalingPlan plan = FleetPlanner.plan(
+                List.of(new JobDemand(job(8, true, false), 8, 60, false, false)),
                 List.of(),
                 TYPES,
                 60,
                 pool -> false,
                 pool -> false);
         assertEquals(
-                Map.of(new NodePool("small", "east", true), 2, new NodePool("small", "west", true), 2), plan.rent());
+                Map.of(new NodePool("small", "east", true), 2, new NodePool("small", "west", true), 2),
+                plan.scaleOut());
     }
 
     @Test
     void shortTasksTakeTurnsWithinTheHorizon() {
-        FleetPlanner.Plan plan = FleetPlanner.plan(
-                List.of(new Need(job(8, true, false), 8, 20, false, false)),
+        ScalingPlan plan = FleetPlanner.plan(
+                List.of(new JobDemand(job(8, true, false), 8, 20, false, false)),
                 List.of(),
                 TYPES,
                 60,
                 pool -> pool.zone().equals("west"),
                 pool -> false);
-        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.rent());
+        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.scaleOut());
     }
 
     @Test
     void replicasRunSideBySide() {
-        FleetPlanner.Plan plan = FleetPlanner.plan(
-                List.of(new Need(job(4, true, true), 4, 20, false, false)),
+        ScalingPlan plan = FleetPlanner.plan(
+                List.of(new JobDemand(job(4, true, true), 4, 20, false, false)),
                 List.of(),
                 TYPES,
                 60,
                 pool -> pool.zone().equals("west"),
                 pool -> false);
-        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.rent());
+        assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.scaleOut());
     }
 
     @Test
@@ -70,47 +69,52 @@
         assertEquals(
                 Map.of(),
                 FleetPlanner.plan(
-                                List.of(new Need(job(2, true, false), 2, 60, false, false)),
+                                List.of(new JobDemand(job(2, true, false), 2, 60, false, false)),
                                 List.of(),
                                 TYPES,
                                 60,
                                 noSpot,
                                 pool -> false)
-                        .rent());
+                        .scaleOut());
         assertEquals(
                 1,
                 FleetPlanner.plan(
-                                List.of(new Need(job(2, true, false), 2, 60, true, false)),
+                                List.of(new JobDemand(job(2, true, false), 2, 60, true, false)),
                                 List.of(),
                                 TYPES,
                                 60,
                                 noSpot,
                                 pool -> false)
-                        .rent()
+                        .scaleOut()
                         .size());
         assertEquals(
                 1,
                 FleetPlanner.plan(
-                                List.of(new Need(job(2, false, false), 2, 60, false, false)),
+                                List.of(new JobDemand(job(2, false, false), 2, 60, false, false)),
                                 List.of(),
                                 TYPES,
                                 60,
                                 pool -> false,
                                 pool -> false)
-                        .rent()
+                        .scaleOut()
                         .size());
     }
 
     @Test
     void idleMachinesWithoutUseAreNotNeeded() {
         NodePool pool = new NodePool("small", "east", true);
-        List<Owned> owned = List.of(
-                new Owned("m-1", pool, SMALL.size(), false),
-                new Owned("m-2", pool, SMALL.size(), true),
-                new Owned("m-3", pool, SMALL.size(), true));
-        FleetPlanner.Plan plan = FleetPlanner.plan(
-                List.of(new Need(job(4, true, false), 4, 60, false, false)), owned, TYPES, 60, p -> false, p -> false);
+        List<OwnedMachine> owned = List.of(
+                new OwnedMachine("m-1", pool, SMALL.size(), false),
+                new OwnedMachine("m-2", pool, SMALL.size(), true),
+                new OwnedMachine("m-3", pool, SMALL.size(), true));
+        ScalingPlan plan = FleetPlanner.plan(
+                List.of(new JobDemand(job(4, true, false), 4, 60, false, false)),
+                owned,
+                TYPES,
+                60,
+                p -> false,
+                p -> false);
         assertEquals(Set.of("m-3"), plan.unneeded());
-        assertEquals(Map.of(), plan.rent());
+        assertEquals(Map.of(), plan.scaleOut());
     }
 }
