--- a/src/main/java/notchpick/transport/Actor.java
+++ b/src/main/java/notchpick/transport/Actor.java
@@ -5,9 +5,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns state that nobody else touches. Others speak to it by messages; answers it awaits come back
- * to it as messages too. All actors of a process share one event loop, which a fraction of one core
- * can't use more of anyway.
+ * Owns state that nothing else accesses, and is sent messages. All actors of a process share one event loop, which runs
+ * one piece of work at a time; it owns the queue of messages, and an actor has no thread of its own.
+ *
+ * @param <M> the messages that it receives
  */
 public abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
@@ -18,14 +19,15 @@
         this.loop = loop;
     }
 
-    /** Delivers a message; returns at once. */
+    /** Sends it a message, from any thread. */
     public final void tell(M message) {
-        loop.execute(() -> guarded(() -> receive(message)));
+        loop.execute(() -> runGuarded(() -> receive(message)));
     }
 
+    /** Handles a message, on the event loop. */
     protected abstract void receive(M message);
 
-    /** Ends the actor: what is still on its way to it is dropped. */
+    /** Stops the actor: messages, callbacks and timers that are still due are dropped. */
     protected final void stop() {
         stopped = true;
     }
@@ -34,35 +36,36 @@
         return stopped;
     }
 
-    /** A callback that comes back into this actor. */
-    protected final <T> Consumer<T> here(Consumer<T> then) {
-        return value -> loop.execute(() -> guarded(() -> then.accept(value)));
+    /** A callback, for any thread to call, that runs on the event loop, and no more once the actor has stopped. */
+    protected final <T> Consumer<T> onLoop(Consumer<T> callback) {
+        return value -> loop.execute(() -> runGuarded(() -> callback.accept(value)));
     }
 
-    protected final void after(long delayMs, Runnable work) {
-        loop.after(delayMs, () -> guarded(work));
+    /** Runs work on the event loop after a delay, unless the actor has stopped by then. */
+    protected final void schedule(long delayMs, Runnable work) {
+        loop.schedule(delayMs, () -> runGuarded(work));
     }
 
-    /** Runs the work again and again, in this actor's turn. */
-    protected final void every(long periodMs, Runnable work) {
-        after(periodMs, () -> {
+    /** Runs work on the event loop with this delay before each run, until the actor stops. */
+    protected final void scheduleRepeatedly(long delayMs, Runnable work) {
+        schedule(delayMs, () -> {
             try {
                 work.run();
             } finally {
-                every(periodMs, work);
+                scheduleRepeatedly(delayMs, work);
             }
         });
     }
 
-    private void guarded(Runnable work) {
+    private void runGuarded(Runnable work) {
         if (stopped) {
             return;
         }
         try {
             work.run();
         } catch (RuntimeException e) {
-            // One bad message must end neither the actor nor the process.
-            log.error("dropped a message: {}", e.toString(), e);
+            // A message that can't be handled must end neither the actor nor the process.
+            log.error("message dropped: reason={}", e.toString(), e);
         }
     }
 }
--- a/src/main/java/notchpick/transport/JettyHttpCaller.java
+++ b/src/main/java/notchpick/transport/JettyHttpCaller.java
@@ -11,31 +11,41 @@
 import org.eclipse.jetty.http.HttpCookieStore;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.SocketAddressResolver;
+import org.eclipse.jetty.util.component.LifeCycle;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.ThreadPool;
 
-/** Outgoing calls by Jetty's client, with a bounded number of connections per target. */
-public final class JettyHttpCaller implements HttpCaller {
-    /** Nothing is called over TLS; reading the trusted certificates would take a third of the start. */
+/**
+ * Sends requests by Jetty's client, over a bounded number of connections to each target. The threads and the scheduler
+ * belong to whoever makes it; closing it ends the connections only.
+ */
+public final class JettyHttpCaller implements HttpCaller, AutoCloseable {
+    /** Nothing is called over TLS; reading the trusted certificates would delay the start. */
     private static final class NoTls extends SslContextFactory.Client {
         @Override
         protected void doStart() {
-            // Left out on purpose.
+            // Nothing to read.
+        }
+    }
+
+    private static final class PlainConnector extends ClientConnector {
+        @Override
+        protected SslContextFactory.Client newSslContextFactory() {
+            return new NoTls();
         }
     }
 
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
+    /** A connection outlives the request's own timeout by this much, so that it is the latter that ends a request. */
+    private static final long IDLE_TIMEOUT_MARGIN_MS = 1000;
+
     private final HttpClient client;
 
-    public JettyHttpCaller(ThreadPool threads, Scheduler scheduler, int connectionsPerTarget, long connectTimeoutMs)
+    public JettyHttpCaller(
+            ThreadPool threads, Scheduler scheduler, int maxConnectionsPerTarget, long connectTimeoutMs)
             throws Exception {
-        ClientConnector connector = new ClientConnector() {
-            @Override
-            protected SslContextFactory.Client newSslContextFactory() {
-                return new NoTls();
-            }
-        };
+        ClientConnector connector = new PlainConnector();
         connector.setSelectors(1);
         connector.setExecutor(threads);
         connector.setScheduler(scheduler);
@@ -43,7 +53,7 @@
         client.setExecutor(threads);
         client.setScheduler(scheduler);
         client.setSocketAddressResolver(new SocketAddressResolver.Sync());
-        client.setMaxConnectionsPerDestination(connectionsPerTarget);
+        client.setMaxConnectionsPerDestination(maxConnectionsPerTarget);
         client.setConnectTimeout(connectTimeoutMs);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
@@ -54,33 +64,39 @@
     }
 
     /** Ends all connections. */
-    public void stop() throws Exception {
-        client.stop();
+    @Override
+    public void close() {
+        LifeCycle.stop(client);
     }
 
     @Override
-    public void call(Request call, long timeoutMs, Consumer<Response> then) {
+    public void call(Request request, long timeoutMs, Consumer<Response> callback) {
         try {
-            var request = client.newRequest("http://" + call.target() + call.path())
-                    .method(call.method())
+            var sent = client.newRequest("http://" + request.target() + request.path())
+                    .method(request.method())
                     .timeout(timeoutMs, TimeUnit.MILLISECONDS)
-                    .idleTimeout(timeoutMs + 1000, TimeUnit.MILLISECONDS);
-            if (call.body() != null) {
-                request.body(new BytesRequestContent("application/json", call.body()));
+                    .idleTimeout(timeoutMs + IDLE_TIMEOUT_MARGIN_MS, TimeUnit.MILLISECONDS);
+            if (request.body() != null) {
+                sent.body(new BytesRequestContent("application/json", request.body()));
             }
-            request.send(new BufferingResponseListener(MAX_RESPONSE_BYTES) {
+            sent.send(new BufferingResponseListener(MAX_RESPONSE_BYTES) {
                 @Override
                 public void onComplete(Result result) {
-                    if (result.isFailed()) {
-                        then.accept(result.getFailure() instanceof ConnectException ? Response.UNSENT : Response.NONE);
-                        return;
-                    }
-                    byte[] body = getContent();
-                    then.accept(new Response(result.getResponse().getStatus(), body == null ? new byte[0] : body));
+                    callback.accept(response(result, getContent()));
                 }
             });
         } catch (RuntimeException e) {
-            then.accept(Response.NONE);
+            callback.accept(Response.UNANSWERED);
+        }
+    }
+
+    private static Response response(Result result, byte[] body) {
+        if (result.isFailed()) {
+            return result.getFailure() instanceof ConnectException
+                    ? Response.CONNECTION_REFUSED
+                    : Response.UNANSWERED;
         }
+        int status = result.getResponse().getStatus();
+        return body == null ? Response.empty(status) : Response.of(status, body);
     }
 }
--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -1,10 +1,13 @@
 package notchpick.transport;
 
 import java.nio.ByteBuffer;
+import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.ByteBufferPool;
 import org.eclipse.jetty.io.Content;
+import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.HttpConfiguration;
 import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.Request;
@@ -12,106 +15,161 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.Callback;
+import org.eclipse.jetty.util.component.LifeCycle;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.ThreadPool;
 
-/** Jetty's server, with one connector for each address that is served. */
-public final class JettyHttpServer {
+/**
+ * Serves HTTP by Jetty, with one connector for each address. The threads and the scheduler belong to whoever makes it;
+ * closing it ends the connections only.
+ */
+public final class JettyHttpServer implements AutoCloseable {
     /** The protocol's limit for a request body. */
     private static final int MAX_BODY_BYTES = 64 << 10;
     /** Between controllers a grant may be longer than what users may send. */
     private static final int MAX_PEER_BODY_BYTES = 4 << 20;
 
+    private static final int OUTPUT_BUFFER_BYTES = 8 << 10;
+    private static final int ACCEPT_QUEUE_LENGTH = 256;
+    private static final int BAD_REQUEST = 400;
+    private static final int INTERNAL_ERROR = 500;
+    private static final int NO_CONNECTION_LIMIT = 0;
+
     private final Server server;
 
     /**
-     * Serves each {@code address:port} with its handler.
+     * An address to serve.
      *
-     * @param connections so many are taken in at the most from others than peers; when there are, those that lie
-     *     idle end sooner
-     * @param crowdedIdleMs how soon
+     * @param address {@code host:port}
+     * @param maxConnections how many connections are accepted, or {@link #NO_CONNECTION_LIMIT}
+     * @param limitedIdleTimeoutMs the idle timeout while there are as many
      */
+    public record Listener(
+            String address, HttpHandler handler, int maxBodyBytes, int maxConnections, long limitedIdleTimeoutMs) {
+        /** For users and workers, who must keep neither other controllers out nor this one's own requests in. */
+        public static Listener forClients(
+                String address, HttpHandler handler, int maxConnections, long limitedIdleTimeoutMs) {
+            return new Listener(address, handler, MAX_BODY_BYTES, maxConnections, limitedIdleTimeoutMs);
+        }
+
+        /** For the other controllers. */
+        public static Listener forPeers(String address, HttpHandler handler) {
+            return new Listener(address, handler, MAX_PEER_BODY_BYTES, NO_CONNECTION_LIMIT, 0);
+        }
+
+        private String host() {
+            return address.substring(0, address.lastIndexOf(':'));
+        }
+
+        private int port() {
+            return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
+        }
+    }
+
+    /** Makes a server that is not started yet. */
     public JettyHttpServer(
             ThreadPool threads,
             Scheduler scheduler,
             ByteBufferPool buffers,
-            Map<String, HttpHandler> served,
-            String peerAddress,
-            long idleTimeoutMs,
-            int connections,
-            long crowdedIdleMs) {
+            List<Listener> listeners,
+            long idleTimeoutMs) {
         server = new Server(threads, scheduler, buffers);
-        HttpConfiguration config = new HttpConfiguration();
-        config.setSendServerVersion(false);
-        config.setSendDateHeader(false);
-        // Each connection would keep 100 KB for its cache of header fields, and there are thousands.
-        config.setHeaderCacheSize(0);
-        config.setOutputBufferSize(8 << 10);
-        for (String address : served.keySet()) {
-            int colon = address.lastIndexOf(':');
+        HttpConfiguration config = httpConfiguration();
+        Map<String, Listener> listenersByAddress = new HashMap<>();
+        for (Listener listener : listeners) {
+            listenersByAddress.put(listener.address(), listener);
             ServerConnector connector =
                     new ServerConnector(server, null, scheduler, buffers, 0, 1, new HttpConnectionFactory(config));
-            connector.setName(address);
-            connector.setHost(address.substring(0, colon));
-            connector.setPort(Integer.parseInt(address.substring(colon + 1)));
-            connector.setIdleTimeout(idleTimeoutMs);
-            connector.setAcceptQueueSize(256);
-            if (!address.equals(peerAddress)) {
-                // Users and workers must not keep the other controllers out, nor this one's own calls in.
-                connector.addBean(new IdleConnectionLimit(connections, connector, crowdedIdleMs));
-            }
+            configure(connector, listener, idleTimeoutMs);
             server.addConnector(connector);
         }
-        server.setHandler(new org.eclipse.jetty.server.Handler.Abstract.NonBlocking() {
-            @Override
-            public boolean handle(Request request, Response response, Callback callback) {
-                String name = request.getConnectionMetaData().getConnector().getName();
-                int limit = name.equals(peerAddress) ? MAX_PEER_BODY_BYTES : MAX_BODY_BYTES;
-                serve(served.get(name), limit, request, response, callback);
-                return true;
-            }
-        });
+        server.setHandler(new Dispatcher(listenersByAddress));
     }
 
+    /** Begins to listen; fails if an address can't be bound. */
     public void start() throws Exception {
         server.start();
     }
 
-    public void stop() throws Exception {
-        server.stop();
+    /** Ends all connections and stops listening. */
+    @Override
+    public void close() {
+        LifeCycle.stop(server);
+    }
+
+    private static HttpConfiguration httpConfiguration() {
+        HttpConfiguration config = new HttpConfiguration();
+        config.setSendServerVersion(false);
+        config.setSendDateHeader(false);
+        // Each connection would keep 100 KB for its cache of header fields, and there are thousands.
+        config.setHeaderCacheSize(0);
+        config.setOutputBufferSize(OUTPUT_BUFFER_BYTES);
+        return config;
+    }
+
+    private static void configure(ServerConnector connector, Listener listener, long idleTimeoutMs) {
+        connector.setName(listener.address());
+        connector.setHost(listener.host());
+        connector.setPort(listener.port());
+        connector.setIdleTimeout(idleTimeoutMs);
+        connector.setAcceptQueueSize(ACCEPT_QUEUE_LENGTH);
+        if (listener.maxConnections() != NO_CONNECTION_LIMIT) {
+            connector.addBean(new IdleConnectionLimit(
+                    listener.maxConnections(), connector, listener.limitedIdleTimeoutMs()));
+        }
+    }
+
+    /** Passes requests to the handler of the address at which they came in. */
+    private static final class Dispatcher extends Handler.Abstract.NonBlocking {
+        private final Map<String, Listener> listenersByAddress;
+
+        Dispatcher(Map<String, Listener> listenersByAddress) {
+            this.listenersByAddress = listenersByAddress;
+        }
+
+        @Override
+        public boolean handle(Request request, Response response, Callback callback) {
+            String address = request.getConnectionMetaData().getConnector().getName();
+            serve(listenersByAddress.get(address), request, response, callback);
+            return true;
+        }
     }
 
     // Jetty 12.0 has no successor yet that gives the body as an array.
     @SuppressWarnings("removal")
-    private static void serve(HttpHandler handler, int limit, Request request, Response response, Callback callback) {
-        if (request.getLength() > limit) {
-            response.getHeaders().put(HttpHeader.CONNECTION, "close");
-            send(new HttpCaller.Response(400, new byte[0]), response, callback);
+    private static void serve(Listener listener, Request request, Response response, Callback callback) {
+        if (request.getLength() > listener.maxBodyBytes()) {
+            refuse(response, callback);
             return;
         }
-        Content.Source.asByteArrayAsync(request, limit).whenComplete((body, failure) -> {
+        Content.Source.asByteArrayAsync(request, listener.maxBodyBytes()).whenComplete((body, failure) -> {
             if (failure != null) {
-                response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                send(new HttpCaller.Response(400, new byte[0]), response, callback);
+                refuse(response, callback);
                 return;
             }
             try {
-                handler.handle(
-                        new HttpCaller.Request(
-                                null, request.getMethod(), request.getHttpURI().getPathQuery(), body),
-                        answer -> send(answer, response, callback));
+                listener.handler()
+                        .handle(
+                                new HttpCaller.Request(
+                                        null, request.getMethod(), request.getHttpURI().getPathQuery(), body),
+                                answer -> send(answer, response, callback));
             } catch (RuntimeException e) {
-                send(new HttpCaller.Response(500, new byte[0]), response, callback);
+                send(HttpCaller.Response.empty(INTERNAL_ERROR), response, callback);
             }
         });
     }
 
+    /** Refuses a request whose body is too long or incomplete; the rest of it makes the connection unusable. */
+    private static void refuse(Response response, Callback callback) {
+        send(HttpCaller.Response.empty(BAD_REQUEST).closingConnection(), response, callback);
+    }
+
     private static void send(HttpCaller.Response answer, Response response, Callback callback) {
         response.setStatus(answer.status());
         if (answer.retryAfterS() > 0) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, answer.retryAfterS());
         }
-        if (answer.isLast()) {
+        if (answer.closesConnection()) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
--- a/src/main/java/notchpick/transport/ResultCollector.java
+++ b/src/main/java/notchpick/transport/ResultCollector.java
@@ -1,45 +1,55 @@
 package notchpick.transport;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.Collections;
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Gathers answers that come one by one, and gives all of them at once when there are no more to wait for. */
+/**
+ * Collects the results of a batch and passes all of them on once they are complete, or once no more is waited for. To be
+ * used on one event loop.
+ */
 public final class ResultCollector<T> {
-    private final List<T> all;
-    private final List<Boolean> have;
-    private final Consumer<List<T>> then;
+    private final List<T> results;
+    private final BitSet received;
+    private final Consumer<List<T>> callback;
     private int missing;
-    private boolean closed;
+    private boolean complete;
 
-    /** @param otherwise stands for each that has not come when this is closed */
-    public ResultCollector(int count, T otherwise, Consumer<List<T>> then) {
-        this.all = new ArrayList<>(Collections.nCopies(count, otherwise));
-        this.have = new ArrayList<>(Collections.nCopies(count, false));
-        this.then = then;
+    /**
+     * Waits for so many results.
+     *
+     * @param missingResult stands for each that is missing when no more is waited for
+     * @param callback takes the results, once
+     */
+    public ResultCollector(int count, T missingResult, Consumer<List<T>> callback) {
+        this.results = new ArrayList<>(Collections.nCopies(count, missingResult));
+        this.received = new BitSet(count);
+        this.callback = callback;
         this.missing = count;
         if (count == 0) {
-            close();
+            complete();
         }
     }
 
-    /** Takes one; of several for the same place the first counts. */
-    public void put(int index, T one) {
-        if (!closed && !have.get(index)) {
-            have.set(index, true);
-            all.set(index, one);
-            if (--missing == 0) {
-                close();
+    /** Takes a result; of several with one index the first counts. */
+    public void put(int index, T result) {
+        if (!complete && !received.get(index)) {
+            received.set(index);
+            results.set(index, result);
+            missing--;
+            if (missing == 0) {
+                complete();
             }
         }
     }
 
-    /** No more is waited for. */
-    public void close() {
-        if (!closed) {
-            closed = true;
-            then.accept(all);
+    /** Passes on what has been received, and waits for no more. */
+    public void complete() {
+        if (!complete) {
+            complete = true;
+            callback.accept(results);
         }
     }
 }
--- a/src/main/java/notchpick/transport/SerialEventLoop.java
+++ b/src/main/java/notchpick/transport/SerialEventLoop.java
@@ -5,16 +5,23 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The event loop of a real process: a mailbox that is emptied by whichever thread brings the first
- * message. Work is done one after the other, as by one thread, but a request need not be handed from
- * the thread that read it to another and back, which would cost more than most requests themselves.
+ * The event loop of a real process. It owns the queue of waiting work, and the thread "actors" of its timers, which lives
+ * as long as the process. The queue is emptied by the thread that adds to it while it is empty: work runs serially, as on
+ * one thread, but a request is not handed from the thread that has read it to another and back, which would cost more than
+ * handling most requests.
  */
 public final class SerialEventLoop implements EventLoop {
-    private final Queue<Runnable> mailbox = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private static final Logger LOG = LoggerFactory.getLogger(SerialEventLoop.class);
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    private final Queue<Runnable> queue = new ConcurrentLinkedQueue<>();
+    /** The length of the queue, the piece of work that is running included. */
+    private final AtomicInteger pending = new AtomicInteger();
+
     private final ScheduledThreadPoolExecutor timers;
 
     public SerialEventLoop() {
@@ -24,7 +31,7 @@
 
     @Override
     public long nowMs() {
-        return System.nanoTime() / 1_000_000;
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
@@ -34,16 +41,16 @@
 
     @Override
     public void execute(Runnable work) {
-        mailbox.add(work);
-        if (waiting.getAndIncrement() == 0) {
+        queue.add(work);
+        if (pending.getAndIncrement() == 0) {
             do {
-                run(mailbox.poll());
-            } while (waiting.decrementAndGet() > 0);
+                run(queue.poll());
+            } while (pending.decrementAndGet() > 0);
         }
     }
 
     @Override
-    public void after(long delayMs, Runnable work) {
+    public void schedule(long delayMs, Runnable work) {
         if (delayMs <= 0) {
             execute(work);
         } else {
@@ -55,7 +62,8 @@
         try {
             work.run();
         } catch (Throwable e) {
-            LoggerFactory.getLogger(SerialEventLoop.class).error("uncaught: {}", e.toString(), e);
+            // Whatever is thrown, the rest of the queue must run.
+            LOG.error("uncaught error: reason={}", e.toString(), e);
         }
     }
 }
--- a/src/main/java/notchpick/transport/Timer.java
+++ b/src/main/java/notchpick/transport/Timer.java
@@ -1,12 +1,8 @@
 package notchpick.transport;
 
-/** Runs work later, in the turn of the actor that it belongs to. */
+/** Runs work later, on the event loop of the actor that it belongs to. */
 @FunctionalInterface
 public interface Timer {
-    /**
-     * Schedules work; a delay of 0 still lets the current message be handled first.
-     *
-     * @param delayMs the delay in milliseconds
-     */
-    void after(long delayMs, Runnable work);
+    /** Runs work after a delay. With a delay of 0 it runs once what is running now, and all that is queued, has run. */
+    void schedule(long delayMs, Runnable work);
 }
