--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -74,7 +74,7 @@
                     request,
                     RELAY_TIMEOUT_MS,
                     response -> reply.accept(
-                            response.isNone() ? ControllerReplies.unavailable("no state service") : response));
+                            response.isUnanswered() ? ControllerReplies.unavailable("no state service") : response));
         } else {
             userRequests.tell(new UserRequestHandler.UserRequest(request, reply));
         }
--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -38,19 +38,19 @@
         super(loop);
         this.deployment = deployment;
         this.leaderLeaseMs = deployment.leaderLeaseMs(tuning);
-        HttpCaller callerInTurn = (request, timeoutMs, then) -> caller.call(request, timeoutMs, here(then));
+        HttpCaller callerInTurn = (request, timeoutMs, then) -> caller.call(request, timeoutMs, onLoop(then));
         this.components = new ControllerComponents(loop, deployment, tuning, callerInTurn, random);
         HeartbeatReceiver heartbeats = new HeartbeatReceiver(
                 deployment.node(),
                 loop,
-                this::after,
+                this::schedule,
                 components.localLeader(),
                 components.election(),
                 components.heartbeatRouter());
         this.clientRequests = new ClientRequestRouter(components, heartbeats);
-        this.peerRequests = new PeerRequestDispatcher(deployment.node(), loop, this::here, components, heartbeats);
+        this.peerRequests = new PeerRequestDispatcher(deployment.node(), loop, this::onLoop, components, heartbeats);
         this.machineTypes = new MachineTypeRefresher(
-                components, deployment.valueBytes(), this::after, this::here, this::typesRefreshed);
+                components, deployment.valueBytes(), this::schedule, this::onLoop, this::typesRefreshed);
     }
 
     /** Serves users, workers and health checks. */
--- a/src/main/java/notchpick/app/ControllerReplies.java
+++ b/src/main/java/notchpick/app/ControllerReplies.java
@@ -22,7 +22,7 @@
 
     /** A message for a peer, one of the generated classes. */
     static Response peerMessage(Object message) {
-        return new Response(HttpStatus.OK, PeerProtocol.encode(message));
+        return Response.of(HttpStatus.OK, PeerProtocol.encode(message));
     }
 
     /** A reply in the form in which it is relayed to a peer. */
@@ -35,7 +35,7 @@
     }
 
     static Response badRequest(String message) {
-        return new Response(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(message)));
+        return Response.of(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(message)));
     }
 
     static Response methodNotAllowed() {
@@ -44,7 +44,7 @@
 
     /** @param leader the controller that a worker should report to; null if none is known */
     static Response misdirected(String leader) {
-        return new Response(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(leader)));
+        return Response.of(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(leader)));
     }
 
     static Response unavailable() {
@@ -53,10 +53,11 @@
 
     /** A user should retry, for this reason. */
     static Response unavailable(String reason) {
-        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(reason)), RETRY_AFTER_S);
+        return Response.retryAfter(
+                HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(reason)), RETRY_AFTER_S);
     }
 
     private static Response empty(int status) {
-        return new Response(status, new byte[0]);
+        return Response.empty(status);
     }
 }
--- a/src/main/java/notchpick/app/ControllerServer.java
+++ b/src/main/java/notchpick/app/ControllerServer.java
@@ -1,12 +1,12 @@
 package notchpick.app;
 
-import java.util.Map;
+import java.util.List;
 import java.util.Random;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Tuning;
-import notchpick.transport.HttpHandler;
 import notchpick.transport.JettyHttpCaller;
 import notchpick.transport.JettyHttpServer;
+import notchpick.transport.JettyHttpServer.Endpoint;
 import notchpick.transport.SerialEventLoop;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -34,17 +34,18 @@
         scheduler.start();
         JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS);
         Controller controller = new Controller(new SerialEventLoop(), deployment, tuning, caller, new Random());
-        HttpHandler clients = controller::serve;
-        HttpHandler peers = controller::servePeer;
         JettyHttpServer server = new JettyHttpServer(
                 threads,
                 scheduler,
                 new ArrayByteBufferPool(),
-                Map.of(deployment.serveOn(), clients, deployment.peerBind(), peers),
-                deployment.peerBind(),
-                IDLE_TIMEOUT_LEASES * deployment.workerLeaseMs(),
-                deployment.maxClientConnections(),
-                CROWDED_IDLE_TIMEOUT_PERIODS * deployment.heartbeatPeriodMs());
+                List.of(
+                        Endpoint.forClients(
+                                deployment.serveOn(),
+                                controller::serve,
+                                deployment.maxClientConnections(),
+                                CROWDED_IDLE_TIMEOUT_PERIODS * deployment.heartbeatPeriodMs()),
+                        Endpoint.forPeers(deployment.peerBind(), controller::servePeer)),
+                IDLE_TIMEOUT_LEASES * deployment.workerLeaseMs());
         controller.tell(new Controller.Begin());
         server.start();
     }
--- a/src/main/java/notchpick/app/HeartbeatReceiver.java
+++ b/src/main/java/notchpick/app/HeartbeatReceiver.java
@@ -57,7 +57,7 @@
 
     /** A redirected worker would leave its connection open, and there are thousands of workers. */
     private static Consumer<Response> closingUnlessOk(Consumer<Response> reply) {
-        return response -> reply.accept(response.status() == HttpStatus.OK ? response : response.last());
+        return response -> reply.accept(response.status() == HttpStatus.OK ? response : response.closingConnection());
     }
 
     private void handle(Request request, Consumer<Response> reply, long receivedAt) {
@@ -85,7 +85,7 @@
                 ControllerReplies.relayed(ControllerReplies.unavailable()),
                 all -> reply.accept(ControllerReplies.peerMessage(new Outcomes(all))));
         // A reply after the worker's timeout is of no use, and must not delay those to the other workers.
-        timer.after(Math.max(0, timeLeftMs), outcomes::close);
+        timer.schedule(Math.max(0, timeLeftMs), outcomes::complete);
         for (int i = 0; i < batch.getReports().size() && timeLeftMs > 0; i++) {
             int index = i;
             Consumer<Response> replyToOne = response -> outcomes.put(index, ControllerReplies.relayed(response));
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -41,16 +41,13 @@
         threads.start();
         try {
             scheduler.start();
-            JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS);
-            try {
+            try (JettyHttpCaller caller = new JettyHttpCaller(threads, scheduler, 1, CONNECT_TIMEOUT_MS)) {
                 List<NodeResponse> responses = query(deployment, caller);
                 responses.forEach(response -> out.print(format(response)));
                 return responses.stream()
-                                .allMatch(response -> response.response().isNone())
+                                .allMatch(response -> response.response().isUnanswered())
                         ? 1
                         : 0;
-            } finally {
-                caller.stop();
             }
         } finally {
             scheduler.stop();
@@ -76,7 +73,8 @@
         List<NodeResponse> ordered = new ArrayList<>();
         addresses
                 .keySet()
-                .forEach(node -> ordered.add(new NodeResponse(node, responses.getOrDefault(node, Response.NONE))));
+                .forEach(
+                        node -> ordered.add(new NodeResponse(node, responses.getOrDefault(node, Response.UNANSWERED))));
         return ordered;
     }
 
@@ -84,10 +82,10 @@
     static String format(NodeResponse nodeResponse) {
         String node = nodeResponse.node();
         Response response = nodeResponse.response();
-        if (response.isUnsent()) {
+        if (response.isConnectionRefused()) {
             return node + ": connection refused\n";
         }
-        if (response.isNone()) {
+        if (response.isUnanswered()) {
             return node + ": no answer\n";
         }
         if (response.status() != HttpStatus.OK || !(PeerProtocol.decode(response.body()) instanceof LinkTable table)) {
--- a/src/main/java/notchpick/app/MachineTypeRefresher.java
+++ b/src/main/java/notchpick/app/MachineTypeRefresher.java
@@ -61,7 +61,7 @@
         } else if (localLeader.current().isPresent()) {
             queryCloud(REFRESH_PERIOD_MS);
         } else {
-            timer.after(REFRESH_PERIOD_MS, this::refresh);
+            timer.schedule(REFRESH_PERIOD_MS, this::refresh);
         }
     }
 
@@ -71,7 +71,7 @@
                 MachineTypesCodec.decode(ok.value().value()).ifPresent(this::take);
             }
             if (typesKnown) {
-                timer.after(REFRESH_PERIOD_MS, this::refresh);
+                timer.schedule(REFRESH_PERIOD_MS, this::refresh);
             } else {
                 queryCloud(RETRY_MS);
             }
@@ -84,7 +84,7 @@
                 take(listed);
                 cache(listed);
             });
-            timer.after(typesKnown ? nextRefreshMs : RETRY_MS, this::refresh);
+            timer.schedule(typesKnown ? nextRefreshMs : RETRY_MS, this::refresh);
         }));
     }
 
--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -35,7 +35,7 @@
     public void request() {
         if (!scheduled && authority.hasRecovered()) {
             scheduled = true;
-            context.timer().after(Math.max(minDelayMs, MAX_TIME_SHARE * lastRoundMs), this::run);
+            context.timer().schedule(Math.max(minDelayMs, MAX_TIME_SHARE * lastRoundMs), this::run);
         }
     }
 
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -128,7 +128,7 @@
         this.defragmenter = new Defragmenter(context, leases, autoscaler);
         this.stepDownPolicy = new StepDownPolicy(
                 context, authority, environment.peers(), environment.links(), environment.stateStoreTransport());
-        every(
+        scheduleRepeatedly(
                 stepDownPolicy.maxUnreadMs(),
                 () -> stepDownPolicy.reasonBeforeRecovery().ifPresent(stepDownHandler::stepDown));
     }
@@ -137,7 +137,7 @@
         return new TermContext(
                 term.number(),
                 loop,
-                this::after,
+                this::schedule,
                 deployment,
                 cluster,
                 new MachineTypeCatalog(),
@@ -148,7 +148,7 @@
         return new FencedWriter(
                 environment.stateStore(),
                 loop,
-                this::after,
+                this::schedule,
                 term.keyVersion(),
                 deployment.maxTransactionWrites(),
                 WRITE_RATE_RATIO * deployment.stateWriteRps(),
@@ -188,10 +188,10 @@
                 cluster.machines().size());
         jobs.watch(openJobsRevision);
         autoscaler.refreshInventory();
-        every(context.heartbeatPeriodMs(), autoscaler::refreshInventory);
+        scheduleRepeatedly(context.heartbeatPeriodMs(), autoscaler::refreshInventory);
         pauses.ticked();
-        every(tickMs(), this::tick);
-        every(commitmentSaveMs, this::saveCommitments);
+        scheduleRepeatedly(tickMs(), this::tick);
+        scheduleRepeatedly(commitmentSaveMs, this::saveCommitments);
         tick();
     }
 
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -93,11 +93,11 @@
         long sentAt = context.now();
         stateStore.listAll(
                 prefix,
-                result -> context.timer().after(0, () -> {
+                result -> context.timer().schedule(0, () -> {
                     if (result instanceof Ok<Listing> ok) {
                         then.accept(ok.value(), sentAt);
                     } else {
-                        context.timer().after(RETRY_MS, () -> list(prefix, then));
+                        context.timer().schedule(RETRY_MS, () -> list(prefix, then));
                     }
                 }));
     }
@@ -106,14 +106,14 @@
     private void get(String key, Consumer<JsonNode> then) {
         stateStore.get(
                 key,
-                result -> context.timer().after(0, () -> {
+                result -> context.timer().schedule(0, () -> {
                     if (result instanceof Ok<Entry> ok) {
                         writer.versionRead(key, ok.value().version());
                         then.accept(ok.value().value());
                     } else if (result instanceof Missing<Entry>) {
                         then.accept(Json.object());
                     } else {
-                        context.timer().after(RETRY_MS, () -> get(key, then));
+                        context.timer().schedule(RETRY_MS, () -> get(key, then));
                     }
                 }));
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -94,7 +94,7 @@
         double ageS = spec.ageS(context.loop().wallTimeMs());
         return context.deployment()
                 .objectives()
-                .canBeKept(spec, ageS, context.runtimes().runS(spec));
+                .isAttainable(spec, ageS, context.runtimes().runS(spec));
     }
 
     /** A job, and the machine that its next task would go to. */
@@ -190,7 +190,7 @@
         if (!machine.images().contains(spec.image())) {
             job.setDeferredSince(0);
         }
-        index.change(machine, () -> {
+        index.update(machine, () -> {
             // The image will be fetched for this task, and serves those that follow.
             machine.addImage(spec.image());
             machine.lease(spec.demand());
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -59,7 +59,7 @@
 
     private Want tasks(ResourceLease lease, Job job, BitSet tasks) {
         JobSpec spec = job.spec();
-        String zone = spec.oneZone() ? lease.machines().iterator().next().zone() : spec.zone();
+        String zone = spec.colocated() ? lease.machines().iterator().next().zone() : spec.zone();
         return new Want(
                 spec.id(),
                 spec.demand().cores(),
@@ -79,7 +79,7 @@
         if (spec.spread()) {
             Map<String, Integer> placed = context.cluster().tasksByZone(spec.id());
             for (String zone : context.deployment().zones()) {
-                remaining.put(zone, spec.zoneLimit() - placed.getOrDefault(zone, 0));
+                remaining.put(zone, spec.maxTasksPerZone() - placed.getOrDefault(zone, 0));
             }
         }
         return remaining;
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -83,14 +83,14 @@
         }
         leases.put(lease.number(), lease);
         Grant grant = encoder.encode(lease);
-        context.timer().after(leaseMs, () -> expire(lease));
+        context.timer().schedule(leaseMs, () -> expire(lease));
         if (lease.holder().equals(deployment.node())) {
             placed(TaskPlacer.place(grant, lease.holder()));
             return;
         }
         peerClient.send(lease.holder(), grant, leaseMs, reply -> {
             if (reply instanceof Placements placements) {
-                context.timer().after(0, () -> placed(placements));
+                context.timer().schedule(0, () -> placed(placements));
             }
         });
     }
@@ -169,7 +169,8 @@
                 && machine.isSchedulable(now, context.heartbeatPeriodMs())
                 && spec.demand().fitsIn(machine.freeResources())
                 && spec.allows(machine.type(), machine.zone(), machine.isSpot())
-                && (!spec.isConstrained() || spec.allowsAmongFellows(machine.zone(), cluster.tasksByZone(spec.id())))
+                && (!spec.hasZoneConstraint()
+                        || spec.allowsZoneAmongTasks(machine.zone(), cluster.tasksByZone(spec.id())))
                 && quota != null
                 && quota.allows(cluster.usage(spec.team()).plus(spec.demand()));
     }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -116,7 +116,7 @@
             return;
         }
         rounds.request();
-        context.timer().after((long) (context.heartbeatPeriodMs() * MAX_WAIT_RATIO), () -> {
+        context.timer().schedule((long) (context.heartbeatPeriodMs() * MAX_WAIT_RATIO), () -> {
             if (pending.get(machine) == waiting) {
                 reply(machine);
             }
@@ -192,16 +192,16 @@
     }
 
     private static Response refusal() {
-        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(Json.object()));
+        return Response.of(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(Json.object()));
     }
 
     private Response reply(List<TaskCommand> commands) {
         if (!commands.isEmpty()) {
-            return new Response(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), commands)));
+            return Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), commands)));
         }
         // Most replies carry no command: they are serialized once.
         if (emptyReply == null) {
-            emptyReply = new Response(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), List.of())));
+            emptyReply = Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), List.of())));
         }
         return emptyReply;
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -109,11 +109,11 @@
         resolving = true;
         outcomes.read(
                 Set.copyOf(graph.unresolved()),
-                found -> context.timer().after(0, () -> {
+                found -> context.timer().schedule(0, () -> {
                     resolving = false;
                     found.ifPresent(outcomes -> outcomes.forEach(this::ended));
                     if (!graph.unresolved().isEmpty()) {
-                        context.timer().after(RETRY_MS, this::resolveEnded);
+                        context.timer().schedule(RETRY_MS, this::resolveEnded);
                     }
                 }));
     }
@@ -122,7 +122,7 @@
         for (String id : changed) {
             Job job = cluster.job(id);
             if (job != null) {
-                cluster.respec(job, criticalPath.counting(job.spec()));
+                cluster.respec(job, criticalPath.effective(job.spec()));
             }
         }
     }
@@ -163,7 +163,7 @@
 
             @Override
             public void conflicted() {
-                context.timer().after(RETRY_MS, DependencyTracker.this::cascade);
+                context.timer().schedule(RETRY_MS, DependencyTracker.this::cascade);
             }
         }));
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -65,7 +65,7 @@
             } else if (result instanceof Missing<Changes>) {
                 relist();
             } else {
-                context.timer().after(RETRY_MS, () -> start(sinceRevision));
+                context.timer().schedule(RETRY_MS, () -> start(sinceRevision));
             }
         }));
     }
@@ -89,7 +89,7 @@
         long sentAt = context.now();
         stateStore.listAll(StateKeys.OPEN_JOBS, inTurn(result -> {
             if (!(result instanceof Ok<Listing> ok)) {
-                context.timer().after(RETRY_MS, this::relist);
+                context.timer().schedule(RETRY_MS, this::relist);
                 return;
             }
             Set<String> open = new HashSet<>();
@@ -104,6 +104,6 @@
     }
 
     private <T> Consumer<T> inTurn(Consumer<T> then) {
-        return value -> context.timer().after(0, () -> then.accept(value));
+        return value -> context.timer().schedule(0, () -> then.accept(value));
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -38,7 +38,7 @@
     }
 
     private void readPage(String after) {
-        cloud.list(after, page -> context.timer().after(0, () -> page.ifPresent(this::pageRead)));
+        cloud.list(after, page -> context.timer().schedule(0, () -> page.ifPresent(this::pageRead)));
     }
 
     private void pageRead(Page page) {
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -12,9 +12,9 @@
 import notchpick.model.Job;
 import notchpick.model.Machine;
 import notchpick.model.MachineTypeCatalog;
-import notchpick.scheduling.FleetPlanner.Need;
+import notchpick.scheduling.JobDemand;
 import notchpick.scheduling.JobOrder;
-import notchpick.scheduling.JobOrder.Waiting;
+import notchpick.scheduling.JobOrder.WaitingJob;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.NodePool;
@@ -38,13 +38,13 @@
     }
 
     /** What the open jobs need, in the order in which they are served. */
-    List<Need> needs() {
+    List<JobDemand> demands() {
         double cores = ownedCores();
         double aheadS = 0;
         Map<String, Resources> demandByTeam = new HashMap<>();
-        List<Need> needs = new ArrayList<>();
+        List<JobDemand> demands = new ArrayList<>();
         long wallTime = context.loop().wallTimeMs();
-        for (Waiting<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
+        for (WaitingJob<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
             aheadS += waiting.remainingS();
@@ -59,20 +59,20 @@
                 if (hasNoSpotMachine(spec)) {
                     job.markSpotUnavailable();
                 }
-                needs.add(new Need(spec, tasks, waiting.runS(), job.mayUseOnDemand(), isGuaranteed));
+                demands.add(new JobDemand(spec, tasks, waiting.runS(), job.mayUseOnDemand(), isGuaranteed));
             }
         }
-        return needs;
+        return demands;
     }
 
-    private List<Waiting<Job>> unblockedJobs() {
-        List<Waiting<Job>> waiting = new ArrayList<>();
+    private List<WaitingJob<Job>> unblockedJobs() {
+        List<WaitingJob<Job>> waiting = new ArrayList<>();
         for (Job job : cluster.jobs()) {
             if (!job.isBlocked()) {
                 double runS = context.runtimes().runS(job.spec());
                 double remainingS =
                         job.desiredTasks() * runS * job.spec().demand().cores();
-                waiting.add(new Waiting<>(job, job.spec(), remainingS, runS));
+                waiting.add(new WaitingJob<>(job, job.spec(), remainingS, runS));
             }
         }
         return waiting;
@@ -97,7 +97,7 @@
     }
 
     /** Whether the machines there are would finish an urgent job too late, while more machines still could help. */
-    private boolean isUrgentAndLate(Waiting<Job> waiting, double queueS) {
+    private boolean isUrgentAndLate(WaitingJob<Job> waiting, double queueS) {
         JobSpec spec = waiting.spec();
         if (!spec.isUrgent()) {
             return false;
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -112,7 +112,7 @@
         requestOpen = true;
         cloud.release(
                 names,
-                confirmed -> context.timer().after(0, () -> {
+                confirmed -> context.timer().schedule(0, () -> {
                     requestOpen = false;
                     if (confirmed) {
                         confirmed(names);
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -64,14 +64,14 @@
                 pool.zone(),
                 pool.spot(),
                 batch,
-                result -> context.timer().after(0, () -> {
+                result -> context.timer().schedule(0, () -> {
                     if (result instanceof Rented rented) {
                         rented(pool, count, batch, rented.machines());
                     } else if (result instanceof NoCapacity) {
                         rented(pool, count, batch, List.of());
                     } else if (tries > 1) {
                         // Idempotent by the same name: if the first request did rent, this tells what.
-                        context.timer().after(RETRY_MS, () -> rent(request, pool, count, tries - 1));
+                        context.timer().schedule(RETRY_MS, () -> rent(request, pool, count, tries - 1));
                     } else {
                         requested.remove(pool);
                     }
@@ -103,7 +103,7 @@
             // All pools together stay within the rate that the cloud takes.
             long delayMs =
                     (long) (MS_PER_S * requested.size() / context.deployment().cloudRps());
-            context.timer().after(delayMs, () -> rentNext(pool, count - batch));
+            context.timer().schedule(delayMs, () -> rentNext(pool, count - batch));
         } else {
             requested.remove(pool);
         }
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -82,7 +82,7 @@
     public void sendDirect(Request request, long timeoutMs, Consumer<Response> onResponse) {
         if (path.isRelayed()) {
             // Whoever asks must try another peer: a request is relayed once at the most.
-            onResponse.accept(new Response(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]));
+            onResponse.accept(Response.empty(HttpStatus.SERVICE_UNAVAILABLE));
             return;
         }
         long sentAt = loop.nowMs();
@@ -106,7 +106,7 @@
             }
         }
         if (request.isHedged()) {
-            after(hedgeDelayMs, () -> hedge(request));
+            schedule(hedgeDelayMs, () -> hedge(request));
         }
     }
 
@@ -116,14 +116,15 @@
     }
 
     private static boolean isServed(Response response) {
-        return !response.isNone() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
+        return !response.isUnanswered() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
     }
 
     /** A copy has failed. The last one completes the request, unless there is another path to try. */
     private void copyFailed(StateStoreRequest request, Response response) {
         request.copyFailed();
-        boolean mayRetry =
-                request.isHedged() || response.isUnsent() || response.status() == HttpStatus.SERVICE_UNAVAILABLE;
+        boolean mayRetry = request.isHedged()
+                || response.isConnectionRefused()
+                || response.status() == HttpStatus.SERVICE_UNAVAILABLE;
         if (!request.isCompleted() && !(mayRetry && sendCopyToUntriedRelay(request)) && !request.hasCopiesInFlight()) {
             complete(request, response);
         }
@@ -134,7 +135,7 @@
     private void sendCopyDirectly(StateStoreRequest request) {
         request.sentDirectly();
         long sentAt = loop.nowMs();
-        caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), here(response -> {
+        caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), onLoop(response -> {
             links.stateStoreRequestCompleted(response, sentAt);
             if (isServed(response)) {
                 directServed();
@@ -165,7 +166,7 @@
                 && !request.isServedByRelay()) {
             switchToDirect("direct link faster than relay");
         } else if (!request.isCompleted() && sendCopyToUntriedRelay(request)) {
-            after(hedgeDelayMs, () -> hedge(request));
+            schedule(hedgeDelayMs, () -> hedge(request));
         }
     }
 
@@ -192,13 +193,13 @@
                 relay,
                 new StateCall(call.method(), call.path(), content, relayTimeoutMs),
                 Math.max(1, remainingMs),
-                here(reply -> relayReplied(relay, request, reply)));
+                onLoop(reply -> relayReplied(relay, request, reply)));
     }
 
     private void relayReplied(String relay, StateStoreRequest request, Object reply) {
         Response response = reply instanceof Outcome outcome
-                ? new Response(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent()))
-                : Response.NONE;
+                ? Response.of(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent()))
+                : Response.UNANSWERED;
         if (isServed(response)) {
             relayServed(relay, request, response);
         } else {
@@ -250,7 +251,7 @@
         path.switchTo(newRelay, loop.nowMs());
         for (StateStoreRequest request : List.copyOf(openRequests)) {
             if (!request.wasLastRelayedBy(newRelay) && !request.isHedged()) {
-                complete(request, Response.NONE);
+                complete(request, Response.UNANSWERED);
             }
         }
     }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -34,7 +34,7 @@
     private record Batch(List<RelayedHeartbeat> heartbeats, long timeoutMs) {}
 
     /** A worker that gets it tries another controller. */
-    private static final Response REFUSED = new Response(HttpStatus.SERVICE_UNAVAILABLE, new byte[0]);
+    private static final Response REFUSED = Response.empty(HttpStatus.SERVICE_UNAVAILABLE);
     /** So many heartbeats wait; one more displaces the oldest. */
     private static final int MAX_QUEUED = 1000;
 
@@ -101,7 +101,7 @@
         queue.add(heartbeat);
         if (!sendScheduled) {
             sendScheduled = true;
-            after(batchDelayMs, this::sendBatches);
+            schedule(batchDelayMs, this::sendBatches);
         }
     }
 
@@ -151,7 +151,7 @@
                 .toList();
         // The leader has less time than its reply is waited for.
         long leaderTimeoutMs = (long) (batch.timeoutMs() * (1 - REPLY_TIME_RATIO));
-        peerClient.send(leader, new ReportBatch(leaderTimeoutMs, bodies), batch.timeoutMs(), here(reply -> {
+        peerClient.send(leader, new ReportBatch(leaderTimeoutMs, bodies), batch.timeoutMs(), onLoop(reply -> {
             batchesInFlight--;
             batchReplied(heartbeats, reply);
             sendBatches();
@@ -176,6 +176,6 @@
         if (outcome.getStatus() == HttpStatus.OK) {
             heartbeat.route().relayed(loop.nowMs());
         }
-        heartbeat.reply().accept(new Response(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent())));
+        heartbeat.reply().accept(Response.of(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent())));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -66,7 +66,7 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof Begin) {
-            every(heartbeatPeriodMs, this::endPeriod);
+            scheduleRepeatedly(heartbeatPeriodMs, this::endPeriod);
         } else if (message instanceof HeartbeatReceived received) {
             try {
                 Heartbeat heartbeat =
@@ -74,7 +74,7 @@
                 route(received, heartbeat);
             } catch (InvalidMessageException e) {
                 received.reply()
-                        .accept(new Response(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(e.getMessage()))));
+                        .accept(Response.of(HttpStatus.BAD_REQUEST, Json.bytes(UserProtocol.error(e.getMessage()))));
             }
         }
     }
@@ -109,6 +109,6 @@
     /** @param controller null if none is known: the worker goes on to the next one of its list */
     private static void redirect(HeartbeatReceived received, String controller) {
         received.reply()
-                .accept(new Response(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(controller))));
+                .accept(Response.of(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(controller))));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -142,7 +142,7 @@
     private void resign() {
         state.resigned();
         listener.deposed();
-        stateStore.endLease(state.lease(), here(ended -> {}));
+        stateStore.endLease(state.lease(), onLoop(ended -> {}));
         schedulePoll(pollIntervalMs);
     }
 
@@ -154,7 +154,7 @@
 
     private void schedulePoll(long delayMs) {
         long number = ++lastScheduledPoll;
-        after(delayMs, () -> {
+        schedule(delayMs, () -> {
             if (number == lastScheduledPoll) {
                 poll();
             }
@@ -165,7 +165,7 @@
         if (state.isLeading()) {
             return;
         }
-        stateStore.getHedged(StateKeys.LEADER, here(result -> {
+        stateStore.getHedged(StateKeys.LEADER, onLoop(result -> {
             if (!state.isLeading()) {
                 leaderKeyPolled(result);
             }
@@ -189,7 +189,7 @@
         if (state.isHolder(holder)) {
             // Left by a former incarnation of this controller, or by an election of which the reply was lost.
             state.leaderGone();
-            stateStore.endLease(key.lease(), here(ended -> schedulePoll()));
+            stateStore.endLease(key.lease(), onLoop(ended -> schedulePoll()));
             return;
         }
         state.leaderRead(key.value().path(TERM_FIELD).asLong(), holder);
@@ -218,7 +218,7 @@
             return;
         }
         watching = true;
-        stateStore.changes(StateKeys.LEADER, version, leaseMs, here(result -> {
+        stateStore.changes(StateKeys.LEADER, version, leaseMs, onLoop(result -> {
             watching = false;
             if (!state.isLeading() && result instanceof Ok<Changes> ok && isLeaderKeyDeleted(ok.value())) {
                 schedulePoll(random.nextInt((int) Math.max(1, pollIntervalMs / WATCH_JITTER_PART)));
@@ -233,7 +233,7 @@
     // ---- campaigning --------------------------------------------------------------------------
 
     private void campaign() {
-        stateStore.get(StateKeys.TERM, here(result -> {
+        stateStore.get(StateKeys.TERM, onLoop(result -> {
             if (result instanceof Ok<Entry> ok) {
                 JsonNode record = ok.value().value();
                 checkFormat(record.path(FORMAT_FIELD).asInt(1));
@@ -263,7 +263,7 @@
 
     private void requestLease(long formerTerm, long termVersion) {
         long sentAt = loop.nowMs();
-        stateStore.grantLease(leaseMs, here(result -> {
+        stateStore.grantLease(leaseMs, onLoop(result -> {
             if (result instanceof Ok<Long> granted) {
                 commitElection(formerTerm + 1, termVersion, granted.value(), sentAt);
             } else {
@@ -279,7 +279,7 @@
                 .guard(StateKeys.TERM, termVersion)
                 .put(StateKeys.LEADER, Json.object().put(NODE_FIELD, node).put(TERM_FIELD, newTerm), newLease)
                 .put(StateKeys.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, StateKeys.FORMAT));
-        stateStore.commit(transaction, here(result -> {
+        stateStore.commit(transaction, onLoop(result -> {
             if (result instanceof Ok<Long> version) {
                 state.elected(newTerm, newLease);
                 log.info("leader elected: term={} leader={} lease={}", newTerm, node, newLease);
@@ -293,7 +293,7 @@
 
     private void electionLost(StateStoreResult<Long> result, long unusedLease) {
         // If the reply was lost the key may still appear, and is deleted with this lease.
-        stateStore.endLease(unusedLease, here(ended -> {}));
+        stateStore.endLease(unusedLease, onLoop(ended -> {}));
         if (result instanceof Conflict<Long>) {
             poll();
         } else {
@@ -308,7 +308,7 @@
     }
 
     private void scheduleRenewal(long generation) {
-        after(leaseMs / RENEWALS_PER_LEASE, () -> renewLease(generation));
+        schedule(leaseMs / RENEWALS_PER_LEASE, () -> renewLease(generation));
     }
 
     private void renewLease(long generation) {
@@ -316,7 +316,7 @@
             return;
         }
         long sentAt = loop.nowMs();
-        stateStore.renewLease(state.lease(), here(result -> {
+        stateStore.renewLease(state.lease(), onLoop(result -> {
             if (state.isLeadingSince(generation)) {
                 leaseRenewalCompleted(result, sentAt, generation);
             }
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -35,9 +35,9 @@
 
     /** A request over this link has completed, with or without a response. */
     void requestCompleted(Response response, long sentAt, long now) {
-        if (response.isUnsent()) {
+        if (response.isConnectionRefused()) {
             condition = Condition.REFUSED;
-        } else if (response.isNone()) {
+        } else if (response.isUnanswered()) {
             condition = Condition.SILENT;
         } else {
             recordActivity(now);
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -62,7 +62,7 @@
 
     private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
         long sentAt = loop.nowMs();
-        Consumer<Response> onResponse = here(response ->
+        Consumer<Response> onResponse = onLoop(response ->
                 onReply.accept(response.status() == HttpStatus.OK ? PeerProtocol.decode(response.body()) : null));
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
             links.peerRequestCompleted(peer, response, sentAt);
@@ -75,12 +75,12 @@
         String content = request.body() == null ? "" : new String(request.body(), StandardCharsets.UTF_8);
         send(peer, new Relay(request.method(), request.path(), content), timeoutMs, reply -> {
             if (reply instanceof Relayed relayed) {
-                onResponse.accept(new Response(
+                onResponse.accept(Response.retryAfter(
                         relayed.getStatus(),
                         relayed.getContent().getBytes(StandardCharsets.UTF_8),
                         relayed.getStatus() == HttpStatus.SERVICE_UNAVAILABLE ? RETRY_AFTER_S : 0));
             } else {
-                onResponse.accept(Response.NONE);
+                onResponse.accept(Response.UNANSWERED);
             }
         });
     }
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -68,8 +68,8 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof Begin) {
-            every(periodMs, this::sendHeartbeats);
-            every(linkTablePeriodMs, this::exchangeLinkTables);
+            scheduleRepeatedly(periodMs, this::sendHeartbeats);
+            scheduleRepeatedly(linkTablePeriodMs, this::exchangeLinkTables);
         } else if (message instanceof HeartbeatReceived received) {
             heartbeatReceived(received.heartbeat());
         } else if (message instanceof LinkTableReceived received) {
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -93,7 +93,7 @@
     private void scheduleRequest() {
         requestPending = !waiting.isEmpty();
         if (requestPending) {
-            timer.after(Math.max(0, lastRequestAt + requestIntervalMs - loop.nowMs()), this::sendRequest);
+            timer.schedule(Math.max(0, lastRequestAt + requestIntervalMs - loop.nowMs()), this::sendRequest);
         }
     }
 
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -63,7 +63,7 @@
         if (!sendScheduled && inFlight < MAX_IN_FLIGHT) {
             sendScheduled = true;
             // Submissions that are already queued in the event loop join the batch.
-            timer.after(0, () -> {
+            timer.schedule(0, () -> {
                 sendScheduled = false;
                 sendNextBatch();
             });
@@ -100,7 +100,7 @@
                     .guard(StateKeys.OPEN_JOBS + submission.id(), 0)
                     .put(StateKeys.OPEN_JOBS + submission.id(), JobSpecCodec.encode(submission.spec()));
         }
-        stateStore.commit(transaction, result -> timer.after(0, () -> committed(batch, result)));
+        stateStore.commit(transaction, result -> timer.schedule(0, () -> committed(batch, result)));
     }
 
     private void committed(List<Submission> batch, StateStoreResult<Long> result) {
--- a/src/main/java/notchpick/coordination/userapi/UserReplies.java
+++ b/src/main/java/notchpick/coordination/userapi/UserReplies.java
@@ -36,17 +36,17 @@
 
     /** A submission has been accepted. */
     static Response accepted(String job, DisplayedStatus status) {
-        return new Response(HttpStatus.CREATED, Json.bytes(UserProtocol.status(job, status.text)));
+        return Response.of(HttpStatus.CREATED, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
     /** A cancellation request found the job ended, or ended it. */
     static Response ended(String job, DisplayedStatus status) {
-        return new Response(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text)));
+        return Response.of(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
     /** The status of a job, with the counts of its tasks that are done and running. */
     static Response status(String job, DisplayedStatus status, int done, int running) {
-        return new Response(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text, done, running)));
+        return Response.of(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text, done, running)));
     }
 
     /** The request is malformed. */
@@ -76,7 +76,8 @@
 
     /** The user should retry. */
     static Response unavailable(String message) {
-        return new Response(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
+        return Response.retryAfter(
+                HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
     }
 
     /** A submission was rejected for this reason. */
@@ -89,6 +90,6 @@
     }
 
     private static Response error(int status, String message) {
-        return new Response(status, Json.bytes(UserProtocol.error(message)));
+        return Response.of(status, Json.bytes(UserProtocol.error(message)));
     }
 }
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -35,17 +35,17 @@
             EventLoop loop, Deployment deployment, StateStoreClient stateStore, ProgressSource progress) {
         super(loop);
         JobOutcomes outcomes = new JobOutcomes(stateStore);
-        OpenJobCache openJobs = new OpenJobCache(loop, stateStore, outcomes, deployment.requestsPerS(), this::after);
-        JobReader jobs = new JobReader(openJobs, outcomes, stateStore, this::here);
+        OpenJobCache openJobs = new OpenJobCache(loop, stateStore, outcomes, deployment.requestsPerS(), this::schedule);
+        JobReader jobs = new JobReader(openJobs, outcomes, stateStore, this::onLoop);
         this.validator = new SubmissionValidator(deployment);
         this.statuses = new StatusHandler(jobs, outcomes, progress);
         this.submissions = new SubmissionHandler(
                 loop,
                 validator,
                 new DependencyValidator(openJobs, outcomes),
-                new SubmissionBatcher(stateStore, deployment.maxTransactionWrites(), this::after),
+                new SubmissionBatcher(stateStore, deployment.maxTransactionWrites(), this::schedule),
                 statuses);
-        this.cancellations = new CancellationHandler(loop, stateStore, jobs, outcomes, this::here);
+        this.cancellations = new CancellationHandler(loop, stateStore, jobs, outcomes, this::onLoop);
     }
 
     /** Whether submissions can be judged. */
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -204,7 +204,7 @@
             return;
         }
         transport.send(call.request(), call.timeoutMs(), call.hedged(), response -> {
-            if (response.isNone() || response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
+            if (response.isUnanswered() || response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
                 consecutiveFailures++;
             } else {
                 everAnswered = true;
@@ -232,6 +232,6 @@
     }
 
     private static Response tooManyRequests() {
-        return new Response(HttpStatus.TOO_MANY_REQUESTS, new byte[0]);
+        return Response.empty(HttpStatus.TOO_MANY_REQUESTS);
     }
 }
--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -50,7 +50,7 @@
                 .demand(demand)
                 .types(machineTypes(body).orElse(null))
                 .zone(Json.isAbsent(body, WireFields.ZONE) ? null : Json.text(body, WireFields.ZONE))
-                .oneZone(Json.bool(body, "oneZone"))
+                .colocated(Json.bool(body, "oneZone"))
                 .spread(Json.bool(body, "apart"))
                 .spot(Json.bool(body, WireFields.SPOT))
                 .image(Json.text(body, "bundle"))
--- a/src/main/java/notchpick/storage/CommitmentsCodec.java
+++ b/src/main/java/notchpick/storage/CommitmentsCodec.java
@@ -21,7 +21,7 @@
     /** Encodes as many commitments as the value may hold, the largest first, as the others weigh least. */
     public static ObjectNode encode(Map<String, Resources> commitments, int maxBytes) {
         List<String> teams = new ArrayList<>(commitments.keySet());
-        teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.largest(commitments.get(team))));
+        teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.dominant(commitments.get(team))));
         ObjectNode node = Json.object();
         int bytesLeft = maxBytes - 2;
         for (String team : teams) {
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -88,7 +88,7 @@
         if (!busy) {
             busy = true;
             // Whatever else the current message changes shares the transaction.
-            timer.after(0, this::flush);
+            timer.schedule(0, this::flush);
         }
     }
 
@@ -99,7 +99,7 @@
             return;
         }
         if (available < 1) {
-            timer.after(writeBudget.msUntil(1), this::flush);
+            timer.schedule(writeBudget.msUntil(1), this::flush);
             return;
         }
         WriteBatch batch = nextBatch();
@@ -138,7 +138,7 @@
     }
 
     private <T> Consumer<T> inTurn(Consumer<T> then) {
-        return value -> timer.after(0, () -> then.accept(value));
+        return value -> timer.schedule(0, () -> then.accept(value));
     }
 
     private void completed(WriteBatch batch, StateStoreResult<Long> result) {
@@ -150,7 +150,7 @@
             rejected(batch);
         } else {
             batch.members().forEach(this::requeue);
-            timer.after(RETRY_MS, this::flush);
+            timer.schedule(RETRY_MS, this::flush);
         }
     }
 
@@ -211,7 +211,7 @@
                     member.prepared().writes().stream().map(KeyWrite::key).toList(),
                     REJECTED_RETRY_MS);
             member.prepared().listener().rejected();
-            timer.after(REJECTED_RETRY_MS, () -> {
+            timer.schedule(REJECTED_RETRY_MS, () -> {
                 if (!pending.containsKey(member.name())) {
                     write(member.name(), member.change());
                 }
@@ -222,7 +222,7 @@
                 requeue(member);
             }
         }
-        timer.after(RETRY_MS, this::flush);
+        timer.schedule(RETRY_MS, this::flush);
     }
 
     /** Reads the versions of these keys, one after the other, and goes on writing. */
@@ -238,7 +238,7 @@
             } else if (result instanceof Missing<Entry>) {
                 versions.seenMissing(key);
             } else {
-                timer.after(RETRY_MS, () -> reread(keys));
+                timer.schedule(RETRY_MS, () -> reread(keys));
                 return;
             }
             keys.remove();
--- a/src/main/java/notchpick/transport/HttpCaller.java
+++ b/src/main/java/notchpick/transport/HttpCaller.java
@@ -2,49 +2,67 @@
 
 import java.util.function.Consumer;
 
-/** Calls other processes over HTTP. */
+/** Sends HTTP requests to other processes. */
 public interface HttpCaller {
     /**
-     * Calls back exactly once: with {@link Response#NONE} when no answer came in time, with {@link Response#UNSENT}
-     * when the connection was refused, so that the request surely has not been sent.
+     * Sends a request, and calls back exactly once, from any thread: with {@link Response#UNANSWERED} if no response came
+     * in time, with {@link Response#CONNECTION_REFUSED} if nobody listens, so that the request was surely not sent.
      */
-    void call(Request call, long timeoutMs, Consumer<Response> then);
+    void call(Request request, long timeoutMs, Consumer<Response> callback);
 
-    /** A request; target is {@code address:port}, path includes the query. */
+    /**
+     * A request.
+     *
+     * @param target {@code address:port}; null in a request that was received
+     * @param path with the query
+     * @param body null if there is none
+     */
     record Request(String target, String method, String path, byte[] body) {}
 
     /**
-     * A response; a status of 0 or less stands for none.
+     * A response, or that there was none.
      *
-     * @param isLast whether the server ends the connection with it
+     * @param status the HTTP status; 0 or less if there was no response
+     * @param retryAfterS after how many seconds the client should come again; 0 says nothing of it
+     * @param closesConnection whether the server closes the connection after it
      */
-    record Response(int status, byte[] body, int retryAfterS, boolean isLast) {
-        public static final Response NONE = new Response(0, new byte[0]);
-        public static final Response UNSENT = new Response(-1, new byte[0]);
+    record Response(int status, byte[] body, int retryAfterS, boolean closesConnection) {
+        private static final byte[] NO_BODY = {};
 
-        public Response(int status, byte[] body) {
-            this(status, body, 0);
+        /** Whether the request took effect is unknown. */
+        public static final Response UNANSWERED = empty(0);
+        /** The request was surely not sent. */
+        public static final Response CONNECTION_REFUSED = empty(-1);
+
+        public static Response of(int status, byte[] body) {
+            return new Response(status, body, 0, false);
         }
 
-        public Response(int status, byte[] body, int retryAfterS) {
-            this(status, body, retryAfterS, false);
+        /** A response without body. */
+        public static Response empty(int status) {
+            return of(status, NO_BODY);
         }
 
-        /**
-         * Whether the request surely has not been sent. Not by comparing with {@link #UNSENT}: what compares records
-         * is made when it is first used, which takes a tenth of the start.
-         */
-        public boolean isUnsent() {
-            return status == UNSENT.status;
+        /** A response that asks the client to come again after so many seconds. */
+        public static Response retryAfter(int status, byte[] body, int retryAfterS) {
+            return new Response(status, body, retryAfterS, false);
         }
 
-        /** The same to somebody who will go elsewhere: the connection ends with it. */
-        public Response last() {
+        /** The same response to a client that should go to another server: the connection is closed after it. */
+        public Response closingConnection() {
             return new Response(status, body, retryAfterS, true);
         }
 
-        /** Whether there was no answer of any kind. */
-        public boolean isNone() {
+        /**
+         * Whether the connection was refused, so that the request was surely not sent. By the status alone: a record's
+         * equals is made when it is first used, which would delay the start.
+         */
+        public boolean isConnectionRefused() {
+            return status == CONNECTION_REFUSED.status;
+        }
+
+        /** Whether there was no response of any kind. */
+        public boolean isUnanswered() {
             return status <= 0;
         }
     }
--- a/src/main/java/notchpick/transport/HttpHandler.java
+++ b/src/main/java/notchpick/transport/HttpHandler.java
@@ -2,7 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Serves requests of other processes; may answer later, and from any thread. */
+/** Serves HTTP requests of other processes. */
 public interface HttpHandler {
-    void handle(HttpCaller.Request call, Consumer<HttpCaller.Response> reply);
+    /**
+     * Handles one request, on a thread that must not be blocked.
+     *
+     * @param reply takes the response, once; now or later, from any thread
+     */
+    void handle(HttpCaller.Request request, Consumer<HttpCaller.Response> reply);
 }
--- a/src/test/java/notchpick/app/LinkStatusCommandTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -45,10 +45,10 @@
 
     private static Response response(String target) {
         return switch (target) {
-            case "a:2" -> new Response(200, PeerProtocol.encode(TABLE));
-            case "b:2" -> Response.UNSENT;
-            case "c:2" -> Response.NONE;
-            default -> new Response(400, new byte[0]);
+            case "a:2" -> Response.of(200, PeerProtocol.encode(TABLE));
+            case "b:2" -> Response.CONNECTION_REFUSED;
+            case "c:2" -> Response.UNANSWERED;
+            default -> Response.empty(400);
         };
     }
 
--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -36,6 +36,7 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
 import notchpick.transport.JettyHttpServer;
+import notchpick.transport.JettyHttpServer.Endpoint;
 import notchpick.transport.Timer;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -101,16 +102,16 @@
         cloud.setCapacity(new NodePool(type.name(), "east", true), 4);
         HttpHandler stateHandler = (call, reply) -> executor.execute(() -> stateStore.handle(call, reply));
         HttpHandler cloudHandler = (call, reply) -> executor.execute(() -> cloud.handle(call, reply));
-        HttpHandler peerHandler = (call, reply) -> reply.accept(new Response(200, PeerProtocol.encode(pulse())));
+        HttpHandler peerHandler = (call, reply) -> reply.accept(Response.of(200, PeerProtocol.encode(pulse())));
         QueuedThreadPool threads = new QueuedThreadPool(8, 2);
         threads.start();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
         scheduler.start();
-        Map<String, HttpHandler> handlers = Map.of(
-                addresses.stateStore(), stateHandler,
-                addresses.cloud(), cloudHandler,
-                addresses.otherController(), peerHandler);
-        new JettyHttpServer(threads, scheduler, new ArrayByteBufferPool(), handlers, "", 30_000, 1000, 2000).start();
+        List<Endpoint> endpoints = List.of(
+                Endpoint.forClients(addresses.stateStore(), stateHandler, 1000, 2000),
+                Endpoint.forClients(addresses.cloud(), cloudHandler, 1000, 2000),
+                Endpoint.forClients(addresses.otherController(), peerHandler, 1000, 2000));
+        new JettyHttpServer(threads, scheduler, new ArrayByteBufferPool(), endpoints, 30_000).start();
     }
 
     private static ObjectNode settings(Addresses addresses) {
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -76,7 +76,7 @@
                 if (PeerProtocol.decode(call.body()) instanceof Grant grant) {
                     granted = grant;
                 } else {
-                    then.accept(Response.NONE);
+                    then.accept(Response.UNANSWERED);
                 }
             },
             links);
@@ -99,7 +99,7 @@
             heartbeat -> {});
     private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
     private final TermContext context =
-            new TermContext(TERM, loop, loop::after, deployment, cluster, machineTypes, new RuntimeEstimator());
+            new TermContext(TERM, loop, loop::schedule, deployment, cluster, machineTypes, new RuntimeEstimator());
     private final ResourceLeases leases =
             new ResourceLeases(context, Tuning.DEFAULT, peerRegistry, peerClient, new ResourceLeases.Listener() {
                 @Override
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -64,7 +64,7 @@
     }
 
     private void leaderCanRelay() {
-        links.peerRequestCompleted(LEADER, new Response(200, new byte[0]), loop.nowMs());
+        links.peerRequestCompleted(LEADER, Response.empty(200), loop.nowMs());
         peers.linkTableReceived(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
     }
 
--- a/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
+++ b/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
@@ -10,8 +10,8 @@
 
 /** How a link is judged by the traffic that flows over it. */
 class LinkHealthTest {
-    private static final Response OK = new Response(200, new byte[0]);
-    private static final Response UNAVAILABLE = new Response(503, new byte[0]);
+    private static final Response OK = Response.empty(200);
+    private static final Response UNAVAILABLE = Response.empty(503);
 
     private final LinkHealth link = new LinkHealth(1000);
 
@@ -25,9 +25,9 @@
 
     @Test
     void tellsRefusalSilenceAndUnavailabilityApart() {
-        link.requestCompleted(Response.UNSENT, 0, 10);
+        link.requestCompleted(Response.CONNECTION_REFUSED, 0, 10);
         assertEquals(Condition.REFUSED, link.condition());
-        link.requestCompleted(Response.NONE, 0, 20);
+        link.requestCompleted(Response.UNANSWERED, 0, 20);
         assertEquals(Condition.SILENT, link.condition());
         link.requestCompleted(UNAVAILABLE, 0, 30);
         assertEquals(Condition.TURNED_AWAY, link.condition());
@@ -38,7 +38,7 @@
     @Test
     void onlyResponsesAndMessagesAreActivity() {
         link.messageReceived(100);
-        link.requestCompleted(Response.NONE, 0, 200);
+        link.requestCompleted(Response.UNANSWERED, 0, 200);
         assertEquals(150, link.ageMs(250));
         assertTrue(link.isActiveWithin(150, 250));
         assertFalse(link.isActiveWithin(149, 250));
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -116,11 +116,11 @@
         peers.linkTableReceived(table("n-1"));
         peers.linkTableReceived(table("n-2"));
         assertEquals(List.of(), peers.stateStoreRelays());
-        links.peerRequestCompleted("n-1", new Response(200, new byte[0]), loop.nowMs());
-        links.peerRequestCompleted("n-2", new Response(200, new byte[0]), loop.nowMs());
+        links.peerRequestCompleted("n-1", Response.empty(200), loop.nowMs());
+        links.peerRequestCompleted("n-2", Response.empty(200), loop.nowMs());
         assertEquals(List.of("n-1"), peers.stateStoreRelays());
         assertTrue(peers.canRelay("n-2"));
-        links.peerRequestCompleted("n-1", Response.NONE, loop.nowMs());
+        links.peerRequestCompleted("n-1", Response.UNANSWERED, loop.nowMs());
         assertEquals(List.of(), peers.stateStoreRelays());
     }
 }
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -29,6 +29,7 @@
 import notchpick.transport.HttpHandler;
 import notchpick.transport.JettyHttpCaller;
 import notchpick.transport.JettyHttpServer;
+import notchpick.transport.JettyHttpServer.Endpoint;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -129,15 +130,15 @@
             throws Exception {
         HttpHandler stateHandler = (call, reply) -> arrived.add(() -> stateStore.handle(call, reply));
         HttpHandler cloudHandler = (call, reply) -> arrived.add(() -> cloud.handle(call, reply));
+        int maxConnections = Math.max(100, 2 * machines);
         new JettyHttpServer(
                         threads,
                         scheduler,
                         new ArrayByteBufferPool(),
-                        Map.of(addresses.get(0), stateHandler, addresses.get(1), cloudHandler),
-                        "",
-                        60_000,
-                        Math.max(100, 2 * machines),
-                        10_000)
+                        List.of(
+                                Endpoint.forClients(addresses.get(0), stateHandler, maxConnections, 10_000),
+                                Endpoint.forClients(addresses.get(1), cloudHandler, maxConnections, 10_000)),
+                        60_000)
                 .start();
     }
 
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -205,7 +205,7 @@
         if (job != null) {
             checkDependencies(job, task);
             checkOneZone(job, task, zone);
-            if (!job.allows(type, zone, spot) || runningInZone(job, zone) > job.zoneLimit()) {
+            if (!job.allows(type, zone, spot) || runningInZone(job, zone) > job.maxTasksPerZone()) {
                 violation("wrong_place", task + " on " + type + " in " + zone);
             }
             checkQuota(job.team());
@@ -243,7 +243,7 @@
     }
 
     private void checkOneZone(JobSpec job, String task, String zone) {
-        if (!job.oneZone()) {
+        if (!job.colocated()) {
             return;
         }
         running.forEach((other, where) -> {
--- a/src/test/java/notchpick/simulation/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -65,7 +65,7 @@
 
     @Test
     void jobOfOneZoneInTwoZonesIsAViolation() {
-        submit(job("run-1").tasks(2).oneZone(true));
+        submit(job("run-1").tasks(2).colocated(true));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/1", "m8", "west", true);
         assertViolation("wrong_place");
@@ -300,7 +300,7 @@
 
     @Test
     void placementsWithinTheRulesAreNoViolation() {
-        submit(job("run-1").tasks(2).oneZone(true));
+        submit(job("run-1").tasks(2).colocated(true));
         invariants.started("m-1", "run-1/0", "m8", "east", true);
         invariants.started("m-2", "run-1/1", "m8", "east", true);
         invariants.stopped("m-1", "run-1/0");
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -135,7 +135,7 @@
         }
         switch (call.path()) {
             case "/machine_types" ->
-                reply.accept(new Response(200, Json.bytes(MachineTypesCodec.encode(types.values()))));
+                reply.accept(Response.of(200, Json.bytes(MachineTypesCodec.encode(types.values()))));
             case "/rentals" -> handleRental(Json.object(call.body()), reply);
             case "/rentals/release" -> handleRelease(Json.object(call.body()), reply);
             default -> reply.accept(list());
@@ -143,12 +143,12 @@
     }
 
     private static Response error(String reason) {
-        return new Response(503, Json.bytes(Json.object().put("error", reason)));
+        return Response.of(503, Json.bytes(Json.object().put("error", reason)));
     }
 
     private void handleRental(ObjectNode body, Consumer<Response> reply) {
         if (rentalDelayMs > 0) {
-            timer.after(rentalDelayMs, () -> rent(body));
+            timer.schedule(rentalDelayMs, () -> rent(body));
             rentalDelayMs = 0;
         } else {
             reply.accept(rent(body));
@@ -159,18 +159,18 @@
         List<String> names = new ArrayList<>();
         body.path("boxes").forEach(name -> names.add(name.asText()));
         if (releaseDelayMs > 0) {
-            timer.after(releaseDelayMs, () -> names.forEach(this::reclaim));
+            timer.schedule(releaseDelayMs, () -> names.forEach(this::reclaim));
             releaseDelayMs = 0;
         } else {
             names.forEach(this::reclaim);
-            reply.accept(new Response(200, Json.bytes(Json.object())));
+            reply.accept(Response.of(200, Json.bytes(Json.object())));
         }
     }
 
     private Response rent(JsonNode body) {
         String request = body.path("hireSlip").asText();
         if (rentalAnswers.containsKey(request)) {
-            return new Response(200, rentalAnswers.get(request));
+            return Response.of(200, rentalAnswers.get(request));
         }
         MachineType type = types.get(body.path("boxKind").asText());
         NodePool pool = new NodePool(
@@ -185,7 +185,7 @@
             names.add(rentMachine(type, pool, i * BOOT_INTERVAL_MS));
         }
         rentalAnswers.put(request, Json.bytes(answer));
-        return new Response(200, rentalAnswers.get(request));
+        return Response.of(200, rentalAnswers.get(request));
     }
 
     private int rentedIn(NodePool pool) {
@@ -203,7 +203,7 @@
         if (machinesThatNeverBoot > 0) {
             machinesThatNeverBoot--;
         } else {
-            timer.after((long) (type.bootS() * bootTimeFactor * MS_PER_S) + extraBootMs, () -> boot(machine));
+            timer.schedule((long) (type.bootS() * bootTimeFactor * MS_PER_S) + extraBootMs, () -> boot(machine));
         }
         return name;
     }
@@ -222,7 +222,7 @@
         if (listing != Listing.NOTHING) {
             machines.values().forEach(machine -> list.add(json(machine)));
         }
-        return new Response(200, Json.bytes(body.put("truncated", false)));
+        return Response.of(200, Json.bytes(body.put("truncated", false)));
     }
 
     private ObjectNode json(RentedMachine machine) {
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -185,13 +185,13 @@
             callCounts.merge(call.target(), 1, Integer::sum);
             transcript.called(time.now(), host, call);
             Consumer<Response> answerOnce = once(then, isAlive);
-            time.after(timeoutMs, () -> answerOnce.accept(Response.NONE));
+            time.after(timeoutMs, () -> answerOnce.accept(Response.UNANSWERED));
             String to = hostsByAddress.get(call.target());
             if (cutBetween(host, to).filter(cut -> cuts.get(cut) == Cut.REFUSE).isPresent()) {
-                time.after(LATENCY_MS, () -> answerOnce.accept(Response.UNSENT));
+                time.after(LATENCY_MS, () -> answerOnce.accept(Response.CONNECTION_REFUSED));
                 return;
             }
-            Runnable reset = () -> answerOnce.accept(Response.NONE);
+            Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
             carry(host, to, () -> serveCall(host, call, answerOnce), reset);
         };
     }
@@ -208,10 +208,10 @@
 
     private void serveCall(String from, Request call, Consumer<Response> answerOnce) {
         String to = hostsByAddress.get(call.target());
-        Runnable reset = () -> answerOnce.accept(Response.NONE);
+        Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
         HttpHandler handler = handlers.get(call.target());
         if (handler == null) {
-            carry(to, from, () -> answerOnce.accept(Response.UNSENT), reset);
+            carry(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
         // The state service refuses by who calls, so the caller's name goes along.
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -25,9 +25,9 @@
     private static final int MAX_GUARDS_PER_WRITE = 4;
     private static final String KEYS_PATH = "/keys/";
 
-    private static final Response BAD_REQUEST = new Response(400, new byte[0]);
-    private static final Response OVER_RATE = new Response(429, new byte[0]);
-    private static final Response UNAVAILABLE = new Response(503, new byte[0]);
+    private static final Response BAD_REQUEST = Response.empty(400);
+    private static final Response OVER_RATE = Response.empty(429);
+    private static final Response UNAVAILABLE = Response.empty(503);
 
     private final LongSupplier clock;
     private final Timer timer;
@@ -216,7 +216,7 @@
     private void handleCommit(Request call, Consumer<Response> reply) {
         OptionalLong unansweredDelayMs = faults.delayOfUnansweredCommit();
         if (unansweredDelayMs.isPresent()) {
-            timer.after(unansweredDelayMs.getAsLong(), () -> applyWithoutAnswer(call));
+            timer.schedule(unansweredDelayMs.getAsLong(), () -> applyWithoutAnswer(call));
         } else {
             reply.accept(commit(Json.object(call.body())));
         }
@@ -229,7 +229,7 @@
     private void handleList(Request call, Consumer<Response> reply) {
         Response answer = list(query(call));
         if (faults.listDelayMs() > 0) {
-            timer.after(faults.listDelayMs(), () -> reply.accept(answer));
+            timer.schedule(faults.listDelayMs(), () -> reply.accept(answer));
         } else {
             reply.accept(answer);
         }
@@ -306,12 +306,12 @@
         }
         for (JsonNode write : changes) {
             if (write.has("permit") && !leases.exists(write.path("permit").asLong())) {
-                return new Response(400, Json.bytes(Json.object().put("error", "no such lease")));
+                return Response.of(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
         ObjectNode conflict = Json.object();
         if (!addFailedGuards(body.path("guards"), conflict.putArray("failed")).isEmpty()) {
-            return new Response(409, Json.bytes(conflict.put("ledgerNo", data.revision())));
+            return Response.of(409, Json.bytes(conflict.put("ledgerNo", data.revision())));
         }
         apply(changes);
         return ok(Json.object().put("ledgerNo", data.revision()));
@@ -359,11 +359,11 @@
     // ---- messages ------------------------------------------------------------------------------
 
     private static Response ok(JsonNode body) {
-        return new Response(200, Json.bytes(body));
+        return Response.of(200, Json.bytes(body));
     }
 
     private Response notFound() {
-        return new Response(404, Json.bytes(Json.object().put("ledgerNo", data.revision())));
+        return Response.of(404, Json.bytes(Json.object().put("ledgerNo", data.revision())));
     }
 
     private static ObjectNode json(String key, Entry entry) {
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -66,11 +66,11 @@
 
             @Override
             public void execute(Runnable work) {
-                after(0, work);
+                schedule(0, work);
             }
 
             @Override
-            public void after(long delayMs, Runnable work) {
+            public void schedule(long delayMs, Runnable work) {
                 runAfter((long) Math.ceil(delayMs / rate), work);
             }
 
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -60,9 +60,9 @@
     /** Spreads the heartbeats of workers and over time. */
     private static final long JITTER_STEP_MS = 131;
 
-    private static final Response MALFORMED = new Response(400, new byte[0]);
-    private static final Response STALE = new Response(409, new byte[0]);
-    private static final Response OK = new Response(200, new byte[0]);
+    private static final Response MALFORMED = Response.empty(400);
+    private static final Response STALE = Response.empty(409);
+    private static final Response OK = Response.empty(200);
 
     private final RentedMachine machine;
     private final HttpCaller caller;
@@ -192,7 +192,7 @@
         byte[] heartbeat = Json.bytes(heartbeat(sent.tasks()));
         environment.listener().heartbeatSent(heartbeat);
         if (faults.isMute()) {
-            time.after(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.NONE, sent));
+            time.after(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
             return;
         }
         String address = environment.controllers().get(controllers.get(controller));
@@ -229,12 +229,12 @@
                 }
             });
         }
-        time.after(sent.sentAt() + ANSWER_TIMEOUT_MS - time.now(), () -> handleAnswer(Response.NONE, sent));
+        time.after(sent.sentAt() + ANSWER_TIMEOUT_MS - time.now(), () -> handleAnswer(Response.UNANSWERED, sent));
     }
 
     private void handleAnswer(Response answer, SentHeartbeat sent) {
         if (faults.isHanging() && !faults.isDead()) {
-            faults.defer(() -> handleAnswer(isTimedOut(sent) ? Response.NONE : answer, sent));
+            faults.defer(() -> handleAnswer(isTimedOut(sent) ? Response.UNANSWERED : answer, sent));
             return;
         }
         awaitsAnswer = false;
@@ -308,7 +308,7 @@
             return MALFORMED;
         }
         if (faults.isDead() || faults.isHanging() || faults.isDeaf()) {
-            return Response.NONE;
+            return Response.UNANSWERED;
         }
         long token = body.path("mandate").asLong();
         if (token < lease.token() || body.path("shift").asLong() != lease.incarnation()) {
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -18,7 +18,7 @@
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedWorker worker = new SimulatedWorker(
             new RentedMachine("m-1", ClusterConfig.machineType("m8", 10), "east", true, 0),
-            (call, timeoutMs, then) -> time.after(timeoutMs, () -> then.accept(Response.NONE)),
+            (call, timeoutMs, then) -> time.after(timeoutMs, () -> then.accept(Response.UNANSWERED)),
             new WorkerEnvironment(
                     time,
                     new InvariantChecker(time::now, TIMING.cancelTimeoutMs(), Map.of()),
@@ -90,7 +90,7 @@
     @Test
     void receivesNoCommandWhileDeaf() {
         worker.setDeaf(true);
-        assertEquals(Response.NONE.status(), start(2, 1, "run-1/0"));
+        assertEquals(Response.UNANSWERED.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
     }
 }
--- a/src/test/java/notchpick/simulation/StateStoreLeases.java
+++ b/src/test/java/notchpick/simulation/StateStoreLeases.java
@@ -58,7 +58,7 @@
     private void extend(long lease, long durationMs) {
         long end = clock.getAsLong() + durationMs;
         expiresAt.put(lease, end);
-        timer.after(end - clock.getAsLong() + 1, () -> {
+        timer.schedule(end - clock.getAsLong() + 1, () -> {
             Long current = expiresAt.get(lease);
             if (current != null && current <= clock.getAsLong() && !faults.isOutage()) {
                 end(lease);
--- a/src/test/java/notchpick/simulation/StateStoreWatches.java
+++ b/src/test/java/notchpick/simulation/StateStoreWatches.java
@@ -42,7 +42,7 @@
     /** Answers the watch as soon as it is due. */
     void open(Watch watch) {
         open.add(watch);
-        timer.after(watch.until() - clock.getAsLong() + 1, this::answerDue);
+        timer.schedule(watch.until() - clock.getAsLong() + 1, this::answerDue);
         answerDue();
     }
 
@@ -74,6 +74,6 @@
                 node.put("put", change.key()).set("v", change.value());
             }
         }
-        return new Response(200, Json.bytes(body));
+        return Response.of(200, Json.bytes(body));
     }
 }
--- a/src/test/java/notchpick/simulation/WaitingJobMonitor.java
+++ b/src/test/java/notchpick/simulation/WaitingJobMonitor.java
@@ -65,7 +65,7 @@
     private boolean fits(JobSpec spec, SimulatedWorker worker, Map<String, Integer> tasksByZone) {
         return worker.canStartTasks()
                 && spec.allows(worker.type().name(), worker.zone(), worker.spot())
-                && spec.allowsAmongFellows(worker.zone(), tasksByZone)
+                && spec.allowsZoneAmongTasks(worker.zone(), tasksByZone)
                 && spec.demand().fitsIn(fleet.freeResources(worker));
     }
 }
--- a/src/test/java/notchpick/transport/SocketTest.java
+++ b/src/test/java/notchpick/transport/SocketTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -83,7 +83,7 @@
                 return;
             }
             if (call.path().equals("/last")) {
-                reply.accept(new Response(503, new byte[0]).last());
+                reply.accept(Response.empty(503).closingConnection());
                 return;
             }
             if (call.path().equals("/broken")) {
@@ -92,10 +92,14 @@
             byte[] body = call.body().length > 0
                     ? call.body()
                     : (call.method() + " " + call.path()).getBytes(StandardCharsets.UTF_8);
-            reply.accept(new Response(201, body));
+            reply.accept(Response.of(201, body));
         };
         server = new JettyHttpServer(
-                threads, scheduler, new ArrayByteBufferPool(), Map.of(address, echo), "", 30_000, MOST, 500);
+                threads,
+                scheduler,
+                new ArrayByteBufferPool(),
+                List.of(JettyHttpServer.Endpoint.forClients(address, echo, MOST, 500)),
+                30_000);
         server.start();
         caller = new JettyHttpCaller(threads, scheduler, 4, 1000);
     }
@@ -167,7 +171,8 @@
 
     @Test
     void anAnswerMayEndItsConnection() throws Exception {
-        Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
+        Socket socket = new Socket(
+                InetAddress.getLoopbackAddress(), Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write("GET /last HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -177,8 +182,8 @@
 
     @AfterEach
     void stop() throws Exception {
-        caller.stop();
-        server.stop();
+        caller.close();
+        server.close();
         scheduler.stop();
         threads.stop();
     }
@@ -207,10 +212,10 @@
 
     @Test
     void noAnswerInTimeIsToldFromNoServer() throws Exception {
-        assertEquals(Response.NONE, call("GET", "/never", null, 200));
+        assertEquals(Response.UNANSWERED, call("GET", "/never", null, 200));
         address = "127.0.0.1:1";
-        assertEquals(Response.UNSENT, call("GET", "/x", null, 2000));
-        assertTrue(Response.NONE.isNone() && Response.UNSENT.isNone());
+        assertEquals(Response.CONNECTION_REFUSED, call("GET", "/x", null, 2000));
+        assertTrue(Response.UNANSWERED.isUnanswered() && Response.CONNECTION_REFUSED.isUnanswered());
     }
 
     @Test
