--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -34,7 +34,7 @@
      * @param slackS for how long it may wait and still be on time
      * @param workS how long all cores together would need for its unfinished tasks
      */
-    private record RankedJob<J>(WaitingJob<J> waiting, int priority, double slackS, double workS) {
+    private record RankedJob<J>(WaitingJob<J> waiting, JobSpec.Priority priority, double slackS, double workS) {
         private boolean isLate() {
             return slackS < 0;
         }
@@ -90,7 +90,7 @@
         JobSpec spec = waiting.spec();
         return new RankedJob<>(
                 waiting,
-                spec.priority().ordinal(),
+                spec.priority(),
                 objectives.slackS(spec, spec.ageS(wallTimeMs), waiting.runS()),
                 waiting.remainingS() / Math.max(cores, 1));
     }
@@ -103,7 +103,7 @@
 
     /** Late jobs come last within their priority, lest they make others late too. */
     private static <J> Comparator<RankedJob<J>> byPriority() {
-        return Comparator.<RankedJob<J>>comparingInt(RankedJob::priority)
+        return Comparator.<RankedJob<J>, JobSpec.Priority>comparing(RankedJob::priority)
                 .thenComparing(RankedJob::isLate)
                 .thenComparing(byDueTime());
     }
@@ -118,7 +118,7 @@
     private static <J> List<RankedJob<J>> selectOnTime(
             List<RankedJob<J>> jobs, double precedingWorkS, List<RankedJob<J>> deferred) {
         PriorityQueue<RankedJob<J>> selected =
-                new PriorityQueue<>(Comparator.<RankedJob<J>>comparingInt(RankedJob::priority)
+                new PriorityQueue<>(Comparator.<RankedJob<J>, JobSpec.Priority>comparing(RankedJob::priority)
                         .thenComparingDouble(RankedJob::workS)
                         .reversed());
         double completionS = precedingWorkS;
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -297,7 +297,7 @@
 
     /** Whether it may preempt work of lower priority. */
     public boolean isUrgent() {
-        return priority.ordinal() <= Priority.HIGH.ordinal();
+        return priority.compareTo(Priority.HIGH) <= 0;
     }
 
     public boolean isService() {
--- a/src/main/java/notchpick/scheduling/PackedMachine.java
+++ b/src/main/java/notchpick/scheduling/PackedMachine.java
@@ -16,7 +16,7 @@
         JobSpec spec = demand.spec();
         if (!hasCores(spec.demand().cores())
                 || !spec.allows(pool.type(), pool.zone(), pool.spot())
-                || !pool.spot() && !demand.mayUseOnDemand()) {
+                || (!pool.spot() && !demand.mayUseOnDemand())) {
             return 0;
         }
         int packed = Math.min(tasks, spec.demand().copiesFittingIn(freeResources));
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
@@ -28,7 +29,7 @@
     /** Nodes, all of them spot instances or none: sorted as a whole and, once asked for, those with an image. */
     private static final class SortedNodes<N extends CandidateNode> {
         private final TreeSet<Entry<N>> all = new TreeSet<>(BY_FREE_CORES);
-        private final Map<String, TreeSet<Entry<N>>> byImage = new HashMap<>();
+        private final Map<String, NavigableSet<Entry<N>>> byImage = new HashMap<>();
 
         private void add(Entry<N> entry) {
             all.add(entry);
@@ -44,12 +45,12 @@
             byImage.values().forEach(entries -> entries.remove(entry));
         }
 
-        private TreeSet<Entry<N>> withImage(String image) {
+        private NavigableSet<Entry<N>> withImage(String image) {
             return byImage.computeIfAbsent(image, this::selectWithImage);
         }
 
-        private TreeSet<Entry<N>> selectWithImage(String image) {
-            TreeSet<Entry<N>> entries = new TreeSet<>(BY_FREE_CORES);
+        private NavigableSet<Entry<N>> selectWithImage(String image) {
+            NavigableSet<Entry<N>> entries = new TreeSet<>(BY_FREE_CORES);
             for (Entry<N> entry : all) {
                 if (entry.node().images().contains(image)) {
                     entries.add(entry);
@@ -61,7 +62,7 @@
 
     private final SortedNodes<N> spot = new SortedNodes<>();
     private final SortedNodes<N> onDemand = new SortedNodes<>();
-    private final Map<N, Entry<N>> entries = new IdentityHashMap<>();
+    private final IdentityHashMap<N, Entry<N>> entries = new IdentityHashMap<>();
     private long examined;
 
     public PlacementIndex(Collection<N> nodes) {
@@ -144,7 +145,7 @@
         return choose(nodes.all, spec, node -> !node.images().contains(spec.image()) && admits.test(node), startDelay);
     }
 
-    private N choose(TreeSet<Entry<N>> sorted, JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
+    private N choose(NavigableSet<Entry<N>> sorted, JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
         Entry<N> leastFreeCores = new Entry<>(spec.demand().cores() - Resources.EPSILON, -1, null);
         N best = null;
         long bestDelay = Long.MAX_VALUE;
--- a/src/main/java/notchpick/scheduling/PoolSelector.java
+++ b/src/main/java/notchpick/scheduling/PoolSelector.java
@@ -55,7 +55,7 @@
                 double price = pricePerUsedCore(demand.spec(), tasks, type, pool);
                 if (best == null
                         || price < bestPrice
-                        || price == bestPrice && machineCount(pool) < machineCount(best.pool())) {
+                        || (price == bestPrice && machineCount(pool) < machineCount(best.pool()))) {
                     best = new Offer(pool, type);
                     bestPrice = price;
                 }
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -50,8 +50,8 @@
             double beingFreedCores,
             ToDoubleFunction<String> coresBeyondGuarantee) {
         List<Victim<T>> remaining = new ArrayList<>(victims);
-        remaining.sort(
-                Comparator.comparingInt(victim -> -victim.spec().priority().ordinal()));
+        remaining.sort(Comparator.comparing((Victim<T> victim) -> victim.spec().priority())
+                .reversed());
         Map<String, Double> beyondGuarantee = new HashMap<>();
         List<T> chosen = new ArrayList<>();
         double freedCores = beingFreedCores;
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -99,7 +99,7 @@
             heartbeat -> {});
     private final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
     private final TermContext context =
-            new TermContext(TERM, loop, loop::schedule, deployment, cluster, machineTypes, new RuntimeEstimator());
+            new TermContext(TERM, loop, loop, deployment, cluster, machineTypes, new RuntimeEstimator());
     private final ResourceLeases leases =
             new ResourceLeases(context, Tuning.DEFAULT, peerRegistry, peerClient, new ResourceLeases.Listener() {
                 @Override
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -15,6 +15,7 @@
 
 /** Effective priorities and deadlines; incremental changes are compared with a rebuild on random graphs. */
 class CriticalPathTest {
+    private static final List<Priority> PRIORITIES = List.of(Priority.values());
     private final CriticalPath path = new CriticalPath();
     private final Map<String, JobSpec> jobs = new HashMap<>();
 
@@ -93,7 +94,7 @@
                     }
                 }
                 JobSpec spec = TestJobs.job("j" + i)
-                        .priority(Priority.values()[random.nextInt(4)])
+                        .priority(PRIORITIES.get(random.nextInt(4)))
                         .estimateS(20)
                         .deadlineS(random.nextBoolean() ? 100.0 + random.nextInt(500) : null)
                         .dependencies(dependencies)
--- a/src/test/java/notchpick/storage/FencedWriterTest.java
+++ b/src/test/java/notchpick/storage/FencedWriterTest.java
@@ -35,7 +35,7 @@
             250);
     private final List<String> events = new ArrayList<>();
     private final FencedWriter writer =
-            new FencedWriter(client, loop, loop::schedule, 0, MAX_WRITES, 42, () -> events.add("leadership lost"));
+            new FencedWriter(client, loop, loop, 0, MAX_WRITES, 42, () -> events.add("leadership lost"));
 
     private static JsonNode value(String text) {
         return Json.object().put("text", text);
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -43,7 +43,7 @@
             new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
     private final StateStoreClient api =
             new StateStoreClient(StateStoreTransport.direct(this::call), loop, "s:1", 1500, 250);
-    private final FencedWriter writer = new FencedWriter(api, loop, loop::schedule, 0, MAX_WRITES, 42, () -> {});
+    private final FencedWriter writer = new FencedWriter(api, loop, loop, 0, MAX_WRITES, 42, () -> {});
     private final Set<TaskAssignment> durable = new HashSet<>();
     private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
             writer,
@@ -229,7 +229,7 @@
     void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
         List<TaskAssignment> left = leftLong(0, 200);
         state.limits(new StateStoreLimits(SHORT_BYTES, 4, 42));
-        FencedWriter small = new FencedWriter(api, loop, loop::schedule, 0, 4, 29, () -> {});
+        FencedWriter small = new FencedWriter(api, loop, loop, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
         values.load(StateKeys.LAUNCHES + 0, left);
         small.versionRead(StateKeys.LAUNCHES + 0, 1);
