--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import notchpick.coordination.leader.allocation.ResourceLeases;
 import notchpick.coordination.leader.scaling.Autoscaler;
 import notchpick.coordination.leader.term.TermContext;
@@ -53,8 +54,9 @@
             }
         }
         double usedRatio = 1 - freeCores / Math.max(1, cluster.capacity().cores());
-        int most = Consolidation.most(candidates.size(), usedRatio);
-        Consolidation.find(candidates, moving, most - draining).forEach(Defragmenter::drain);
+        int maxDraining = Consolidation.maxDraining(candidates.size(), usedRatio);
+        Consolidation.selectForDraining(candidates, moving, maxDraining - draining)
+                .forEach(Defragmenter::drain);
     }
 
     private boolean isWorkWaiting() {
@@ -70,8 +72,8 @@
         machine.assignments().forEach(TaskAssignment::requestCheckpointAndStop);
     }
 
-    /** The machine's tasks, or null if one of them can't be moved now, or moving it would not pay. */
-    private List<JobSpec> movableTasks(Machine machine, long now) {
+    /** The machine's tasks; empty if one of them can't be moved now, or moving it would not pay. */
+    private Optional<List<JobSpec>> movableTasks(Machine machine, long now) {
         List<JobSpec> tasks = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments()) {
             JobSpec spec = assignment.spec();
@@ -79,10 +81,10 @@
             double remainingS = context.runtimes().runS(spec) - ranS;
             boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
             if (!assignment.mayBePreempted(now) || !pays || spec.hasZoneConstraint()) {
-                return null;
+                return Optional.empty();
             }
             tasks.add(spec);
         }
-        return tasks;
+        return Optional.of(tasks);
     }
 }
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -191,7 +191,7 @@
         if (!machine.images().contains(spec.image())) {
             job.setDeferredSince(0);
         }
-        index.change(machine, () -> {
+        index.update(machine, () -> {
             // The image will be fetched for this task, and serves those that follow.
             machine.addImage(spec.image());
             machine.lease(spec.demand());
--- a/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
@@ -47,7 +47,7 @@
     }
 
     private Machine nearest(JobSpec spec, PlacementIndex<Machine> index) {
-        return index.sites().stream()
+        return index.nodes().stream()
                 .filter(machine -> reserved.get(machine) == null
                         && spec.demand().fitsIn(machine.size())
                         && spec.allows(machine.type(), machine.zone(), machine.isSpot()))
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -79,7 +79,7 @@
         if (spec.spread()) {
             Map<String, Integer> placed = context.cluster().tasksByZone(spec.id());
             for (String zone : context.deployment().zones()) {
-                remaining.put(zone, spec.zoneLimit() - placed.getOrDefault(zone, 0));
+                remaining.put(zone, spec.maxTasksPerZone() - placed.getOrDefault(zone, 0));
             }
         }
         return remaining;
--- a/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
@@ -11,7 +11,7 @@
 import notchpick.model.TaskAssignment;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Preemption;
-import notchpick.scheduling.Preemption.Starved;
+import notchpick.scheduling.Preemption.Preemptor;
 import notchpick.scheduling.Preemption.Victim;
 import notchpick.scheduling.Resources;
 import org.slf4j.Logger;
@@ -42,9 +42,9 @@
     /** Preempts tasks for what the round has skipped. */
     void preemptFor(List<TeamTurn> turns, long now) {
         plannedAt = now;
-        List<Starved> starved = new ArrayList<>();
-        turns.forEach(turn -> addStarved(turn, now, starved));
-        if (starved.isEmpty()) {
+        List<Preemptor> preemptors = new ArrayList<>();
+        turns.forEach(turn -> addPreemptors(turn, now, preemptors));
+        if (preemptors.isEmpty()) {
             return;
         }
         double beingFreedCores = 0;
@@ -59,7 +59,8 @@
                 }
             }
         }
-        for (TaskAssignment victim : Preemption.choose(starved, victims, beingFreedCores, this::coresBeyondGuarantee)) {
+        for (TaskAssignment victim :
+                Preemption.choose(preemptors, victims, beingFreedCores, this::coresBeyondGuarantee)) {
             LOG.info(
                     "task preempted: task={} team={} machine={}",
                     victim.taskName(),
@@ -69,7 +70,7 @@
         }
     }
 
-    private void addStarved(TeamTurn turn, long now, List<Starved> starved) {
+    private void addPreemptors(TeamTurn turn, long now, List<Preemptor> preemptors) {
         Quota quota = turn.quota();
         Resources held = turn.held();
         for (Job job : turn.skipped()) {
@@ -85,7 +86,7 @@
             boolean hasWaited = now - job.skippedSince() >= context.heartbeatPeriodMs();
             if (hasWaited && (guaranteedTasks > 0 || spec.isUrgent())) {
                 int tasks = spec.isUrgent() ? job.startableTasks() : guaranteedTasks;
-                starved.add(new Starved(spec, tasks, guaranteedTasks > 0));
+                preemptors.add(new Preemptor(spec, tasks, guaranteedTasks > 0));
             }
         }
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -14,7 +14,7 @@
 import notchpick.model.Job;
 import notchpick.model.Machine;
 import notchpick.scheduling.JobOrder;
-import notchpick.scheduling.JobOrder.Waiting;
+import notchpick.scheduling.JobOrder.WaitingJob;
 import notchpick.scheduling.PlacementIndex;
 import notchpick.scheduling.Resources;
 
@@ -101,12 +101,12 @@
     }
 
     private TeamTurn turn(String team, List<Job> jobs, Resources capacity, int activeTeams) {
-        List<Waiting<Job>> waiting = new ArrayList<>();
+        List<WaitingJob<Job>> waiting = new ArrayList<>();
         for (Job job : jobs) {
             double runS = context.runtimes().runS(job.spec());
             double remainingS =
                     job.unfinishedTasks() * runS * job.spec().demand().cores();
-            waiting.add(new Waiting<>(job, job.spec(), remainingS, runS));
+            waiting.add(new WaitingJob<>(job, job.spec(), remainingS, runS));
         }
         List<Job> ordered = new ArrayList<>();
         double cores = expectedCores(team, capacity, activeTeams);
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
@@ -74,7 +74,7 @@
             if (machine == null) {
                 return;
             }
-            index.change(machine, () -> machine.free = machine.free.minus(spec.demand()));
+            index.update(machine, () -> machine.free = machine.free.minus(spec.demand()));
             remainingByZone.computeIfPresent(machine.zone(), (zone, left) -> left - 1);
             placed.add(new Placed(tasks.getJob(), task, machine.leased.getMachine()));
         }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -122,7 +122,7 @@
         for (String id : changed) {
             Job job = cluster.job(id);
             if (job != null) {
-                cluster.respec(job, criticalPath.counting(job.spec()));
+                cluster.respec(job, criticalPath.effective(job.spec()));
             }
         }
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -14,7 +14,7 @@
 import notchpick.model.MachineTypeCatalog;
 import notchpick.scheduling.JobDemand;
 import notchpick.scheduling.JobOrder;
-import notchpick.scheduling.JobOrder.Waiting;
+import notchpick.scheduling.JobOrder.WaitingJob;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.NodePool;
@@ -44,7 +44,7 @@
         Map<String, Resources> demandByTeam = new HashMap<>();
         List<JobDemand> demands = new ArrayList<>();
         long wallTime = context.loop().wallTimeMs();
-        for (Waiting<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
+        for (WaitingJob<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
             aheadS += waiting.remainingS();
@@ -65,14 +65,14 @@
         return demands;
     }
 
-    private List<Waiting<Job>> unblockedJobs() {
-        List<Waiting<Job>> waiting = new ArrayList<>();
+    private List<WaitingJob<Job>> unblockedJobs() {
+        List<WaitingJob<Job>> waiting = new ArrayList<>();
         for (Job job : cluster.jobs()) {
             if (!job.isBlocked()) {
                 double runS = context.runtimes().runS(job.spec());
                 double remainingS =
                         job.desiredTasks() * runS * job.spec().demand().cores();
-                waiting.add(new Waiting<>(job, job.spec(), remainingS, runS));
+                waiting.add(new WaitingJob<>(job, job.spec(), remainingS, runS));
             }
         }
         return waiting;
@@ -97,7 +97,7 @@
     }
 
     /** Whether the machines there are would finish an urgent job too late, while more machines still could help. */
-    private boolean isUrgentAndLate(Waiting<Job> waiting, double queueS) {
+    private boolean isUrgentAndLate(WaitingJob<Job> waiting, double queueS) {
         JobSpec spec = waiting.spec();
         if (!spec.isUrgent()) {
             return false;
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -11,89 +11,94 @@
 import notchpick.scheduling.JobSpec.Priority;
 
 /**
- * What open jobs take over from those that need them: the highest priority, and the tightest due time less what
- * the stages after them will still take (the backward pass of the critical path method). A change costs as much
- * as there are jobs whose claim it changes.
+ * The effective priority and deadline of open jobs, which they inherit from their dependents: the highest priority, and
+ * the earliest due time less what the stages after them will still take (the backward pass of the critical path method).
+ * The dependencies have no cycles. A change costs as much as there are jobs whose effective values it changes.
  */
 public final class CriticalPath {
     private static final double NEVER = Double.POSITIVE_INFINITY;
+    private static final double MS_PER_S = 1000;
 
     private final Map<String, Node> nodes = new HashMap<>();
-    /** By job, open or not: the open ones that need it. */
+    /** By job, open or not: the open ones that depend on it. */
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
+    /** An open job with its effective priority and due time. */
     private static final class Node {
-        private final JobSpec own;
+        private final JobSpec spec;
         private final double stageMs;
         private Priority priority;
-        private double dueAt;
+        private double dueAtMs;
 
-        Node(JobSpec own, double stageS) {
-            this.own = own;
-            this.stageMs = stageS * 1000;
-            this.priority = own.priority();
-            this.dueAt = ownDueAt();
+        Node(JobSpec spec, double stageS) {
+            this.spec = spec;
+            this.stageMs = stageS * MS_PER_S;
+            this.priority = spec.priority();
+            this.dueAtMs = ownDueAtMs();
         }
 
-        private double ownDueAt() {
-            return own.deadlineS() == null ? NEVER : own.submittedAt() + own.deadlineS() * 1000;
+        private double ownDueAtMs() {
+            return spec.deadlineS() == null ? NEVER : spec.submittedAt() + spec.deadlineS() * MS_PER_S;
         }
     }
 
     /**
-     * A job has come.
+     * Adds an open job.
      *
+     * @param spec with the priority and deadline that its user gave it
      * @param stageS how long it will take from being ready to its end
-     * @return the jobs that now count as something else than before, or than their users said
+     * @return the jobs whose effective priority or deadline changes, this one if it inherits any
      */
     public Set<String> add(JobSpec spec, double stageS) {
         nodes.put(spec.id(), new Node(spec, stageS));
-        spec.dependencies()
-                .forEach(need -> dependents
-                        .computeIfAbsent(need, n -> new LinkedHashSet<>())
-                        .add(spec.id()));
-        boolean claims = review(spec.id());
+        for (String dependency : spec.dependencies()) {
+            dependents
+                    .computeIfAbsent(dependency, name -> new LinkedHashSet<>())
+                    .add(spec.id());
+        }
+        boolean inherits = updateNode(spec.id());
         Set<String> changed = propagate(spec.dependencies());
-        if (claims) {
+        if (inherits) {
             changed.add(spec.id());
         }
         return changed;
     }
 
-    /** A job has gone; gives those that now count as something else. */
+    /** Removes a job that is not open any more; gives those whose effective priority or deadline changes. */
     public Set<String> remove(String id) {
         Node node = nodes.remove(id);
         if (node == null) {
             return Set.of();
         }
-        for (String need : node.own.dependencies()) {
-            dependents.computeIfPresent(need, (name, needing) -> {
-                needing.remove(id);
-                return needing.isEmpty() ? null : needing;
+        for (String dependency : node.spec.dependencies()) {
+            dependents.computeIfPresent(dependency, (name, ids) -> {
+                ids.remove(id);
+                return ids.isEmpty() ? null : ids;
             });
         }
-        return propagate(node.own.dependencies());
+        return propagate(node.spec.dependencies());
     }
 
-    /** The job with the priority and the deadline that it counts with. */
-    public JobSpec counting(JobSpec spec) {
+    /** An added job with its effective priority and deadline. */
+    public JobSpec effective(JobSpec spec) {
         Node node = nodes.get(spec.id());
-        Double dueS = node.dueAt == NEVER ? null : (node.dueAt - node.own.submittedAt()) / 1000;
-        return spec.withEffectivePriority(node.priority, dueS);
+        Double deadlineS = node.dueAtMs == NEVER ? null : (node.dueAtMs - node.spec.submittedAt()) / MS_PER_S;
+        return spec.withEffectivePriority(node.priority, deadlineS);
     }
 
+    /** Updates these jobs and, as far as something changes, those that they depend on. */
     private Set<String> propagate(Collection<String> from) {
         Set<String> changed = new HashSet<>();
-        Deque<String> due = new ArrayDeque<>(from);
+        Deque<String> queue = new ArrayDeque<>(from);
         Set<String> queued = new HashSet<>(from);
-        while (!due.isEmpty()) {
-            String id = due.poll();
+        while (!queue.isEmpty()) {
+            String id = queue.poll();
             queued.remove(id);
-            if (nodes.containsKey(id) && review(id)) {
+            if (nodes.containsKey(id) && updateNode(id)) {
                 changed.add(id);
-                for (String need : nodes.get(id).own.dependencies()) {
-                    if (queued.add(need)) {
-                        due.add(need);
+                for (String dependency : nodes.get(id).spec.dependencies()) {
+                    if (queued.add(dependency)) {
+                        queue.add(dependency);
                     }
                 }
             }
@@ -101,19 +106,19 @@
         return changed;
     }
 
-    /** Whether the job's claim has changed. */
-    private boolean review(String id) {
+    /** Whether the job's effective priority or due time has changed. */
+    private boolean updateNode(String id) {
         Node node = nodes.get(id);
-        Priority priority = node.own.priority();
-        double dueAt = node.ownDueAt();
-        for (String dependent : dependents.getOrDefault(id, Set.of())) {
-            Node after = nodes.get(dependent);
-            priority = after.priority.compareTo(priority) < 0 ? after.priority : priority;
-            dueAt = Math.min(dueAt, after.dueAt - after.stageMs);
+        Priority priority = node.spec.priority();
+        double dueAtMs = node.ownDueAtMs();
+        for (String dependentId : dependents.getOrDefault(id, Set.of())) {
+            Node dependent = nodes.get(dependentId);
+            priority = dependent.priority.compareTo(priority) < 0 ? dependent.priority : priority;
+            dueAtMs = Math.min(dueAtMs, dependent.dueAtMs - dependent.stageMs);
         }
-        boolean changed = priority != node.priority || dueAt != node.dueAt;
+        boolean changed = priority != node.priority || dueAtMs != node.dueAtMs;
         node.priority = priority;
-        node.dueAt = dueAt;
+        node.dueAtMs = dueAtMs;
         return changed;
     }
 }
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -7,97 +7,133 @@
 import java.util.PriorityQueue;
 
 /**
- * The order in which the jobs of one team are served. Urgent ones by priority, then time left. The others by
- * time left alone, as long as all can be in time: then one of low priority goes before one of higher that
- * can wait. Where not all can, the lowest and largest are left for later, so that as many as can be are in time.
+ * The order in which the jobs of one team are served. Urgent jobs come first, by priority, then by slack. The others are
+ * ordered by slack alone as long as all can be on time, so that a job of low priority precedes one of higher priority that
+ * can wait. Where not all can, the lowest and largest are deferred, so that as many as possible are on time.
  */
 public final class JobOrder {
-    /** Estimates are often wrong: what is planned must fit into this part of the time there is. */
-    private static final double SURE_PART = 0.8;
+    /** Estimates are often wrong: the planned work must fit into this part of the slack. */
+    private static final double PLANNED_SLACK_RATIO = 0.8;
+    /** How many times a job's own work counts in the order by due time. */
+    private static final double WORK_WEIGHT = 2;
 
     private JobOrder() {}
 
     /**
      * One waiting job.
      *
-     * @param job what the caller knows it by
+     * @param job the caller's reference to it
      * @param remainingS core-seconds that its unfinished tasks are expected to need
-     * @param runS what one of its tasks is expected to run
+     * @param runS the expected run time of one of its tasks
      */
-    public record Waiting<J>(J job, JobSpec spec, double remainingS, double runS) {}
+    public record WaitingJob<J>(J job, JobSpec spec, double remainingS, double runS) {}
 
-    /** A job with what its place depends on, reckoned once rather than at each comparison. */
-    private record Placed<J>(Waiting<J> waiting, int priority, double slackS, double workS) {
-        private boolean late() {
+    /**
+     * A job with its sort keys, computed once rather than at each comparison.
+     *
+     * @param slackS for how long it may wait and still be on time
+     * @param workS how long all cores together would need for its unfinished tasks
+     */
+    private record RankedJob<J>(WaitingJob<J> waiting, int priority, double slackS, double workS) {
+        private boolean isLate() {
             return slackS < 0;
         }
 
-        /** A small rest goes before a large one that is due at the same time. */
-        private double due() {
-            return slackS + 2 * workS;
+        /** Of jobs with equal slack, the one with less work left comes first. */
+        private double dueS() {
+            return slackS + WORK_WEIGHT * workS;
+        }
+
+        private long readyAt() {
+            return waiting.spec().readyAt();
+        }
+
+        private String id() {
+            return waiting.spec().id();
         }
     }
 
     /**
-     * The jobs in their order.
+     * The jobs in the order in which they are served.
      *
-     * @param objectives what the operators have promised
-     * @param cores what there is to work on
+     * @param wallTimeMs the time of day, in milliseconds since the epoch
+     * @param cores how many cores there are to work on them
      */
-    public static <J> List<Waiting<J>> sorted(
-            Collection<Waiting<J>> jobs, long wallTime, ServiceObjectives objectives, double cores) {
-        List<Placed<J>> urgent = new ArrayList<>();
-        List<Placed<J>> inTime = new ArrayList<>();
-        List<Placed<J>> later = new ArrayList<>();
-        for (Waiting<J> waiting : jobs) {
-            JobSpec spec = waiting.spec();
-            Placed<J> placed = new Placed<>(
-                    waiting,
-                    spec.priority().ordinal(),
-                    objectives.slackS(spec, spec.ageS(wallTime), waiting.runS()),
-                    waiting.remainingS() / Math.max(cores, 1));
-            (spec.isUrgent() ? urgent : placed.late() ? later : inTime).add(placed);
+    public static <J> List<WaitingJob<J>> sorted(
+            Collection<WaitingJob<J>> jobs, long wallTimeMs, ServiceObjectives objectives, double cores) {
+        List<RankedJob<J>> urgent = new ArrayList<>();
+        List<RankedJob<J>> feasible = new ArrayList<>();
+        List<RankedJob<J>> deferred = new ArrayList<>();
+        for (WaitingJob<J> waiting : jobs) {
+            RankedJob<J> ranked = rank(waiting, wallTimeMs, objectives, cores);
+            if (waiting.spec().isUrgent()) {
+                urgent.add(ranked);
+            } else if (ranked.isLate()) {
+                deferred.add(ranked);
+            } else {
+                feasible.add(ranked);
+            }
         }
-        Comparator<Placed<J>> byDue = Comparator.<Placed<J>>comparingDouble(Placed::due)
-                .thenComparingLong(p -> p.waiting().spec().readyAt())
-                .thenComparing(p -> p.waiting().spec().id());
-        // What can't be on time any more must not make others late too.
-        Comparator<Placed<J>> byPriority = Comparator.<Placed<J>>comparingInt(Placed::priority)
-                .thenComparing(Placed::late)
-                .thenComparing(byDue);
-        urgent.sort(byPriority);
-        double aheadS = urgent.stream().mapToDouble(Placed::workS).sum();
-        List<Placed<J>> kept = feasible(inTime, byDue, aheadS, later);
-        later.sort(byPriority);
-        List<Waiting<J>> sorted = new ArrayList<>(jobs.size());
-        for (List<Placed<J>> part : List.of(urgent, kept, later)) {
-            part.forEach(p -> sorted.add(p.waiting()));
+        urgent.sort(byPriority());
+        double urgentWorkS = urgent.stream().mapToDouble(RankedJob::workS).sum();
+        List<RankedJob<J>> onTime = selectOnTime(feasible, urgentWorkS, deferred);
+        deferred.sort(byPriority());
+        List<WaitingJob<J>> sorted = new ArrayList<>(jobs.size());
+        for (List<RankedJob<J>> part : List.of(urgent, onTime, deferred)) {
+            part.forEach(ranked -> sorted.add(ranked.waiting()));
         }
         return sorted;
     }
 
+    private static <J> RankedJob<J> rank(
+            WaitingJob<J> waiting, long wallTimeMs, ServiceObjectives objectives, double cores) {
+        JobSpec spec = waiting.spec();
+        return new RankedJob<>(
+                waiting,
+                spec.priority().ordinal(),
+                objectives.slackS(spec, spec.ageS(wallTimeMs), waiting.runS()),
+                waiting.remainingS() / Math.max(cores, 1));
+    }
+
+    private static <J> Comparator<RankedJob<J>> byDueTime() {
+        return Comparator.<RankedJob<J>>comparingDouble(RankedJob::dueS)
+                .thenComparingLong(RankedJob::readyAt)
+                .thenComparing(RankedJob::id);
+    }
+
+    /** Late jobs come last within their priority, lest they make others late too. */
+    private static <J> Comparator<RankedJob<J>> byPriority() {
+        return Comparator.<RankedJob<J>>comparingInt(RankedJob::priority)
+                .thenComparing(RankedJob::isLate)
+                .thenComparing(byDueTime());
+    }
+
     /**
-     * As many jobs as can be in time one after the other (Moore and Hodgson): whenever the next would be late,
-     * the largest so far of the lowest priority is left out.
+     * As many jobs as can be on time one after the other (Moore-Hodgson algorithm): whenever the next one would be late,
+     * the largest so far of the lowest priority is deferred.
+     *
+     * @param precedingWorkS the work that comes before all of these
+     * @param deferred takes the jobs that are left out
      */
-    private static <J> List<Placed<J>> feasible(
-            List<Placed<J>> jobs, Comparator<Placed<J>> order, double aheadS, List<Placed<J>> left) {
-        PriorityQueue<Placed<J>> kept = new PriorityQueue<>(Comparator.<Placed<J>>comparingInt(Placed::priority)
-                .thenComparingDouble(Placed::workS)
-                .reversed());
-        double loadS = aheadS;
-        jobs.sort(order);
-        for (Placed<J> next : jobs) {
-            kept.add(next);
-            loadS += next.workS();
-            while (!kept.isEmpty() && loadS > next.slackS() * SURE_PART) {
-                Placed<J> out = kept.poll();
-                loadS -= out.workS();
-                left.add(out);
+    private static <J> List<RankedJob<J>> selectOnTime(
+            List<RankedJob<J>> jobs, double precedingWorkS, List<RankedJob<J>> deferred) {
+        PriorityQueue<RankedJob<J>> selected =
+                new PriorityQueue<>(Comparator.<RankedJob<J>>comparingInt(RankedJob::priority)
+                        .thenComparingDouble(RankedJob::workS)
+                        .reversed());
+        double completionS = precedingWorkS;
+        jobs.sort(byDueTime());
+        for (RankedJob<J> next : jobs) {
+            selected.add(next);
+            completionS += next.workS();
+            while (!selected.isEmpty() && completionS > next.slackS() * PLANNED_SLACK_RATIO) {
+                RankedJob<J> largest = selected.poll();
+                completionS -= largest.workS();
+                deferred.add(largest);
             }
         }
-        List<Placed<J>> sorted = new ArrayList<>(kept);
-        sorted.sort(order);
+        List<RankedJob<J>> sorted = new ArrayList<>(selected);
+        sorted.sort(byDueTime());
         return sorted;
     }
 }
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -6,12 +6,19 @@
 /**
  * What a user asked for.
  *
+ * @param jobClass the class by which objectives are set and run times are learnt
+ * @param demand the resources of one task
  * @param types allowed machine types, or null for any
- * @param zone the only allowed zone, or null
- * @param deadlineS when the job should be complete after its submission, or null
- * @param submittedAt wall-clock time of the acceptance, in milliseconds
- * @param dependencies the jobs that must be done before any task of this one starts
- * @param readyAt since when it waits for nothing but resources: its submission, or the end of the last dependency
+ * @param zone the only allowed zone, or null for any
+ * @param colocated whether all tasks must be in the same zone
+ * @param spread whether no zone may have more than half of the tasks
+ * @param spot whether the job accepts spot instances
+ * @param estimateS the user's estimate of one task's run time; 0 if there is none
+ * @param checkpointIntervalS 0 if the tasks write no checkpoints
+ * @param deadlineS the time from submission to completion that the user asks for, or null
+ * @param submittedAt wall-clock time of the acceptance, in milliseconds since the epoch
+ * @param dependencies the jobs that must be complete before any task of this one starts
+ * @param readyAt since when it waits for resources alone: its submission, or the end of its last dependency
  */
 public record JobSpec(
         String id,
@@ -37,12 +44,12 @@
         long readyAt) {
     private static final double MS_PER_S = 1000;
 
-    /** Starts a specification, of a job without demand, constraints, deadline and dependencies. */
+    /** Begins a specification of a job without demand, constraints, deadline and dependencies. */
     public static Builder builder(String id) {
         return new Builder(id);
     }
 
-    /** Starts a specification that is the same but for what is set then. */
+    /** Begins a copy of this specification, of which parts can be replaced. */
     public Builder toBuilder() {
         Builder builder = new Builder(id);
         builder.jobClass = jobClass;
@@ -68,7 +75,7 @@
         return builder;
     }
 
-    /** Makes specifications; each setter takes what the component of the same name stands for. */
+    /** Builds specifications; each setter sets the component of the same name. */
     public static final class Builder {
         private final String id;
         private String jobClass = "";
@@ -96,49 +103,49 @@
             this.id = id;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the class by which objectives are set and run times are learnt. */
         public Builder jobClass(String value) {
             jobClass = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the team whose share and quota the job counts in. */
         public Builder team(String value) {
             team = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets how the tasks relate. */
         public Builder form(Form value) {
             form = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the priority. */
         public Builder priority(Priority value) {
             priority = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the number of tasks. */
         public Builder tasks(int value) {
             tasks = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the resources of one task. */
         public Builder demand(Resources value) {
             demand = value;
             return this;
         }
 
-        /** Sets allowed machine types, or null for any. */
+        /** Sets the allowed machine types, or null for any. */
         public Builder types(List<String> value) {
             types = value;
             return this;
         }
 
-        /** Sets the only allowed zone, or null. */
+        /** Sets the only allowed zone, or null for any. */
         public Builder zone(String value) {
             zone = value;
             return this;
@@ -150,37 +157,37 @@
             return this;
         }
 
-        /** Sets whether the tasks must be spread over zones. */
+        /** Sets whether no zone may have more than half of the tasks. */
         public Builder spread(boolean value) {
             spread = value;
             return this;
         }
 
-        /** Sets whether spot machines may be used. */
+        /** Sets whether the job accepts spot instances. */
         public Builder spot(boolean value) {
             spot = value;
             return this;
         }
 
-        /** Sets what the component stands for. */
+        /** Sets the name of the container image. */
         public Builder image(String value) {
             image = value;
             return this;
         }
 
-        /** Sets the size of the image. */
+        /** Sets the size of the image in GB. */
         public Builder imageGb(double value) {
             imageGb = value;
             return this;
         }
 
-        /** Sets what the user expects a task to run; 0 if unknown. */
+        /** Sets the user's estimate of one task's run time; 0 if there is none. */
         public Builder estimateS(double value) {
             estimateS = value;
             return this;
         }
 
-        /** Sets 0 if the tasks write no checkpoints. */
+        /** Sets the time between checkpoints; 0 if the tasks write none. */
         public Builder checkpointIntervalS(double value) {
             checkpointIntervalS = value;
             return this;
@@ -192,31 +199,31 @@
             return this;
         }
 
-        /** Sets when the job should be complete after its submission, or null. */
+        /** Sets the time from submission to completion that the user asks for, or null. */
         public Builder deadlineS(Double value) {
             deadlineS = value;
             return this;
         }
 
-        /** Sets wall-clock time of the acceptance, in milliseconds. */
+        /** Sets the wall-clock time of the acceptance, in milliseconds since the epoch. */
         public Builder submittedAt(long value) {
             submittedAt = value;
             return this;
         }
 
-        /** Sets the jobs that must be done before any task of this one starts. */
+        /** Sets the jobs that must be complete before any task of this one starts. */
         public Builder dependencies(List<String> value) {
             dependencies = value;
             return this;
         }
 
-        /** Sets since when the job waits for nothing but resources; by default since its submission. */
+        /** Sets since when the job waits for resources alone; by default its submission. */
         public Builder readyAt(long value) {
             readyAt = value;
             return this;
         }
 
-        /** Makes the specification. */
+        /** Builds the specification. */
         public JobSpec build() {
             return new JobSpec(
                     id,
@@ -243,33 +250,39 @@
         }
     }
 
-    /** The same job with the priority and deadline that it counts with, as inherited from its dependents. */
+    /** The same job with the priority and deadline that it inherits from its dependents. */
     public JobSpec withEffectivePriority(Priority effective, Double effectiveDeadlineS) {
         return toBuilder().priority(effective).deadlineS(effectiveDeadlineS).build();
     }
 
-    /** The same job, blocked by its dependencies until then. */
-    public JobSpec withReadyAt(long when) {
-        return toBuilder().readyAt(when).build();
+    /** The same job, blocked by its dependencies until this time. */
+    public JobSpec withReadyAt(long readyAtMs) {
+        return toBuilder().readyAt(readyAtMs).build();
     }
 
-    /** How long it has waited for resources, or run. */
-    public double ageS(long wallTime) {
-        return (wallTime - readyAt) / MS_PER_S;
+    /**
+     * The time since it is ready, waiting for resources or running.
+     *
+     * @param wallTimeMs the time of day, in milliseconds since the epoch
+     */
+    public double ageS(long wallTimeMs) {
+        return (wallTimeMs - readyAt) / MS_PER_S;
     }
 
-    /** How long it was blocked by its dependencies; its deadline has run meanwhile. */
+    /** How long its dependencies blocked it, a time that counts towards its deadline. */
     public double blockedS() {
         return (readyAt - submittedAt) / MS_PER_S;
     }
 
     /** How the tasks of a job relate. */
     public enum Form {
+        /** Tasks that run to completion, each by itself. */
         ARRAY,
+        /** Replicas that run side by side. */
         SERVICE
     }
 
-    /** Highest first. */
+    /** The priorities, the highest first. */
     public enum Priority {
         PRODUCTION,
         HIGH,
@@ -277,12 +290,12 @@
         LOW
     }
 
-    /** The name under which workers know one task of a job. */
+    /** The name of one task of a job in messages to and from workers. */
     public static String taskName(String job, int task) {
         return job + "/" + task;
     }
 
-    /** Urgent work does not wait for other work to end by itself. */
+    /** Whether it may preempt work of lower priority. */
     public boolean isUrgent() {
         return priority.ordinal() <= Priority.HIGH.ordinal();
     }
@@ -291,21 +304,25 @@
         return form == Form.SERVICE;
     }
 
-    /** Whether where a task may go depends on where its fellows are. */
+    /** Whether the zones of its other tasks restrict where a task may run. */
     public boolean hasZoneConstraint() {
         return colocated || spread;
     }
 
-    /** @param fellows how many of the job's tasks are, or may be, in each zone */
-    public boolean allowsZoneAmongTasks(String where, Map<String, Integer> fellows) {
-        if (colocated && !fellows.isEmpty() && !fellows.containsKey(where)) {
+    /**
+     * Whether its zone constraint allows one more task in this zone.
+     *
+     * @param tasksByZone how many of the job's tasks are, or may be, in each zone
+     */
+    public boolean allowsZoneAmongTasks(String taskZone, Map<String, Integer> tasksByZone) {
+        if (colocated && !tasksByZone.isEmpty() && !tasksByZone.containsKey(taskZone)) {
             return false;
         }
-        return !spread || fellows.getOrDefault(where, 0) < zoneLimit();
+        return !spread || tasksByZone.getOrDefault(taskZone, 0) < maxTasksPerZone();
     }
 
-    /** At most this many of the tasks may be in one zone. */
-    public int zoneLimit() {
+    /** How many of the tasks may be in one zone. */
+    public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
@@ -313,12 +330,12 @@
         return types == null || types.contains(type);
     }
 
-    public boolean allowsZone(String where) {
-        return zone == null || zone.equals(where);
+    public boolean allowsZone(String taskZone) {
+        return zone == null || zone.equals(taskZone);
     }
 
-    /** Whether a machine of this make may run the job's tasks, their fellows left aside. */
-    public boolean allows(String type, String where, boolean onSpot) {
-        return allowsType(type) && allowsZone(where) && (spot || !onSpot);
+    /** Whether a machine of this type, zone and kind may run its tasks, its zone constraint aside. */
+    public boolean allows(String type, String taskZone, boolean onSpot) {
+        return allowsType(type) && allowsZone(taskZone) && (spot || !onSpot);
     }
 }
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -10,142 +10,155 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Chooses among machines, or leased room on them: a cheap one, then one that has the image, then the one
- * that the task leaves fullest, so that others fall idle and can be returned. They are kept sorted by the
- * room that is left, so that a choice looks only at those that may be the best.
+ * Chooses nodes for tasks by best fit: a spot instance if the job accepts one, then a node that has the image, then the one
+ * with the fewest free cores, so that others fall idle and can be returned. The nodes are kept sorted by their free cores,
+ * so that few are examined for each task.
  */
-public final class PlacementIndex<S extends CandidateNode> {
-    private static final Comparator<Entry<?>> ORDER =
-            Comparator.<Entry<?>>comparingDouble(Entry::cores).thenComparingInt(Entry::number);
-
-    private record Entry<S>(double cores, int number, S site) {}
-
-    /** Sites of one kind: all of them, and by image those that have it, once it has been asked for. */
-    private static final class Kind<S extends CandidateNode> {
-        private final TreeSet<Entry<S>> all = new TreeSet<>(ORDER);
-        private final Map<String, TreeSet<Entry<S>>> byImage = new HashMap<>();
-
-        private void add(Entry<S> entry) {
+public final class PlacementIndex<N extends CandidateNode> {
+    private static final Comparator<Entry<?>> BY_FREE_CORES =
+            Comparator.<Entry<?>>comparingDouble(Entry::freeCores).thenComparingInt(Entry::number);
+
+    /**
+     * A node as it is sorted.
+     *
+     * @param number its place among the nodes that the index was made of, which decides between equals
+     */
+    private record Entry<N>(double freeCores, int number, N node) {}
+
+    /** Nodes, all of them spot instances or none: sorted as a whole and, once asked for, those with an image. */
+    private static final class SortedNodes<N extends CandidateNode> {
+        private final TreeSet<Entry<N>> all = new TreeSet<>(BY_FREE_CORES);
+        private final Map<String, TreeSet<Entry<N>>> byImage = new HashMap<>();
+
+        private void add(Entry<N> entry) {
             all.add(entry);
-            byImage.forEach((image, having) -> {
-                if (entry.site().images().contains(image)) {
-                    having.add(entry);
+            byImage.forEach((image, entries) -> {
+                if (entry.node().images().contains(image)) {
+                    entries.add(entry);
                 }
             });
         }
 
-        private void remove(Entry<S> entry) {
+        private void remove(Entry<N> entry) {
             all.remove(entry);
-            byImage.values().forEach(having -> having.remove(entry));
+            byImage.values().forEach(entries -> entries.remove(entry));
+        }
+
+        private TreeSet<Entry<N>> withImage(String image) {
+            return byImage.computeIfAbsent(image, this::selectWithImage);
         }
 
-        private TreeSet<Entry<S>> having(String image) {
-            return byImage.computeIfAbsent(image, i -> {
-                TreeSet<Entry<S>> having = new TreeSet<>(ORDER);
-                for (Entry<S> entry : all) {
-                    if (entry.site().images().contains(i)) {
-                        having.add(entry);
-                    }
+        private TreeSet<Entry<N>> selectWithImage(String image) {
+            TreeSet<Entry<N>> entries = new TreeSet<>(BY_FREE_CORES);
+            for (Entry<N> entry : all) {
+                if (entry.node().images().contains(image)) {
+                    entries.add(entry);
                 }
-                return having;
-            });
+            }
+            return entries;
         }
     }
 
-    private final Kind<S> cheap = new Kind<>();
-    private final Kind<S> ordinary = new Kind<>();
-    private final Map<S, Entry<S>> entries = new IdentityHashMap<>();
-    private long looks;
+    private final SortedNodes<N> spot = new SortedNodes<>();
+    private final SortedNodes<N> onDemand = new SortedNodes<>();
+    private final Map<N, Entry<N>> entries = new IdentityHashMap<>();
+    private long examined;
 
-    public PlacementIndex(Collection<S> sites) {
-        for (S site : sites) {
-            put(new Entry<>(site.freeResources().cores(), entries.size(), site));
+    public PlacementIndex(Collection<N> nodes) {
+        for (N node : nodes) {
+            put(new Entry<>(node.freeResources().cores(), entries.size(), node));
         }
     }
 
-    private Kind<S> kind(S site) {
-        return site.isSpot() ? cheap : ordinary;
+    private SortedNodes<N> nodesLike(N node) {
+        return node.isSpot() ? spot : onDemand;
     }
 
-    private void put(Entry<S> entry) {
-        entries.put(entry.site(), entry);
-        kind(entry.site()).add(entry);
+    private void put(Entry<N> entry) {
+        entries.put(entry.node(), entry);
+        nodesLike(entry.node()).add(entry);
     }
 
-    /** Makes a change of a site's room or images; of one that has been removed too, which stays so. */
-    public void change(S site, Runnable change) {
-        Entry<S> entry = entries.get(site);
+    /** Runs a change of a node's free resources or images. A node that has been removed may change, and stays removed. */
+    public void update(N node, Runnable change) {
+        Entry<N> entry = entries.get(node);
         if (entry == null) {
-            // Chosen, then barred for others before it was granted.
+            // It was chosen, then reserved for another job before the lease was granted.
             change.run();
             return;
         }
-        kind(site).remove(entry);
+        nodesLike(node).remove(entry);
         change.run();
-        put(new Entry<>(site.freeResources().cores(), entry.number(), site));
+        put(new Entry<>(node.freeResources().cores(), entry.number(), node));
     }
 
-    /** Takes a site out of the index, which must hold it. */
-    public void remove(S site) {
-        Entry<S> entry = entries.remove(site);
+    /** Removes a node, if it is there. */
+    public void remove(N node) {
+        Entry<N> entry = entries.remove(node);
         if (entry != null) {
-            kind(site).remove(entry);
+            nodesLike(node).remove(entry);
         }
     }
 
-    /** The sites in the order in which they were given. */
-    public Collection<S> sites() {
+    /** The nodes in the order in which they were given. */
+    public Collection<N> nodes() {
         return entries.values().stream()
                 .sorted(Comparator.comparingInt(Entry::number))
-                .map(Entry::site)
+                .map(Entry::node)
                 .toList();
     }
 
-    /** How many sites have been looked at in all. */
-    public long looks() {
-        return looks;
+    /** How many nodes have been examined in all, each as often as it was. */
+    public long examined() {
+        return examined;
     }
 
-    /** The best of the sites for one task, or null if none will do. */
-    public S choose(JobSpec spec, Predicate<S> admits) {
+    /** The best node for one task, or null if none will do. */
+    public N choose(JobSpec spec, Predicate<N> admits) {
         return choose(spec, admits, null);
     }
 
-    /** The same for a task that can't wait: it goes where it can be soonest rather than to the fullest. */
-    public S chooseSoonest(JobSpec spec, Predicate<S> admits, ToLongFunction<S> delay) {
-        return choose(spec, admits, delay);
+    /**
+     * The node on which the task can start soonest, among those that are equal but for their free cores; null if none will
+     * do.
+     *
+     * @param startDelay a node's delay; 0 or less can't be improved
+     */
+    public N chooseSoonest(JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
+        return choose(spec, admits, startDelay);
     }
 
-    private S choose(JobSpec spec, Predicate<S> admits, ToLongFunction<S> delay) {
-        S best = spec.spot() ? choose(cheap, spec, admits, delay) : null;
-        return best != null ? best : choose(ordinary, spec, admits, delay);
+    private N choose(JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
+        N best = spec.spot() ? choose(spot, spec, admits, startDelay) : null;
+        return best != null ? best : choose(onDemand, spec, admits, startDelay);
     }
 
-    private S choose(Kind<S> kind, JobSpec spec, Predicate<S> admits, ToLongFunction<S> delay) {
-        if (kind.all.isEmpty()) {
+    private N choose(SortedNodes<N> nodes, JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
+        if (nodes.all.isEmpty()) {
             return null;
         }
-        S best = choose(kind.having(spec.image()), spec, admits, true, delay);
-        return best != null ? best : choose(kind.all, spec, admits, false, delay);
+        N best = choose(nodes.withImage(spec.image()), spec, admits, startDelay);
+        if (best != null) {
+            return best;
+        }
+        return choose(nodes.all, spec, node -> !node.images().contains(spec.image()) && admits.test(node), startDelay);
     }
 
-    private S choose(
-            TreeSet<Entry<S>> sites, JobSpec spec, Predicate<S> admits, boolean having, ToLongFunction<S> delay) {
-        Entry<S> least = new Entry<>(spec.demand().cores() - Resources.EPSILON, -1, null);
-        S best = null;
+    private N choose(TreeSet<Entry<N>> sorted, JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
+        Entry<N> leastFreeCores = new Entry<>(spec.demand().cores() - Resources.EPSILON, -1, null);
+        N best = null;
         long bestDelay = Long.MAX_VALUE;
-        for (Entry<S> entry : sites.tailSet(least)) {
-            S site = entry.site();
-            looks++;
-            long siteDelay = delay == null ? 0 : delay.applyAsLong(site);
-            if (siteDelay < bestDelay
-                    && (having || !site.images().contains(spec.image()))
-                    && spec.demand().fitsIn(site.freeResources())
-                    && spec.allows(site.type(), site.zone(), site.isSpot())
-                    && admits.test(site)) {
-                best = site;
-                bestDelay = siteDelay;
-                if (siteDelay <= 0) {
+        for (Entry<N> entry : sorted.tailSet(leastFreeCores)) {
+            N node = entry.node();
+            examined++;
+            long delay = startDelay == null ? 0 : startDelay.applyAsLong(node);
+            if (delay < bestDelay
+                    && spec.demand().fitsIn(node.freeResources())
+                    && spec.allows(node.type(), node.zone(), node.isSpot())
+                    && admits.test(node)) {
+                best = node;
+                bestDelay = delay;
+                if (delay <= 0) {
                     break;
                 }
             }
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -5,64 +5,89 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
+import java.util.function.ToDoubleFunction;
 
-/** Chooses running tasks that give way to work which must not wait for them. */
+/**
+ * Chooses the running tasks to preempt for pending work that must not wait for them: work within its team's guarantee
+ * preempts what other teams run beyond theirs, and urgent work preempts what has a lower priority.
+ */
 public final class Preemption {
     private Preemption() {}
 
-    /** Work that found no room. Guaranteed: it is within its team's guarantee. */
-    public record Starved(JobSpec spec, int tasks, boolean guaranteed) {}
+    /**
+     * A job with tasks that found no free resources.
+     *
+     * @param tasks how many of its tasks are pending
+     * @param isGuaranteed whether they are within their team's guarantee
+     */
+    public record Preemptor(JobSpec spec, int tasks, boolean isGuaranteed) {
+        private double pendingCores() {
+            return tasks * spec.demand().cores();
+        }
+    }
 
-    /** A task that can save its progress, so that stopping it loses next to nothing. */
-    public record Victim<T>(T task, JobSpec spec, String type, String zone, boolean spot) {}
+    /**
+     * A running task that can write a checkpoint, so that next to nothing is lost when it stops.
+     *
+     * @param task the caller's reference to it
+     * @param type the type of its machine
+     */
+    public record Victim<T>(T task, JobSpec spec, String type, String zone, boolean spot) {
+        private double cores() {
+            return spec.demand().cores();
+        }
+    }
 
     /**
-     * Tasks to be stopped.
+     * The tasks to preempt; those of the lowest priority come first.
      *
-     * @param freeing cores that are being freed already
-     * @param beyond by team, the cores that it holds beyond its guarantee
+     * @param beingFreedCores cores that will be free soon without it
+     * @param coresBeyondGuarantee by team, how many cores it holds beyond its guarantee
      */
     public static <T> List<T> choose(
-            List<Starved> starved, List<Victim<T>> victims, double freeing, Function<String, Double> beyond) {
-        List<Victim<T>> order = new ArrayList<>(victims);
-        order.sort(Comparator.comparingInt(victim -> -victim.spec().priority().ordinal()));
-        Map<String, Double> left = new HashMap<>();
+            List<Preemptor> preemptors,
+            List<Victim<T>> victims,
+            double beingFreedCores,
+            ToDoubleFunction<String> coresBeyondGuarantee) {
+        List<Victim<T>> remaining = new ArrayList<>(victims);
+        remaining.sort(
+                Comparator.comparingInt(victim -> -victim.spec().priority().ordinal()));
+        Map<String, Double> beyondGuarantee = new HashMap<>();
         List<T> chosen = new ArrayList<>();
-        double freed = freeing;
-        for (Starved job : starved) {
-            double need = job.tasks() * job.spec().demand().cores();
-            double use = Math.min(freed, need);
-            freed -= use;
-            need -= use;
-            for (int i = 0; i < order.size() && need > Resources.EPSILON; ) {
-                Victim<T> victim = order.get(i);
-                double cores = victim.spec().demand().cores();
-                double spare = left.computeIfAbsent(victim.spec().team(), beyond);
-                if (mustGiveWay(job, victim, spare)) {
+        double freedCores = beingFreedCores;
+        for (Preemptor preemptor : preemptors) {
+            double missingCores = preemptor.pendingCores();
+            double used = Math.min(freedCores, missingCores);
+            freedCores -= used;
+            missingCores -= used;
+            for (int i = 0; i < remaining.size() && missingCores > Resources.EPSILON; ) {
+                Victim<T> victim = remaining.get(i);
+                String team = victim.spec().team();
+                double beyond = beyondGuarantee.computeIfAbsent(team, coresBeyondGuarantee::applyAsDouble);
+                if (mayPreempt(preemptor, victim, beyond)) {
                     chosen.add(victim.task());
-                    left.put(victim.spec().team(), spare - cores);
-                    need -= cores;
-                    order.remove(i);
+                    beyondGuarantee.put(team, beyond - victim.cores());
+                    missingCores -= victim.cores();
+                    remaining.remove(i);
                 } else {
                     i++;
                 }
             }
-            freed += Math.max(0, -need);
+            freedCores += Math.max(0, -missingCores);
         }
         return chosen;
     }
 
-    private static <T> boolean mustGiveWay(Starved job, Victim<T> victim, double beyond) {
-        JobSpec spec = job.spec();
+    private static <T> boolean mayPreempt(Preemptor preemptor, Victim<T> victim, double beyondGuarantee) {
+        JobSpec spec = preemptor.spec();
         if (!spec.allows(victim.type(), victim.zone(), victim.spot())) {
             return false;
         }
-        boolean owed = job.guaranteed()
+        boolean reclaimsGuarantee = preemptor.isGuaranteed()
                 && !spec.team().equals(victim.spec().team())
-                && beyond >= victim.spec().demand().cores() - Resources.EPSILON;
-        boolean outranked = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal()
-                && victim.spec().priority().ordinal() > spec.priority().ordinal();
-        return owed || outranked;
+                && beyondGuarantee >= victim.cores() - Resources.EPSILON;
+        boolean outranks =
+                spec.isUrgent() && spec.priority().compareTo(victim.spec().priority()) < 0;
+        return reclaimsGuarantee || outranks;
     }
 }
--- a/src/main/java/notchpick/scheduling/Resources.java
+++ b/src/main/java/notchpick/scheduling/Resources.java
@@ -1,9 +1,13 @@
 package notchpick.scheduling;
 
-/** Amounts of the resources that are shared. */
+/**
+ * Amounts of the resources that jobs share. Differences may be negative; {@link StatefulDrf} keeps fractions in it too.
+ *
+ * @param ram in GB
+ */
 public record Resources(double cores, double gpus, double ram) {
     public static final Resources NONE = new Resources(0, 0, 0);
-    /** Sums of decimal amounts are compared with this much slack. */
+    /** The tolerance of comparisons, as sums of decimal amounts are not exact. */
     public static final double EPSILON = 1e-6;
 
     public Resources plus(Resources other) {
@@ -18,16 +22,17 @@
         return new Resources(cores * factor, gpus * factor, ram * factor);
     }
 
-    public boolean fitsIn(Resources room) {
-        return cores <= room.cores + EPSILON && gpus <= room.gpus + EPSILON && ram <= room.ram + EPSILON;
+    /** Whether there is as much as this of each resource. */
+    public boolean fitsIn(Resources free) {
+        return cores <= free.cores + EPSILON && gpus <= free.gpus + EPSILON && ram <= free.ram + EPSILON;
     }
 
-    /** How many of these fit into the room side by side. */
-    public int copiesFittingIn(Resources room) {
+    /** How many times this much is free; the largest integer if this is nothing. */
+    public int copiesFittingIn(Resources free) {
         double count = Integer.MAX_VALUE;
-        count = cores > 0 ? Math.min(count, (room.cores + EPSILON) / cores) : count;
-        count = gpus > 0 ? Math.min(count, (room.gpus + EPSILON) / gpus) : count;
-        count = ram > 0 ? Math.min(count, (room.ram + EPSILON) / ram) : count;
+        count = cores > 0 ? Math.min(count, (free.cores + EPSILON) / cores) : count;
+        count = gpus > 0 ? Math.min(count, (free.gpus + EPSILON) / gpus) : count;
+        count = ram > 0 ? Math.min(count, (free.ram + EPSILON) / ram) : count;
         return (int) Math.max(0, count);
     }
 }
--- a/src/main/java/notchpick/scheduling/RuntimeEstimator.java
+++ b/src/main/java/notchpick/scheduling/RuntimeEstimator.java
@@ -3,26 +3,34 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Learns per class of jobs how far the owners' estimates are off. */
+/**
+ * Estimates run times: the users' estimate times an exponentially weighted moving average, for each class of jobs, of the
+ * ratio between measured and estimated run time.
+ */
 public final class RuntimeEstimator {
-    /** How much one more observation counts. */
-    private static final double WEIGHT = 0.1;
-    /** A task of which nothing is known is taken to run this long. */
-    private static final double UNKNOWN_S = 30;
+    /** The weight of the latest observation in the moving average. */
+    private static final double SMOOTHING_FACTOR = 0.1;
+    /** One observation counts as no less and no more than this ratio, lest outliers distort the average. */
+    private static final double MIN_RATIO = 0.25;
 
-    private final Map<String, Double> factors = new HashMap<>();
+    private static final double MAX_RATIO = 4;
+    /** The estimate for a task whose user gives none. */
+    private static final double DEFAULT_RUN_S = 30;
 
-    /** Learns from a task of the job that completed after so many seconds. */
+    private final Map<String, Double> ratios = new HashMap<>();
+
+    /** Takes in the run time of a completed task, in seconds; without effect if its user gave no estimate. */
     public void observe(JobSpec spec, double ranS) {
         if (spec.estimateS() > 0 && ranS > 0) {
-            double factor = Math.min(4, Math.max(0.25, ranS / spec.estimateS()));
-            factors.merge(spec.jobClass(), factor, (old, now) -> old + WEIGHT * (now - old));
+            double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ranS / spec.estimateS()));
+            ratios.merge(
+                    spec.jobClass(), ratio, (average, observed) -> average + SMOOTHING_FACTOR * (observed - average));
         }
     }
 
-    /** How long a task of this job is expected to run. */
+    /** The expected run time of one task of the job, in seconds. */
     public double runS(JobSpec spec) {
-        double estimate = spec.estimateS() > 0 ? spec.estimateS() : UNKNOWN_S;
-        return estimate * factors.getOrDefault(spec.jobClass(), 1.0);
+        double estimateS = spec.estimateS() > 0 ? spec.estimateS() : DEFAULT_RUN_S;
+        return estimateS * ratios.getOrDefault(spec.jobClass(), 1.0);
     }
 }
--- a/src/main/java/notchpick/scheduling/ServiceObjectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the operators have promised their users, by class of jobs. */
+/** The service-level objectives that the operators have set, by class of jobs. */
 public record ServiceObjectives(Map<String, List<Objective>> byClass) {
     public static final ServiceObjectives NONE = new ServiceObjectives(Map.of());
-    /** A job of which nothing was promised is due after so many of its run times. */
-    private static final double UNPROMISED_RUNS = 10;
+    /** A job without objectives is due after so many of its run times. */
+    private static final double DEFAULT_DUE_RUNS = 10;
 
-    /** What an objective is about. */
+    /** What an objective bounds. */
     public enum Kind {
-        /** All tasks are to be started within so many seconds. */
+        /** The seconds until all tasks have been started. */
         STARTED,
-        /** The job is to be done within so many seconds. */
+        /** The seconds until the job is complete. */
         FINISHED,
-        /** The job is to be done within so many times its own deadline. */
+        /** The time until the job is complete, as a multiple of its own deadline. */
         DEADLINE
     }
 
-    /** What is promised of a class of jobs: that a time, in seconds, stays within a limit. */
+    /** An upper bound for a class of jobs, in the unit that its kind names. */
     public record Objective(Kind kind, double limit) {
         private double slackS(JobSpec spec, double ageS, double runS) {
             return switch (kind) {
@@ -35,18 +35,23 @@
         }
     }
 
-    /** What was promised of its class, and its own deadline in any case. */
+    /** The objectives of the job's class, and its own deadline in any case. */
     private List<Objective> of(JobSpec spec) {
-        List<Objective> own = byClass.getOrDefault(spec.jobClass(), List.of());
-        if (spec.deadlineS() == null || own.stream().anyMatch(objective -> objective.kind() == Kind.DEADLINE)) {
-            return own;
+        List<Objective> objectives = byClass.getOrDefault(spec.jobClass(), List.of());
+        if (spec.deadlineS() == null || objectives.stream().anyMatch(objective -> objective.kind() == Kind.DEADLINE)) {
+            return objectives;
         }
-        List<Objective> all = new ArrayList<>(own);
+        List<Objective> all = new ArrayList<>(objectives);
         all.add(new Objective(Kind.DEADLINE, 1));
         return all;
     }
 
-    /** Whether something was promised of the job that can still be kept. */
+    /**
+     * Whether the job has an objective that can still be met.
+     *
+     * @param ageS the time since the job is ready
+     * @param runS the expected run time of one of its tasks
+     */
     public boolean isAttainable(JobSpec spec, double ageS, double runS) {
         for (Objective objective : of(spec)) {
             if (objective.appliesTo(spec) && objective.slackS(spec, ageS, runS) >= 0) {
@@ -57,26 +62,26 @@
     }
 
     /**
-     * For how long the job may wait and still be in time: by the nearest objective that can be met. Negative
-     * if none can be met any more.
+     * For how many seconds the job may wait and still meet the nearest objective that can be met; negative if none can
+     * be met any more.
      *
-     * @param ageS since it is ready
-     * @param runS what a task of it is expected to run
+     * @param ageS the time since the job is ready
+     * @param runS the expected run time of one of its tasks
      */
     public double slackS(JobSpec spec, double ageS, double runS) {
-        double nearest = Double.POSITIVE_INFINITY;
-        double last = Double.NEGATIVE_INFINITY;
+        double nearestS = Double.POSITIVE_INFINITY;
+        double latestS = Double.NEGATIVE_INFINITY;
         for (Objective objective : of(spec)) {
             if (!objective.appliesTo(spec)) {
                 continue;
             }
             double slackS = objective.slackS(spec, ageS, runS);
-            last = Math.max(last, slackS);
-            nearest = slackS >= 0 ? Math.min(nearest, slackS) : nearest;
+            latestS = Math.max(latestS, slackS);
+            nearestS = slackS >= 0 ? Math.min(nearestS, slackS) : nearestS;
         }
-        if (nearest < Double.POSITIVE_INFINITY) {
-            return nearest;
+        if (nearestS < Double.POSITIVE_INFINITY) {
+            return nearestS;
         }
-        return last > Double.NEGATIVE_INFINITY ? last : UNPROMISED_RUNS * runS - ageS - runS;
+        return latestS > Double.NEGATIVE_INFINITY ? latestS : DEFAULT_DUE_RUNS * runS - ageS - runS;
     }
 }
--- a/src/main/java/notchpick/scheduling/StatefulDrf.java
+++ b/src/main/java/notchpick/scheduling/StatefulDrf.java
@@ -1,13 +1,14 @@
 package notchpick.scheduling;
 
 /**
- * The arithmetic of Stateful Dominant Resource Fairness: shares, overuse above the equal share, and
- * commitments that follow overuse with an exponential memory (paper, sections 3.4 and 5.1).
+ * The arithmetic of Stateful Dominant Resource Fairness: shares, overuse above the equal share, and commitments that
+ * follow overuse with an exponential memory (paper, sections 3.4 and 5.1). Shares, overuse and commitments are fractions
+ * of the whole of each resource.
  */
 public final class StatefulDrf {
     private StatefulDrf() {}
 
-    /** The fraction of each resource that is held; 0 of a resource of which there is none. */
+    /** The share of each resource that is held; 0 of a resource of which there is none. */
     public static Resources share(Resources held, Resources total) {
         return new Resources(
                 fraction(held.cores(), total.cores()),
@@ -15,29 +16,35 @@
                 fraction(held.ram(), total.ram()));
     }
 
-    /** Equation 7: what is held beyond one of n equal parts. */
+    /** Equation 7: the share beyond an equal one, 0 where it is smaller. */
     public static Resources overuse(Resources share, int teams) {
-        double equal = 1.0 / Math.max(1, teams);
+        double equalShare = 1.0 / Math.max(1, teams);
         return new Resources(
-                Math.max(share.cores() - equal, 0),
-                Math.max(share.gpus() - equal, 0),
-                Math.max(share.ram() - equal, 0));
+                Math.max(share.cores() - equalShare, 0),
+                Math.max(share.gpus() - equalShare, 0),
+                Math.max(share.ram() - equalShare, 0));
     }
 
-    /** Equation 12: the commitment after overuse has stayed the same for some time. */
-    public static Resources commitment(Resources before, Resources overuse, double elapsedS, double tauS) {
+    /**
+     * Equation 12: the commitment after overuse was constant for some time.
+     *
+     * @param previous the commitment at the beginning of that time
+     * @param elapsedS its length; a clock that went back counts as none
+     * @param tauS the time constant of the decay
+     */
+    public static Resources commitment(Resources previous, Resources overuse, double elapsedS, double tauS) {
         double delta = Math.exp(-Math.max(elapsedS, 0) / tauS);
-        return overuse.times(1 - delta).plus(before.times(delta));
+        return overuse.times(1 - delta).plus(previous.times(delta));
     }
 
-    /** Algorithm 1, line 5: teams are served in rising order of this. */
+    /** Algorithm 1, line 5: dominant share plus dominant commitment. The team with the lowest is served first. */
     public static double rank(Resources share, Resources commitment) {
-        return largest(share) + largest(commitment);
+        return dominant(share) + dominant(commitment);
     }
 
-    /** The dominant one. */
-    public static double largest(Resources amounts) {
-        return Math.max(amounts.cores(), Math.max(amounts.gpus(), amounts.ram()));
+    /** The largest of the fractions. */
+    public static double dominant(Resources fractions) {
+        return Math.max(fractions.cores(), Math.max(fractions.gpus(), fractions.ram()));
     }
 
     private static double fraction(double held, double total) {
--- a/src/main/java/notchpick/storage/Records.java
+++ b/src/main/java/notchpick/storage/Records.java
@@ -301,7 +301,7 @@
     /** The commitments, the largest first and as many as the value may hold: the others weigh least. */
     public static ObjectNode commitments(Map<String, Resources> commitments, int mostBytes) {
         List<String> teams = new ArrayList<>(commitments.keySet());
-        teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.largest(commitments.get(team))));
+        teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.dominant(commitments.get(team))));
         ObjectNode node = Json.object();
         int left = mostBytes - 2;
         for (String team : teams) {
--- a/src/test/java/notchpick/scheduling/FleetPlannerTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -5,9 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** What is rented for a backlog, and what is given back. */
+/** What is rented for a backlog, and which idle machines are unneeded. */
 class FleetPlannerTest {
     private static final MachineType SMALL =
             new MachineType("small", new Resources(4, 0, 16), 50, 1, 1.0, 0.2, 30, List.of("east", "west"));
@@ -40,7 +41,7 @@
     }
 
     @Test
-    void shortTasksTakeTurnsWithinTheHorizon() {
+    void shortTasksRunOneAfterTheOtherWithinTheHorizon() {
         ScalingPlan plan = FleetPlanner.plan(
                 List.of(new JobDemand(job(8, true, false), 8, 20, false, false)),
                 List.of(),
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void replicasRunSideBySide() {
+    void replicasRunConcurrently() {
         ScalingPlan plan = FleetPlanner.plan(
                 List.of(new JobDemand(job(4, true, true), 4, 20, false, false)),
                 List.of(),
@@ -64,8 +65,8 @@
     }
 
     @Test
-    void ordinaryMachinesOnlyForThosePressedOrWhoAskForThem() {
-        java.util.function.Predicate<NodePool> noSpot = NodePool::spot;
+    void onDemandMachinesOnlyForJobsThatMayOrMustUseThem() {
+        Predicate<NodePool> noSpot = NodePool::spot;
         assertEquals(
                 Map.of(),
                 FleetPlanner.plan(
--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import java.util.Map;
-import notchpick.scheduling.JobOrder.Waiting;
+import notchpick.scheduling.JobOrder.WaitingJob;
 import notchpick.scheduling.JobSpec.Priority;
 import notchpick.scheduling.ServiceObjectives.Kind;
 import notchpick.scheduling.ServiceObjectives.Objective;
@@ -15,7 +15,7 @@
     private static final ServiceObjectives OBJECTIVES = new ServiceObjectives(Map.of(
             "count", List.of(new Objective(Kind.FINISHED, 200)), "prune", List.of(new Objective(Kind.FINISHED, 250))));
 
-    private static Waiting<String> job(String id, String jobClass, Priority priority, long ageS, double coreS) {
+    private static WaitingJob<String> job(String id, String jobClass, Priority priority, long ageS, double coreS) {
         JobSpec spec = TestJobs.job(id)
                 .jobClass(jobClass)
                 .priority(priority)
@@ -23,26 +23,26 @@
                 .estimateS(20)
                 .submittedAt(-ageS * 1000)
                 .build();
-        return new Waiting<>(id, spec, coreS, 20);
+        return new WaitingJob<>(id, spec, coreS, 20);
     }
 
     @SafeVarargs
     @SuppressWarnings("varargs")
-    private static List<String> sorted(Waiting<String>... jobs) {
+    private static List<String> sorted(WaitingJob<String>... jobs) {
         return JobOrder.sorted(List.of(jobs), 0, OBJECTIVES, 10).stream()
-                .map(Waiting::job)
+                .map(WaitingJob::job)
                 .toList();
     }
 
     @Test
-    void aLowOneThatIsDueGoesBeforeOneThatCanWait() {
+    void aJobOfLowPriorityPrecedesOneOfHigherPriorityThatCanWait() {
         assertEquals(
                 List.of("low", "normal"),
                 sorted(job("normal", "count", Priority.NORMAL, 10, 300), job("low", "prune", Priority.LOW, 180, 200)));
     }
 
     @Test
-    void whereNotAllCanBeInTimeTheLowestAndLargestIsLeft() {
+    void whereNotAllCanBeOnTimeTheLowestAndLargestIsDeferred() {
         assertEquals(
                 List.of("small", "normal", "large"),
                 sorted(
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void whatIsLateGoesLastWithinItsPriority() {
+    void lateJobsComeLastWithinTheirPriority() {
         assertEquals(
                 List.of("normal", "late", "lateLow"),
                 sorted(
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void urgentOnesGoFirst() {
+    void urgentJobsComeFirst() {
         assertEquals(
                 List.of("urgent", "low"),
                 sorted(job("low", "prune", Priority.LOW, 200, 10), job("urgent", "other", Priority.HIGH, 0, 900)));
--- a/src/test/java/notchpick/scheduling/PlacementIndexTest.java
+++ b/src/test/java/notchpick/scheduling/PlacementIndexTest.java
@@ -11,20 +11,20 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** The index chooses what the plain form does, and looks at few sites for it. */
+/** The index chooses the best of all nodes, and examines few for it. */
 class PlacementIndexTest {
-    private static final class Site implements CandidateNode {
+    private static final class Node implements CandidateNode {
         private final String type;
         private final String zone;
         private final boolean spot;
         private final Set<String> images = new HashSet<>();
-        private Resources room;
+        private Resources free;
 
-        Site(String type, String zone, boolean spot, Resources room) {
+        Node(String type, String zone, boolean spot, Resources free) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
-            this.room = room;
+            this.free = free;
         }
 
         @Override
@@ -44,7 +44,7 @@
 
         @Override
         public Resources freeResources() {
-            return room;
+            return free;
         }
 
         @Override
@@ -53,17 +53,17 @@
         }
     }
 
-    /** What the index must choose, without an index. */
-    private static Site plainly(List<Site> sites, JobSpec spec, Predicate<Site> admits) {
-        Site best = null;
+    /** The best node, found by examining all. */
+    private static Node bestByScan(List<Node> nodes, JobSpec spec, Predicate<Node> admits) {
+        Node best = null;
         double bestScore = Double.POSITIVE_INFINITY;
-        for (Site site : sites) {
-            double score = site.room.cores() + (site.images.contains(spec.image()) ? 0 : 1e6) + (site.spot ? 0 : 2e6);
+        for (Node node : nodes) {
+            double score = node.free.cores() + (node.images.contains(spec.image()) ? 0 : 1e6) + (node.spot ? 0 : 2e6);
             if (score < bestScore
-                    && spec.demand().fitsIn(site.room)
-                    && spec.allows(site.type, site.zone, site.spot)
-                    && admits.test(site)) {
-                best = site;
+                    && spec.demand().fitsIn(node.free)
+                    && spec.allows(node.type, node.zone, node.spot)
+                    && admits.test(node)) {
+                best = node;
                 bestScore = score;
             }
         }
@@ -81,40 +81,40 @@
     }
 
     @Test
-    void choosesAsThePlainFormDoes() {
+    void choosesTheBestOfAllNodes() {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            List<Site> sites = new ArrayList<>();
+            List<Node> nodes = new ArrayList<>();
             for (int i = 0; i < 5 + random.nextInt(60); i++) {
-                Site site = new Site(
+                Node node = new Node(
                         random.nextBoolean() ? "small" : "large",
                         random.nextBoolean() ? "east" : "west",
                         random.nextInt(3) > 0,
                         new Resources(0.5 * random.nextInt(17), 0, random.nextInt(17)));
                 for (int image = 0; image < 4; image++) {
                     if (random.nextInt(3) == 0) {
-                        site.images.add("i" + image);
+                        node.images.add("i" + image);
                     }
                 }
-                sites.add(site);
+                nodes.add(node);
             }
-            PlacementIndex<Site> index = new PlacementIndex<>(sites);
+            PlacementIndex<Node> index = new PlacementIndex<>(nodes);
             for (int task = 0; task < 200; task++) {
                 JobSpec spec = spec(random);
-                Site shunned = sites.get(random.nextInt(sites.size()));
-                Predicate<Site> admits = site -> site != shunned;
-                Site chosen = index.choose(spec, admits);
-                assertSame(plainly(sites, spec, admits), chosen, "seed " + seed + " task " + task);
+                Node excluded = nodes.get(random.nextInt(nodes.size()));
+                Predicate<Node> admits = node -> node != excluded;
+                Node chosen = index.choose(spec, admits);
+                assertSame(bestByScan(nodes, spec, admits), chosen, "seed " + seed + " task " + task);
                 if (chosen != null && random.nextInt(4) > 0) {
-                    index.change(chosen, () -> {
-                        chosen.room = chosen.room.minus(spec.demand());
+                    index.update(chosen, () -> {
+                        chosen.free = chosen.free.minus(spec.demand());
                         chosen.images.add(spec.image());
                     });
                 }
                 if (random.nextInt(50) == 0) {
-                    Site removed = sites.remove(random.nextInt(sites.size()));
+                    Node removed = nodes.remove(random.nextInt(nodes.size()));
                     index.remove(removed);
-                    if (sites.isEmpty()) {
+                    if (nodes.isEmpty()) {
                         break;
                     }
                 }
@@ -123,46 +123,46 @@
     }
 
     @Test
-    void whatCannotWaitGoesWhereItIsSoonest() {
-        Site full = new Site("small", "east", true, new Resources(2, 0, 64));
-        Site empty = new Site("small", "east", true, new Resources(8, 0, 64));
-        PlacementIndex<Site> index = new PlacementIndex<>(List.of(full, empty));
+    void choosesTheNodeWithTheShortestDelay() {
+        Node full = new Node("small", "east", true, new Resources(2, 0, 64));
+        Node empty = new Node("small", "east", true, new Resources(8, 0, 64));
+        PlacementIndex<Node> index = new PlacementIndex<>(List.of(full, empty));
         JobSpec spec = TestJobs.job("run-1").priority(JobSpec.Priority.HIGH).build();
         assertSame(full, index.choose(spec, any -> true));
-        assertSame(empty, index.chooseSoonest(spec, any -> true, site -> site == full ? 900 : 100));
+        assertSame(empty, index.chooseSoonest(spec, any -> true, node -> node == full ? 900 : 100));
         full.images.add("i");
-        // An image that is there saves more than a report period.
-        PlacementIndex<Site> anew = new PlacementIndex<>(List.of(full, empty));
-        assertSame(full, anew.chooseSoonest(spec, any -> true, site -> site == full ? 900 : 100));
+        // An image in the cache saves more than a heartbeat period.
+        PlacementIndex<Node> withImage = new PlacementIndex<>(List.of(full, empty));
+        assertSame(full, withImage.chooseSoonest(spec, any -> true, node -> node == full ? 900 : 100));
     }
 
     @Test
-    void aRemovedSiteMayChangeAndStaysAway() {
+    void aRemovedNodeMayChangeAndStaysRemoved() {
         Random random = new Random(1);
-        Site site = new Site("small", "east", true, new Resources(8, 0, 64));
-        PlacementIndex<Site> index = new PlacementIndex<>(List.of(site));
-        index.remove(site);
-        index.change(site, () -> site.room = new Resources(4, 0, 32));
+        Node node = new Node("small", "east", true, new Resources(8, 0, 64));
+        PlacementIndex<Node> index = new PlacementIndex<>(List.of(node));
+        index.remove(node);
+        index.update(node, () -> node.free = new Resources(4, 0, 32));
         assertSame(null, index.choose(spec(random), any -> true));
-        assertTrue(index.sites().isEmpty());
+        assertTrue(index.nodes().isEmpty());
     }
 
     @Test
-    void looksAtFewSitesHoweverManyThereAre() {
-        List<Site> sites = new ArrayList<>();
+    void examinesFewNodesHoweverManyThereAre() {
+        List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            sites.add(new Site("small", "east", true, new Resources(8, 0, 64)));
+            nodes.add(new Node("small", "east", true, new Resources(8, 0, 64)));
         }
-        PlacementIndex<Site> index = new PlacementIndex<>(sites);
+        PlacementIndex<Node> index = new PlacementIndex<>(nodes);
         JobSpec spec = TestJobs.job("run-1").build();
         int tasks = 4000;
         for (int i = 0; i < tasks; i++) {
-            Site chosen = index.choose(spec, site -> true);
-            index.change(chosen, () -> {
-                chosen.room = chosen.room.minus(spec.demand());
+            Node chosen = index.choose(spec, node -> true);
+            index.update(chosen, () -> {
+                chosen.free = chosen.free.minus(spec.demand());
                 chosen.images.add("i");
             });
         }
-        assertTrue(index.looks() <= 2L * tasks, "looked at " + index.looks() + " sites for " + tasks + " tasks");
+        assertTrue(index.examined() <= 2L * tasks, "examined " + index.examined() + " nodes for " + tasks + " tasks");
     }
 }
--- a/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
@@ -27,46 +27,46 @@
     }
 
     @Test
-    void aMissedObjectiveGivesWayToTheNext() {
+    void afterAMissedObjectiveTheNextApplies() {
         assertEquals(60, OBJECTIVES.slackS(job("import", null), 100, 40));
         assertEquals(90, OBJECTIVES.slackS(job("import", null), 170, 40));
         assertTrue(OBJECTIVES.slackS(job("import", null), 270, 40) < 0);
     }
 
     @Test
-    void whatIsToBeStartedInTimeMayEndLater() {
+    void anObjectiveForTheStartLeavesTheRunTimeAside() {
         assertEquals(10, OBJECTIVES.slackS(job("sweep", null), 190, 100));
     }
 
     @Test
-    void deadlinesAreTheJobsOwn() {
+    void deadlineObjectivesScaleTheJobsOwnDeadline() {
         assertEquals(30, OBJECTIVES.slackS(job("credit", 100.0), 30, 40));
         assertEquals(40, OBJECTIVES.slackS(job("credit", 100.0), 70, 40));
         assertEquals(30, OBJECTIVES.slackS(job("other", 100.0), 30, 40));
     }
 
     @Test
-    void aJobWithoutADeadlineHasNoneToKeep() {
+    void deadlineObjectivesDoNotApplyToJobsWithoutADeadline() {
         assertEquals(260, OBJECTIVES.slackS(job("credit", null), 100, 40));
         assertFalse(OBJECTIVES.isAttainable(job("credit", null), 100, 40));
         assertTrue(OBJECTIVES.isAttainable(job("credit", 100.0), 100, 40));
     }
 
     @Test
-    void withoutAnyPromiseRunTimesCount() {
+    void jobsWithoutObjectivesAreDueByTheirRunTime() {
         assertEquals(260, OBJECTIVES.slackS(job("other", null), 100, 40));
     }
 
     @Test
-    void waitsCountFromBeingReadyAndDeadlinesFromSubmission() {
-        JobSpec held = job("credit", 100.0).withReadyAt(30_000);
-        assertEquals(30, OBJECTIVES.slackS(held, held.ageS(30_000), 40));
-        JobSpec waits = job("import", null).withReadyAt(30_000);
-        assertEquals(60, OBJECTIVES.slackS(waits, waits.ageS(130_000), 40));
+    void agesBeginWhenTheJobIsReadyAndDeadlinesAtSubmission() {
+        JobSpec blocked = job("credit", 100.0).withReadyAt(30_000);
+        assertEquals(30, OBJECTIVES.slackS(blocked, blocked.ageS(30_000), 40));
+        JobSpec waiting = job("import", null).withReadyAt(30_000);
+        assertEquals(60, OBJECTIVES.slackS(waiting, waiting.ageS(130_000), 40));
     }
 
     @Test
-    void aDeadlineCountsBesideWhatWasPromisedOfTheClass() {
+    void aJobsOwnDeadlineAppliesBesideTheObjectivesOfItsClass() {
         assertEquals(10, OBJECTIVES.slackS(job("import", 150.0), 100, 40));
         assertEquals(60, OBJECTIVES.slackS(job("import", 700.0), 100, 40));
     }
--- a/src/test/java/notchpick/scheduling/StatefulDrfTest.java
+++ b/src/test/java/notchpick/scheduling/StatefulDrfTest.java
@@ -8,7 +8,7 @@
 
 /** Worked examples of the paper's arithmetic. */
 class StatefulDrfTest {
-    private static final double TINY = 1e-12;
+    private static final double TOLERANCE = 1e-12;
 
     @Test
     void shareOfAResourceOfWhichThereIsNoneIsZero() {
@@ -17,36 +17,36 @@
     }
 
     @Test
-    void overuseIsWhatGoesBeyondAnEqualPart() {
+    void overuseIsTheShareBeyondAnEqualOne() {
         Resources share = new Resources(0.75, 0, 0.25);
         assertEquals(new Resources(0.25, 0, 0), StatefulDrf.overuse(share, 2));
-        // One team alone can't overuse; with a third team the equal part shrinks.
+        // One team alone can't overuse; with a third team the equal share shrinks.
         assertEquals(Resources.NONE, StatefulDrf.overuse(new Resources(1, 1, 1), 1));
-        assertEquals(0.75 - 1.0 / 3, StatefulDrf.overuse(share, 3).cores(), TINY);
+        assertEquals(0.75 - 1.0 / 3, StatefulDrf.overuse(share, 3).cores(), TOLERANCE);
     }
 
     @Test
-    void commitmentFollowsOveruseWithItsMemory() {
+    void commitmentFollowsOveruseWithExponentialMemory() {
         Resources over = new Resources(0.5, 0, 0);
         double tau = 120;
         assertEquals(
                 0.5 * (1 - Math.exp(-1)),
                 StatefulDrf.commitment(Resources.NONE, over, tau, tau).cores(),
-                TINY);
+                TOLERANCE);
         assertEquals(
                 0.4 * Math.exp(-0.5),
                 StatefulDrf.commitment(new Resources(0.4, 0, 0), Resources.NONE, 60, tau)
                         .cores(),
-                TINY);
+                TOLERANCE);
         // No time, no change; and time that seems to run backwards changes nothing either.
         assertEquals(
                 0.4,
                 StatefulDrf.commitment(new Resources(0.4, 0, 0), over, 0, tau).cores(),
-                TINY);
+                TOLERANCE);
         assertEquals(
                 0.4,
                 StatefulDrf.commitment(new Resources(0.4, 0, 0), over, -5, tau).cores(),
-                TINY);
+                TOLERANCE);
     }
 
     @Test
@@ -66,10 +66,10 @@
     }
 
     @Test
-    void thePastOutranksTheSameShare() {
+    void ofEqualSharesTheLowerCommitmentRanksFirst() {
         Resources share = new Resources(0.2, 0, 0.1);
         Resources committed = new Resources(0, 0, 0.3);
-        assertEquals(0.5, StatefulDrf.rank(share, committed), TINY);
+        assertEquals(0.5, StatefulDrf.rank(share, committed), TOLERANCE);
         assertTrue(StatefulDrf.rank(share, Resources.NONE) < StatefulDrf.rank(share, committed));
     }
 }
--- a/src/test/java/notchpick/scheduling/TestJobs.java
+++ b/src/test/java/notchpick/scheduling/TestJobs.java
@@ -1,11 +1,11 @@
 package notchpick.scheduling;
 
-/** Makes job specifications for tests, which set only what they are about. */
+/** Builds job specifications; a test sets only the components that it depends on. */
 public final class TestJobs {
     private TestJobs() {}
 
     /**
-     * A job of class "c" and team "a" with one task of one core and 1 GB that may run on spot machines, uses image "i" of
+     * A job of class "c" and team "a" with one task of one core and 1 GB that may run on spot instances, uses image "i" of
      * 1 GB, and is expected to run for 10 s.
      */
     public static JobSpec.Builder job(String id) {
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -223,7 +223,7 @@
                 }
             }
         }
-        if (!job.allows(type, zone, spot) || inZone > job.zoneLimit()) {
+        if (!job.allows(type, zone, spot) || inZone > job.maxTasksPerZone()) {
             breach("wrong_place", task + " on " + type + " in " + zone);
         }
         Double limit = coreLimits.get(job.team());
