--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -38,7 +38,7 @@
  * connects them, and drives them periodically; all of them run in its turn and end with it.
  */
 public final class Leader extends Actor<Leader.Message> {
-    /** What the leader is told. */
+    /** The messages to the leader. */
     public sealed interface Message {}
 
     /** The leader lease has been renewed. */
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -16,7 +16,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** Makes the message that tells a resource lease to its holder. */
+/** Encodes a resource lease as the message to its holder. */
 final class GrantEncoder {
     private final TermContext context;
     private final long leaseMs;
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -25,7 +25,7 @@
  * only under a lease that has not expired, from its holder, and only as far as the lease covers it.
  */
 public final class ResourceLeases {
-    /** Is told what becomes of leased resources. */
+    /** Is notified of the outcome of leased resources. */
     public interface Listener {
         /** A task has been placed. */
         void taskPlaced(TaskAssignment assignment);
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -24,7 +24,7 @@
 
 /** Keeps durable which tasks may be on which machines; a launch command goes out only once its record is. */
 public final class TaskLaunchLog {
-    /** Is told what becomes of recorded launches. */
+    /** Is notified of the outcome of recorded launches. */
     public interface Listener {
         /** Launches on the machine have become durable, so that their commands may be sent. */
         void launchesRecorded(Machine machine);
--- a/src/main/java/notchpick/coordination/leader/heartbeat/TaskJournal.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/TaskJournal.java
@@ -3,7 +3,7 @@
 import notchpick.model.Job;
 import notchpick.model.TaskAssignment;
 
-/** Makes durable what heartbeats tell of tasks. */
+/** Makes the task changes that heartbeats report durable. */
 public interface TaskJournal {
     /** A worker reports for the first time that the task has completed. */
     void taskCompleted(Job job, int task);
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -27,7 +27,7 @@
  * priority and deadline of their dependents, and cancels what depends on a cancelled job.
  */
 final class DependencyTracker {
-    /** Is told what becomes of jobs with dependencies. */
+    /** Is notified of the outcome of jobs with dependencies. */
     interface Listener {
         /** The dependencies of jobs are satisfied. */
         void jobsReady();
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -26,7 +26,7 @@
 
 /** Follows jobs from their acceptance to their end, and makes the completion of tasks and jobs durable. */
 public final class JobTracker {
-    /** Is told of changes that others wait for. */
+    /** Is notified of changes that others wait for. */
     public interface Listener {
         /** Jobs have come, gone, or become ready. */
         void jobsChanged();
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -17,7 +17,7 @@
 
 /** Watches the descriptions of open jobs in the state store, and lists them anew where the watch has fallen behind. */
 final class JobWatch {
-    /** Is told what the watch brings. */
+    /** Is notified of the changes that the watch brings. */
     interface Listener {
         /** Another watch request is about to be sent. */
         void watchStarting();
--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -32,7 +32,7 @@
     private final CloudInventory inventory;
 
     /**
-     * @param machineGone is told of machines on which surely nothing runs any more
+     * @param machineGone is notified of machines on which surely nothing runs any more
      * @param reviewDue is run when the cloud has given less than was asked for, so that a review is due at once
      */
     public Autoscaler(
@@ -69,7 +69,7 @@
     /**
      * Compares the demand with the machines there are.
      *
-     * @param awakeSince nobody's silence from before then counts
+     * @param awakeSince silence from before then does not count
      */
     public void review(long awakeSince) {
         if (!inventory.isComplete()) {
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -34,7 +34,7 @@
     private final Consumer<Machine> machineGone;
     private boolean requestOpen;
 
-    /** @param machineGone is told of machines on which surely nothing runs any more */
+    /** @param machineGone is notified of machines on which surely nothing runs any more */
     MachineReleaser(TermContext context, CloudClient cloud, FencedWriter writer, Consumer<Machine> machineGone) {
         this.context = context;
         this.cluster = context.cluster();
--- a/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * @param awakeSince nobody's silence from before then counts
+     * @param awakeSince silence from before then does not count
      * @param thresholdMs a machine that has not reported for so long counts as silent
      */
     ZoneOutageDetector(Iterable<Machine> machines, long now, long awakeSince, double thresholdMs) {
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -27,7 +27,7 @@
     private final Map<String, Set<TaskAssignment>> assignmentsByJob = new HashMap<>();
     private final Consumer<TaskAssignment> assignmentEnded;
 
-    /** @param assignmentEnded is told of every assignment that has ended */
+    /** @param assignmentEnded is notified of every assignment that has ended */
     public ClusterState(Consumer<TaskAssignment> assignmentEnded) {
         this.assignmentEnded = assignmentEnded;
     }
--- a/src/main/java/notchpick/protocol/RequestBudget.java
+++ b/src/main/java/notchpick/protocol/RequestBudget.java
@@ -3,7 +3,7 @@
 import notchpick.transport.EventLoop;
 import notchpick.transport.TokenBucket;
 
-/** This controller's part of the request rate that the state service serves; a second's requests may come at once. */
+/** This controller's part of the request rate that the state store serves; a second's requests may come at once. */
 final class RequestBudget {
     /** This part of a second's requests is reserved for what can't wait. */
     private static final double RESERVED_RATIO = 0.3;
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -11,10 +11,10 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** A client of the state service, which keeps within this controller's part of the request rate. */
+/** A client of the state store, which keeps within this controller's part of the request rate. */
 public final class StateStoreClient {
     public static final int LIST_PAGE = 1000;
-    /** One lost packet must not make the state service pass for unreachable. */
+    /** One lost packet must not make the state store pass for unreachable. */
     private static final int FAILURES_TO_UNREACHABLE = 3;
 
     private static final String GET = "GET";
@@ -29,7 +29,7 @@
     private boolean everAnswered;
     private int consecutiveFailures;
 
-    /** @param requestsPerS this controller's part of the rate that the state service serves */
+    /** @param requestsPerS this controller's part of the rate that the state store serves */
     public StateStoreClient(
             StateStoreTransport transport, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
         this.transport = transport;
@@ -59,7 +59,7 @@
     /** The changes below a prefix, up to a revision. */
     public record Changes(List<Change> log, long revision) {}
 
-    /** Whether the state service answers, as far as this controller can tell. */
+    /** Whether the state store answers, as far as this controller can tell. */
     public boolean reachable() {
         return everAnswered && consecutiveFailures < FAILURES_TO_UNREACHABLE;
     }
@@ -214,7 +214,7 @@
         });
     }
 
-    /** Sends a request of a peer that can't reach the state service itself; it counts against this budget. */
+    /** Sends a request of a peer that can't reach the state store itself; it counts against this budget. */
     public void sendForPeer(String method, String path, byte[] body, long peerTimeoutMs, Consumer<Response> then) {
         if (takeFromBudget(path.startsWith(LEASES))) {
             transport.sendDirect(new Request(target, method, path, body), peerTimeoutMs, then);
--- a/src/main/java/notchpick/protocol/StateStoreFields.java
+++ b/src/main/java/notchpick/protocol/StateStoreFields.java
@@ -1,6 +1,6 @@
 package notchpick.protocol;
 
-/** Fields of the state service's messages that occur in several of them. */
+/** Fields of the state store's messages that occur in several of them. */
 final class StateStoreFields {
     static final String KEY = "k";
     static final String VALUE = "v";
--- a/src/main/java/notchpick/protocol/StateStoreResponses.java
+++ b/src/main/java/notchpick/protocol/StateStoreResponses.java
@@ -16,7 +16,7 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** Reads the state service's responses. */
+/** Reads the state store's responses. */
 final class StateStoreResponses {
     /** Reads the body of a response of success. */
     interface BodyReader<T> {
--- a/src/main/java/notchpick/protocol/StateStoreResult.java
+++ b/src/main/java/notchpick/protocol/StateStoreResult.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The outcome of a request to the state service.
+ * The outcome of a request to the state store.
  *
  * @param <T> what a request that succeeds returns
  */
--- a/src/main/java/notchpick/protocol/StateStoreTransport.java
+++ b/src/main/java/notchpick/protocol/StateStoreTransport.java
@@ -5,7 +5,7 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** How requests reach the state service. */
+/** How requests reach the state store. */
 public interface StateStoreTransport {
     /**
      * Sends a request and calls back exactly once, as a {@link HttpCaller} does.
--- a/src/main/java/notchpick/protocol/Transaction.java
+++ b/src/main/java/notchpick/protocol/Transaction.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A conditional transaction of the state service: all writes are made if all conditions hold, otherwise none. */
+/** A conditional transaction of the state store: all writes are made if all conditions hold, otherwise none. */
 public final class Transaction {
     private final Map<String, Long> conditions = new LinkedHashMap<>();
     private final ArrayNode writes = Json.object().putArray("writes");
@@ -23,7 +23,7 @@
         return this;
     }
 
-    /** Writes a key that the state service deletes when the lease ends. */
+    /** Writes a key that the state store deletes when the lease ends. */
     public Transaction put(String key, JsonNode value, long lease) {
         writes.addObject()
                 .put(StateStoreFields.PUT, key)
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -32,7 +32,7 @@
  * later one when it is executed after all. One transaction is in flight at a time; changes gather meanwhile.
  */
 public final class FencedWriter {
-    /** Is told that the leader key has changed, so that this leader may not write any more. */
+    /** Is notified that the leader key has changed, so that this leader may not write any more. */
     @FunctionalInterface
     public interface LeadershipListener {
         /** Another term has begun, or this one has ended; the writer sends nothing more. */
@@ -199,7 +199,7 @@
     }
 
     /**
-     * The state service would reject the same transaction again and again, and hold up all other changes: each change is
+     * The state store would reject the same transaction again and again, and hold up all other changes: each change is
      * sent by itself, until the one at fault is found, which is tried again only now and then.
      */
     private void rejected(WriteBatch batch) {
@@ -207,7 +207,7 @@
             Member member = batch.members().get(0);
             isolated.remove(member.name());
             LOG.error(
-                    "write rejected by the state service: keys={} retryMs={}",
+                    "write rejected by the state store: keys={} retryMs={}",
                     member.prepared().writes().stream().map(KeyWrite::key).toList(),
                     REJECTED_RETRY_MS);
             member.prepared().listener().rejected();
--- a/src/main/java/notchpick/storage/KeyVersions.java
+++ b/src/main/java/notchpick/storage/KeyVersions.java
@@ -5,7 +5,7 @@
 
 /** The versions of keys that the writer has seen last, in a read or as the result of its own transaction. */
 final class KeyVersions {
-    /** The state service's version of a key that does not exist. */
+    /** The state store's version of a key that does not exist. */
     private static final long MISSING = 0;
 
     private final Map<String, Long> versions = new HashMap<>();
--- a/src/main/java/notchpick/storage/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -15,7 +15,7 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Packs many small records into few values of the state service, the pages, so that one write covers many records: the
+ * Packs many small records into few values of the state store, the pages, so that one write covers many records: the
  * service's write rate is far below the rate at which tasks start and end.
  *
  * <p>A record that is removed leaves its value at the page's next write; until then a reader finds more than there is,
@@ -35,16 +35,16 @@
 
     /** How the page of a new record is selected. */
     public enum Packing {
-        /** The page with the most room: for records that are written once, many at a time. */
+        /** The page with the most free bytes: for records that are written once, many at a time. */
         WORST_FIT,
-        /** The fullest page that has room: for records that are written again and again. */
+        /** The fullest page that has enough free bytes: for records that are written again and again. */
         BEST_FIT
     }
 
-    /** Is told which records are durable. */
+    /** Is notified of records that have become durable. */
     @FunctionalInterface
     public interface Listener<R> {
-        /** The state service has these records, as they were when the write was prepared. */
+        /** The state store has these records, as they were when the write was prepared. */
         void recorded(List<R> records);
     }
 
@@ -268,7 +268,7 @@
         }
     }
 
-    /** The state service accepts less than the settings say: half of the page's records move to other pages. */
+    /** The state store accepts less than the settings say: half of the page's records move to other pages. */
     private void splitRejected(Page<R> page) {
         List<R> records = new ArrayList<>(page.records());
         // Oversized, the page lets its records go.
--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * One value of the state service and the records that are packed into it.
+ * One value of the state store and the records that are packed into it.
  *
  * @param <R> the records
  */
--- a/src/main/java/notchpick/storage/Preconditions.java
+++ b/src/main/java/notchpick/storage/Preconditions.java
@@ -6,13 +6,13 @@
 /**
  * Keys that a change does not write, and the versions that they must have for it to be made.
  *
- * @param listener is told which of them have another version, before the change is tried again
+ * @param listener is notified which of them have another version, before the change is tried again
  */
 public record Preconditions(Map<String, Long> versions, ConflictListener listener) {
     /** A change that depends on nothing but what it writes. */
     public static final Preconditions NONE = new Preconditions(Map.of(), keys -> {});
 
-    /** Is told of preconditions that did not hold. */
+    /** Is notified of preconditions that did not hold. */
     @FunctionalInterface
     public interface ConflictListener {
         /** These keys have another version than was required. */
--- a/src/main/java/notchpick/storage/PreparedChange.java
+++ b/src/main/java/notchpick/storage/PreparedChange.java
@@ -4,7 +4,7 @@
 
 /** The writes of a change, all of which become durable in one transaction. */
 public record PreparedChange(List<KeyWrite> writes, Preconditions preconditions, Listener listener) {
-    /** Is told what becomes of a change. */
+    /** Is notified of the outcome of a change. */
     @FunctionalInterface
     public interface Listener {
         /** The change is durable. */
@@ -13,7 +13,7 @@
         /** A key that must have a certain version has another: the change is not made, and not tried again. */
         default void conflicted() {}
 
-        /** The state service does not accept the change as it is; it is tried again later, prepared anew. */
+        /** The state store does not accept the change as it is; it is tried again later, prepared anew. */
         default void rejected() {}
     }
 
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -6,7 +6,7 @@
 
 /** Changes that share a transaction. */
 final class WriteBatch {
-    /** The state service takes this many conditions in a transaction for each write that it takes. */
+    /** The state store takes this many conditions in a transaction for each write that it takes. */
     private static final int CONDITIONS_PER_WRITE = 4;
     /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
     private static final int MAX_BYTES = 58 << 10;
@@ -36,7 +36,7 @@
         return writes + change.writes().size() <= maxWrites && bytes + change.maxBytes() <= MAX_BYTES;
     }
 
-    /** Adds a change, be there room for it or not. */
+    /** Adds a change, even if it does not fit. */
     void add(Member member) {
         members.add(member);
         writes += member.prepared().writes().size();
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -85,7 +85,7 @@
         }
         switch (run.random().nextInt(3)) {
             case 0 -> faults.add(FAULTS[run.random().nextInt(FAULTS.length)]);
-            // Most violations came about where an outage of the state service was the last fault.
+            // Most violations came about where an outage of the state store was the last fault.
             case 1 -> faults.add(Fault.OUTAGE);
             default -> {}
         }
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -125,7 +125,7 @@
         assertRecovers(cluster, seed, List.of("done"));
     }
 
-    /** Links, controllers and the state service fail together; what is lost is done again, and no rule is broken. */
+    /** Links, controllers and the state store fail together; what is lost is done again, and no rule is broken. */
     @ParameterizedTest
     @MethodSource("seeds")
     void noRuleIsBrokenWhenAnythingFails(int seed) throws Exception {
--- a/src/test/java/notchpick/app/LinkStatusCommandTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -5,33 +5,21 @@
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
-import notchpick.coordination.Deployment.StateStoreLimits;
-import notchpick.coordination.Deployment.WorkerTiming;
+import notchpick.coordination.TestDeployments;
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
-import notchpick.scheduling.ServiceObjectives;
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
 /** The output for operators, which distinguishes a refused connection, no answer, and an older version. */
 class LinkStatusCommandTest {
-    private static final Deployment DEPLOYMENT = new Deployment(
-            "n-0",
-            "a:1",
-            "a:2",
+    private static final Deployment DEPLOYMENT = TestDeployments.deployment(
+            TestDeployments.TIMING,
             List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2"), new Peer("n-3", "d:2")),
-            "c:1",
-            "s:1",
-            List.of("east"),
-            List.of(),
-            ServiceObjectives.NONE,
-            new WorkerTiming(3, 20, 40),
-            new StateStoreLimits(100, 100, 16 << 10, 12),
-            5,
-            100);
+            List.of());
     private static final LinkTable TABLE = new LinkTable(
             "n-0",
             7L,
--- a/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
+++ b/src/test/java/notchpick/archive/ClassDataArchiveTraining.java
@@ -89,7 +89,7 @@
         System.exit(exitStatus);
     }
 
-    /** Serves the state service, the cloud and another controller. */
+    /** Serves the state store, the cloud and another controller. */
     private static void startServer(Addresses addresses) throws Exception {
         ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
         Timer timer = (delayMs, work) -> {
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -3,31 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import java.util.Map;
-import notchpick.coordination.Deployment.StateStoreLimits;
 import notchpick.coordination.Deployment.WorkerTiming;
-import notchpick.scheduling.ServiceObjectives;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The bounds from the confirmation of a cancellation to the end of the last task, term by term as in design.md. */
 class CancellationBoundTest {
     private static Deployment deployment(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
-        return new Deployment(
-                "n",
-                "",
-                "",
-                List.of(),
-                "",
-                "",
-                List.of(),
-                List.of(),
-                new ServiceObjectives(Map.of()),
-                new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS),
-                new StateStoreLimits(100, 100, 1000, 12),
-                1,
-                100);
+        return TestDeployments.deployment(new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS));
     }
 
     private static double leaderLeaseS(double leaseS) {
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -10,8 +10,7 @@
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.Deployment.Quota;
-import notchpick.coordination.Deployment.StateStoreLimits;
-import notchpick.coordination.Deployment.WorkerTiming;
+import notchpick.coordination.TestDeployments;
 import notchpick.coordination.Tuning;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.coordination.membership.LinkMonitor;
@@ -35,7 +34,6 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.RuntimeEstimator;
-import notchpick.scheduling.ServiceObjectives;
 import notchpick.scheduling.TestJobs;
 import notchpick.simulation.SimulatedTime;
 import notchpick.transport.EventLoop;
@@ -51,22 +49,12 @@
     private final List<TaskAssignment> bound = new ArrayList<>();
     private Grant granted;
 
-    private final Deployment deployment = new Deployment(
-            "n-0",
-            "a:1",
-            "a:2",
+    private final Deployment deployment = TestDeployments.deployment(
+            TestDeployments.TIMING,
             List.of(new Peer("n-1", "b:2")),
-            "c:1",
-            "s:1",
-            List.of("east"),
             List.of(
                     new Quota("a", Resources.NONE, Resources.NONE),
-                    new Quota("b", Resources.NONE, new Resources(4, 0, 0))),
-            ServiceObjectives.NONE,
-            new WorkerTiming(3, 20, 40),
-            new StateStoreLimits(100, 100, 16 << 10, 12),
-            5,
-            100);
+                    new Quota("b", Resources.NONE, new Resources(4, 0, 0))));
     private final LinkMonitor links = new LinkMonitor(loop, deployment);
     private final PeerRegistry peerRegistry = new PeerRegistry(loop, deployment, links);
     private final PeerClient peerClient = new PeerClient(
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import java.util.Map;
 import notchpick.coordination.Deployment;
+import notchpick.coordination.TestDeployments;
 import notchpick.coordination.leader.heartbeat.HeartbeatValidator.Verdict;
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.model.ClusterState;
@@ -12,7 +12,6 @@
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
-import notchpick.scheduling.ServiceObjectives;
 import org.junit.jupiter.api.Test;
 
 /** A heartbeat counts only under the leader's own fencing token, once, and in order. */
@@ -20,20 +19,7 @@
     private static final long TERM = 4;
     private static final long LEASE_UNTIL_MS = 10_000;
     private static final double LEADER_LEASE_S = 3;
-    private static final Deployment DEPLOYMENT = new Deployment(
-            "n",
-            "",
-            "",
-            List.of(),
-            "",
-            "",
-            List.of(),
-            List.of(),
-            new ServiceObjectives(Map.of()),
-            new Deployment.WorkerTiming(3, 20, 40),
-            new Deployment.StateStoreLimits(100, 100, 1000, 12),
-            1,
-            100);
+    private static final Deployment DEPLOYMENT = TestDeployments.deployment(TestDeployments.TIMING);
 
     private long now = 5000;
     private final ClusterState cluster = new ClusterState(ended -> {});
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -8,6 +8,7 @@
 import java.util.stream.IntStream;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.TestDeployments;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.Decision;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectNowhere;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectToLeader;
@@ -19,7 +20,6 @@
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
 import notchpick.protocol.peer.Pulse;
-import notchpick.scheduling.ServiceObjectives;
 import notchpick.simulation.SimulatedTime;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Response;
@@ -31,20 +31,10 @@
     private static final long PERIOD_MS = 3000;
     private static final String LEADER = "n-1";
     private static final String OTHER = "n-2";
-    private static final Deployment DEPLOYMENT = new Deployment(
-            "n-0",
-            "",
-            "",
-            List.of(new Peer(LEADER, "b:2"), new Peer(OTHER, "c:2")),
-            "",
-            "",
-            List.of("east"),
-            List.of(),
-            ServiceObjectives.NONE,
+    private static final Deployment DEPLOYMENT = TestDeployments.deployment(
             new Deployment.WorkerTiming(PERIOD_MS / 1000.0, 20, 40),
-            new Deployment.StateStoreLimits(100, 100, 1000, 12),
-            1,
-            100);
+            List.of(new Peer(LEADER, "b:2"), new Peer(OTHER, "c:2")),
+            List.of());
 
     private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.Deployment.Peer;
+import notchpick.coordination.TestDeployments;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
 import notchpick.protocol.peer.Progress;
 import notchpick.protocol.peer.Pulse;
-import notchpick.scheduling.ServiceObjectives;
 import notchpick.simulation.SimulatedTime;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller.Response;
@@ -28,20 +28,8 @@
     /** Link tables come once in 4 s; one may be missed. */
     private static final long LINK_TABLE_VALID_MS = 8000;
 
-    private static final Deployment DEPLOYMENT = new Deployment(
-            "n-0",
-            "",
-            "",
-            List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2")),
-            "",
-            "",
-            List.of("east", "west"),
-            List.of(),
-            ServiceObjectives.NONE,
-            new Deployment.WorkerTiming(4, 20, 40),
-            new Deployment.StateStoreLimits(100, 100, 1000, 12),
-            1,
-            100);
+    private static final Deployment DEPLOYMENT = TestDeployments.deployment(
+            new Deployment.WorkerTiming(4, 20, 40), List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2")), List.of());
 
     private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -38,7 +38,7 @@
     }
 
     /**
-     * The state service refuses the leader alone from now on.
+     * The state store refuses the leader alone from now on.
      *
      * @param cancelRequested the jobs that users have asked to cancel
      */
--- a/src/test/java/notchpick/simulation/ClusterConfig.java
+++ b/src/test/java/notchpick/simulation/ClusterConfig.java
@@ -9,8 +9,8 @@
  * What a simulated cluster consists of.
  *
  * @param controllers the number of controllers
- * @param requestsPerS requests that the state service accepts in a second
- * @param limits what the state service accepts at first
+ * @param requestsPerS requests that the state store accepts in a second
+ * @param limits what the state store accepts at first
  * @param announcedLimits what it will accept from some moment of the test on
  * @param limitsAnnouncedAtRestart whether a controller reads the announced limits only when it is restarted, as in a
  *     rolling upgrade; otherwise it keeps to them from its first start
@@ -78,13 +78,13 @@
             return this;
         }
 
-        /** Requests that the state service accepts in a second. */
+        /** Requests that the state store accepts in a second. */
         public Builder requestsPerS(double value) {
             requestsPerS = value;
             return this;
         }
 
-        /** Puts and deletes that the state service accepts in a second at first. */
+        /** Puts and deletes that the state store accepts in a second at first. */
         public Builder writesPerS(double value) {
             writesPerS = value;
             return this;
--- a/src/test/java/notchpick/simulation/Occurrence.java
+++ b/src/test/java/notchpick/simulation/Occurrence.java
@@ -16,7 +16,7 @@
     HEARTBEAT_DUPLICATED_IN_LATER_TERM,
     CANCELLATION_CONFIRMED,
     CANCELLED_WITHOUT_LEADER,
-    /** A cancellation was confirmed while the state service refused the leader alone. */
+    /** A cancellation was confirmed while the state store refused the leader alone. */
     CANCELLED_WHILE_LEADER_REFUSED,
     INVALID_SUBMISSION_REFUSED,
     /** A submission that must not be accepted got an answer that does not decide it. */
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -159,12 +159,12 @@
         return lostStartOrders;
     }
 
-    /** From now on the state service accepts no more than the announced limits allow. */
+    /** From now on the state store accepts no more than the announced limits allow. */
     public void enforceAnnouncedLimits() {
         stateStore.limits(config.announcedLimits());
     }
 
-    /** An outage of the state service begins or ends. */
+    /** An outage of the state store begins or ends. */
     public void setOutage(boolean active) {
         stateStore.setOutage(active);
         if (!active) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** The state service refuses this controller alone from now on, or no longer. */
+    /** The state store refuses this controller alone from now on, or no longer. */
     public void setRefused(String node, boolean refused) {
         stateStore.setRefused(node, refused);
         if (refused && controllers.isLeader(node)) {
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -214,7 +214,7 @@
             carry(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
-        // The state service refuses by who calls, so the caller's name goes along.
+        // The state store refuses by who calls, so the caller's name goes along.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
             transcript.answered(time.now(), to, from, call, answer);
             carry(to, from, () -> answerOnce.accept(answer), reset);
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -18,7 +18,7 @@
 import notchpick.transport.HttpHandler;
 import notchpick.transport.Timer;
 
-/** The state service, written from its published protocol. */
+/** The state store, written from its published protocol. */
 public final class SimulatedStateStore implements HttpHandler {
     public static final int MAX_VALUE_BYTES = 16 << 10;
     private static final int MAX_TRANSACTION_BYTES = 64 << 10;
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -242,7 +242,7 @@
         }
     }
 
-    /** The state service serves again. */
+    /** The state store serves again. */
     void outageEnded() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_OUTAGE_END);
--- a/src/test/java/notchpick/simulation/StateStoreData.java
+++ b/src/test/java/notchpick/simulation/StateStoreData.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** The keys and values of the state service, and the log of their changes. */
+/** The keys and values of the state store, and the log of their changes. */
 final class StateStoreData {
     /**
      * A stored value.
--- a/src/test/java/notchpick/simulation/StateStoreFaults.java
+++ b/src/test/java/notchpick/simulation/StateStoreFaults.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** What is wrong with the state service. */
+/** What is wrong with the state store. */
 final class StateStoreFaults {
     private static final int RANDOM_SEED = 7;
     private static final int MIN_UNANSWERED_DELAY_MS = 2000;
--- a/src/test/java/notchpick/simulation/StateStoreLeases.java
+++ b/src/test/java/notchpick/simulation/StateStoreLeases.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import notchpick.transport.Timer;
 
-/** The leases of the state service: a lease that is not kept alive ends, and its keys with it. */
+/** The leases of the state store: a lease that is not kept alive ends, and its keys with it. */
 final class StateStoreLeases {
     /** Is notified when a lease has ended. */
     interface EndListener {
--- a/src/test/java/notchpick/simulation/StateStoreLimits.java
+++ b/src/test/java/notchpick/simulation/StateStoreLimits.java
@@ -1,7 +1,7 @@
 package notchpick.simulation;
 
 /**
- * What the state service accepts.
+ * What the state store accepts.
  *
  * @param valueBytes the largest value
  * @param transactionWrites the most puts and deletes in one transaction
--- a/src/test/java/notchpick/simulation/StateStoreWatches.java
+++ b/src/test/java/notchpick/simulation/StateStoreWatches.java
@@ -11,7 +11,7 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.Timer;
 
-/** Watches of the state service: reads of the log that wait until there is a change. */
+/** Watches of the state store: reads of the log that wait until there is a change. */
 final class StateStoreWatches {
     /**
      * A read of the log.
--- a/src/test/java/notchpick/simulation/Transcript.java
+++ b/src/test/java/notchpick/simulation/Transcript.java
@@ -14,7 +14,7 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * A record of every message between hosts and of every transaction that the state service carried out, with simulated
+ * A record of every message between hosts and of every transaction that the state store carried out, with simulated
  * time, in the words of the wire. Two versions that behave alike write the same bytes.
  */
 public final class Transcript implements AutoCloseable {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** The state service has carried out a transaction. */
+    /** The state store has carried out a transaction. */
     void committed(long nowMs, long revision, String transaction) {
         if (out != null) {
             write(nowMs + " revision " + revision + " " + transaction);
