--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -7,6 +7,7 @@
 import notchpick.coordination.Tuning;
 import notchpick.coordination.userapi.UserRequestHandler;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.Milliseconds;
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller;
@@ -25,8 +26,6 @@
 
     private record PeerRequest(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
 
-    private static final double MS_PER_S = 1000.0;
-
     private final Deployment deployment;
     private final long leaderLeaseMs;
     private final ControllerComponents components;
@@ -77,7 +76,7 @@
     }
 
     private void checkCancellationBound() {
-        long boundMs = deployment.cancellationBoundMs(leaderLeaseMs / MS_PER_S);
+        long boundMs = deployment.cancellationBoundMs(leaderLeaseMs / Milliseconds.PER_SECOND);
         if (boundMs > deployment.cancelTimeoutMs()) {
             log.warn(
                     "cancel_s can't be kept for a machine that can't be reached, as lease_s is too long: "
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -13,6 +13,7 @@
 import notchpick.protocol.PeerProtocol;
 import notchpick.protocol.peer.LinkRow;
 import notchpick.protocol.peer.LinkTable;
+import notchpick.scheduling.Milliseconds;
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
@@ -27,7 +28,6 @@
     private static final long CONNECT_TIMEOUT_MS = 1000;
     private static final int MIN_THREADS = 2;
     private static final int MAX_THREADS = 16;
-    private static final double MS_PER_S = 1000.0;
 
     private LinkStatusCommand() {}
 
@@ -114,7 +114,9 @@
                 link.getKind().name().toLowerCase(Locale.ROOT),
                 link.getName(),
                 link.getCondition().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                link.getAgeMs() < 0 ? "never" : String.format(Locale.ROOT, "%.1f s ago", link.getAgeMs() / MS_PER_S),
+                link.getAgeMs() < 0
+                        ? "never"
+                        : String.format(Locale.ROOT, "%.1f s ago", link.getAgeMs() / Milliseconds.PER_SECOND),
                 link.getDelayMs() < 0 ? "-" : link.getDelayMs() + " ms",
                 String.format(Locale.ROOT, "%.1f a s", link.getPerS()));
     }
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -1,6 +1,7 @@
 package notchpick.coordination;
 
 import java.util.List;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.ServiceObjectives;
 
@@ -68,8 +69,6 @@
         }
     }
 
-    private static final double MS_PER_S = 1000;
-
     /** The end of a job takes two writes in one transaction. */
     private static final int JOB_END_WRITES = 2;
     /** One transaction takes no more than this part of the writes that the state store takes in a second. */
@@ -137,7 +136,7 @@
 
     /** The length of the leader lease. */
     public long leaderLeaseMs(Tuning tuning) {
-        return (long) (workers.leaseS() * MS_PER_S * tuning.leaderLeaseRatio());
+        return (long) (workers.leaseS() * Milliseconds.PER_SECOND * tuning.leaderLeaseRatio());
     }
 
     /** The quota of a team; null if there is no such team. */
@@ -194,10 +193,10 @@
 
     /** After so long a worker has surely ended its tasks, if no reply has renewed its lease. */
     public long workerLeaseSafelyExpiredMs() {
-        return leaseSafelyExpiredMs(workers.leaseS() * MS_PER_S);
+        return leaseSafelyExpiredMs(workers.leaseS() * Milliseconds.PER_SECOND);
     }
 
     private static long toMs(double seconds) {
-        return (long) (seconds * MS_PER_S);
+        return (long) (seconds * Milliseconds.PER_SECOND);
     }
 }
--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -12,13 +12,13 @@
 import notchpick.scheduling.Consolidation;
 import notchpick.scheduling.Consolidation.Candidate;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Milliseconds;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** When nothing waits, drains machines in little use whose tasks can write a checkpoint and move elsewhere. */
 final class Defragmenter {
     private static final Logger LOG = LoggerFactory.getLogger(Defragmenter.class);
-    private static final double MS_PER_S = 1000.0;
     /** A task is moved only if it has so many times the time to write a checkpoint still to run. */
     private static final int MIN_REMAINING_CHECKPOINTS = 10;
 
@@ -77,7 +77,7 @@
         List<JobSpec> tasks = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments()) {
             JobSpec spec = assignment.spec();
-            double ranS = (now - assignment.runningSince()) / MS_PER_S;
+            double ranS = (now - assignment.runningSince()) / Milliseconds.PER_SECOND;
             double remainingS = context.runtimes().runS(spec) - ranS;
             boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
             if (!assignment.mayBePreempted(now) || !pays || spec.hasZoneConstraint()) {
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -24,6 +24,7 @@
 import notchpick.protocol.peer.Progress;
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.RuntimeEstimator;
 import notchpick.storage.CommitmentsCodec;
 import notchpick.storage.FencedWriter;
@@ -65,7 +66,6 @@
         void stepDown(String reason);
     }
 
-    private static final double MS_PER_S = 1000.0;
     /** The parts are reviewed so many times in a heartbeat period. */
     private static final int TICKS_PER_HEARTBEAT = 3;
     /** Cancellations are read as often as the leader lease is renewed, lest their age shorten the grace period. */
@@ -100,9 +100,9 @@
         super(environment.loop());
         this.deployment = environment.deployment();
         this.stepDownHandler = stepDownHandler;
-        this.commitmentSaveMs = (long) (environment.tuning().commitmentSaveS() * MS_PER_S);
+        this.commitmentSaveMs = (long) (environment.tuning().commitmentSaveS() * Milliseconds.PER_SECOND);
         long leaderLeaseMs = deployment.leaderLeaseMs(environment.tuning());
-        double leaderLeaseS = leaderLeaseMs / MS_PER_S;
+        double leaderLeaseS = leaderLeaseMs / Milliseconds.PER_SECOND;
         this.cluster = new ClusterState(this::assignmentEnded);
         this.context = context(term);
         this.authority = new LeaderAuthority(loop::nowMs, deployment, leaderLeaseS, term.leaseUntil());
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -8,6 +8,7 @@
 import notchpick.model.Job;
 import notchpick.model.Machine;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.PlacementIndex;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
@@ -27,7 +28,6 @@
         OTHERS
     }
 
-    private static final double MS_PER_S = 1000;
     /** Keeps the fetch time of an image finite where the rate is not known. */
     private static final double MIN_FETCH_GB_PER_S = 0.01;
     /** Others may go first for as long as so many fetches of the job's image take. */
@@ -179,7 +179,7 @@
      */
     private boolean mayDefer(Job job, Machine machine) {
         double rate = Math.max(context.machineTypes().fetchGbPerS(machine.type()), MIN_FETCH_GB_PER_S);
-        double fetchMs = MS_PER_S * job.spec().imageGb() / rate;
+        double fetchMs = Milliseconds.PER_SECOND * job.spec().imageGb() / rate;
         return !job.spec().isUrgent()
                 && (job.deferredSince() == 0 || now - job.deferredSince() < MAX_DEFERRAL_FETCHES * fetchMs);
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import notchpick.coordination.leader.term.TermContext;
 import notchpick.model.ClusterState;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
 
 /** Keeps the commitment of each team: its overuse of each resource, which decays over time. */
 final class CommitmentTracker {
-    private static final double MS_PER_S = 1000.0;
 
     private final TermContext context;
     private final ClusterState cluster;
@@ -49,7 +49,7 @@
      */
     void update(Set<String> activeTeams, Resources capacity) {
         long now = context.now();
-        double elapsedS = (now - updatedAt) / MS_PER_S;
+        double elapsedS = (now - updatedAt) / Milliseconds.PER_SECOND;
         updatedAt = now;
         Set<String> teams = new HashSet<>(commitments.keySet());
         teams.addAll(activeTeams);
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -15,12 +15,12 @@
 import notchpick.model.Machine;
 import notchpick.scheduling.JobOrder;
 import notchpick.scheduling.JobOrder.WaitingJob;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.PlacementIndex;
 import notchpick.scheduling.Resources;
 
 /** Allocates resources to teams by Stateful Dominant Resource Fairness, with quotas, urgency and preemption. */
 public final class ResourceAllocator {
-    private static final double MS_PER_S = 1000;
 
     private final TermContext context;
     private final Deployment deployment;
@@ -39,7 +39,7 @@
         this.commitments = new CommitmentTracker(context, tuning.commitmentDecayS());
         this.nodes = new NodeSelector(context);
         this.preemption = new PreemptionPlanner(context);
-        this.maxSkippedMs = tuning.maxSkippedS() * MS_PER_S;
+        this.maxSkippedMs = tuning.maxSkippedS() * Milliseconds.PER_SECOND;
     }
 
     /** The decayed overuse of each team. */
--- a/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
@@ -76,7 +76,7 @@
     List<TaskCommand> stopsOfEndedJobs(List<TaskStatus> reported) {
         List<TaskCommand> stops = new ArrayList<>();
         for (TaskStatus status : reported) {
-            if (status.phase() != TaskPhase.EXITED && !cluster.isOpen(status.job())) {
+            if (isLiveTaskOfEndedJob(status)) {
                 stops.add(new StopTask(status.name(), status.attempt(), 0));
             }
         }
@@ -93,12 +93,15 @@
     boolean mustExpire(Machine machine, List<TaskStatus> reported) {
         for (TaskStatus status : reported) {
             TaskAssignment assignment = machine.assignment(status.name());
-            if (status.phase() != TaskPhase.EXITED
-                    && !cluster.isOpen(status.job())
+            if (isLiveTaskOfEndedJob(status)
                     && (assignment == null || !authority.mayRenewDespiteEndedJob(assignment.jobOpenUntil()))) {
                 return true;
             }
         }
         return false;
     }
+
+    private boolean isLiveTaskOfEndedJob(TaskStatus status) {
+        return status.phase() != TaskPhase.EXITED && !cluster.isOpen(status.job());
+    }
 }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -12,13 +12,13 @@
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 import notchpick.protocol.WorkerProtocol.TaskPhase;
 import notchpick.protocol.WorkerProtocol.TaskStatus;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.RuntimeEstimator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Brings a machine's assignments in line with its heartbeat. */
 final class HeartbeatReconciler {
-    private static final double MS_PER_S = 1000.0;
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
     private final ClusterState cluster;
@@ -102,7 +102,7 @@
         switch (exit) {
             case DONE -> {
                 if (assignment.isRunning()) {
-                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / MS_PER_S);
+                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / Milliseconds.PER_SECOND);
                 }
             }
             case STOPPED -> {}
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -7,6 +7,7 @@
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.CloudClient.ListedMachine;
 import notchpick.protocol.CloudClient.Page;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.NodePool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -14,7 +15,6 @@
 /** Lists the rented machines: unknown ones are taken on, failed ones released. */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
-    private static final double MS_PER_S = 1000;
 
     private final TermContext context;
     private final ClusterState cluster;
@@ -67,7 +67,7 @@
         NodePool pool = new NodePool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
                 new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
-        machine.setProvisionedAt(now - (long) (listed.ageS() * MS_PER_S));
+        machine.setProvisionedAt(now - (long) (listed.ageS() * Milliseconds.PER_SECOND));
         return machine;
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -10,6 +10,7 @@
 import notchpick.protocol.CloudClient;
 import notchpick.protocol.RentResult.NoCapacity;
 import notchpick.protocol.RentResult.Rented;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.NodePool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,7 +20,6 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
     private static final int MAX_TRIES = 3;
     private static final long RETRY_MS = 1000;
-    private static final double MS_PER_S = 1000;
     /** A pool that has been refused is not asked for again for this part of its boot time. */
     private static final double REFUSAL_BOOT_RATIO = 0.7;
 
@@ -101,8 +101,9 @@
             refused.run();
         } else if (count > batch) {
             // All pools together stay within the rate that the cloud takes.
-            long delayMs =
-                    (long) (MS_PER_S * requested.size() / context.deployment().cloudRps());
+            long delayMs = (long) (Milliseconds.PER_SECOND
+                    * requested.size()
+                    / context.deployment().cloudRps());
             context.timer().schedule(delayMs, () -> rentNext(pool, count - batch));
         } else {
             requested.remove(pool);
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -1,5 +1,6 @@
 package notchpick.coordination.membership;
 
+import notchpick.scheduling.Milliseconds;
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
@@ -14,7 +15,6 @@
         SILENT
     }
 
-    private static final double MS_PER_S = 1000.0;
     /** The weight of the newest latency in the moving average. */
     private static final double LATENCY_WEIGHT = 0.2;
 
@@ -64,7 +64,7 @@
         long elapsedMs = now - ratePeriodStart;
         if (elapsedMs >= ratePeriodMs) {
             // After a whole period without activity, nothing counted before it says what the rate is now.
-            ratePerS = elapsedMs < 2 * ratePeriodMs ? activitiesInPeriod * MS_PER_S / elapsedMs : 0;
+            ratePerS = elapsedMs < 2 * ratePeriodMs ? activitiesInPeriod * Milliseconds.PER_SECOND / elapsedMs : 0;
             activitiesInPeriod = 0;
             ratePeriodStart = now;
         }
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -20,6 +20,7 @@
 import notchpick.protocol.StateStoreResult.Missing;
 import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.scheduling.JobSpec;
+import notchpick.scheduling.Milliseconds;
 import notchpick.storage.JobSpecCodec;
 import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
@@ -56,7 +57,6 @@
     /** Reads take this part of the controller's requests; submissions and the leader's writes need the rest. */
     private static final double REQUEST_RATE_RATIO = 0.25;
 
-    private static final double MS_PER_S = 1000;
     private static final long NOT_LISTED = -1;
 
     private final EventLoop loop;
@@ -78,7 +78,7 @@
         this.stateStore = stateStore;
         this.outcomes = outcomes;
         this.timer = timer;
-        this.requestIntervalMs = (long) Math.ceil(MS_PER_S / (requestsPerS * REQUEST_RATE_RATIO));
+        this.requestIntervalMs = (long) Math.ceil(Milliseconds.PER_SECOND / (requestsPerS * REQUEST_RATE_RATIO));
         this.lastRequestAt = loop.nowMs() - requestIntervalMs;
     }
 
--- a/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
@@ -44,9 +44,6 @@
         ObjectNode body = Json.object(bytes);
         String id;
         try {
-            if (body == null) {
-                throw InvalidMessageException.notAnObject();
-            }
             id = UserProtocol.jobId(body);
         } catch (InvalidMessageException e) {
             reply.accept(UserReplies.badRequest(e.getMessage()));
--- a/src/main/java/notchpick/model/MachineTypeCatalog.java
+++ b/src/main/java/notchpick/model/MachineTypeCatalog.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import notchpick.scheduling.MachineType;
+import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.Resources;
 
 /** The machine types that the cloud offers, as far as they are known. */
@@ -13,8 +14,6 @@
     /** A machine of an unknown type is expected to take this long to boot. */
     private static final double UNKNOWN_BOOT_MS = 60_000;
 
-    private static final double MS_PER_S = 1000;
-
     private final Map<String, MachineType> types = new LinkedHashMap<>();
 
     /** Adds types, or replaces what was known of them. */
@@ -55,7 +54,7 @@
     /** How many milliseconds a machine of this type usually takes to boot. */
     public double bootMs(String type) {
         MachineType known = types.get(type);
-        return known == null ? UNKNOWN_BOOT_MS : known.bootS() * MS_PER_S;
+        return known == null ? UNKNOWN_BOOT_MS : known.bootS() * Milliseconds.PER_SECOND;
     }
 
     /** The shortest boot time of all types, in seconds; 0 if none is known. */
--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -33,9 +33,6 @@
      * @param receivedAtMs wall-clock time
      */
     public static JobSpec submission(ObjectNode body, long receivedAtMs) throws InvalidMessageException {
-        if (body == null) {
-            throw InvalidMessageException.notAnObject();
-        }
         String id = jobId(body);
         // The first fault in this order is the one that the user is told.
         Form form = form(body);
@@ -113,8 +110,15 @@
         return ids.stream().distinct().toList();
     }
 
-    /** Reads the id alone: the retry of a submission that was accepted is answered whatever else it holds. */
+    /**
+     * Reads the id alone: the retry of a submission that was accepted is answered whatever else it holds.
+     *
+     * @param body null if the message holds no JSON object
+     */
     public static String jobId(ObjectNode body) throws InvalidMessageException {
+        if (body == null) {
+            throw InvalidMessageException.notAnObject();
+        }
         String id = Json.text(body, WireFields.REFERENCE);
         if (!isJobId(id)) {
             throw new InvalidMessageException(
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -17,7 +17,6 @@
  */
 public final class CriticalPath {
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final double MS_PER_S = 1000;
 
     private final Map<String, Node> nodes = new HashMap<>();
     /** By job, open or not: the open ones that depend on it. */
@@ -32,13 +31,13 @@
 
         Node(JobSpec spec, double stageS) {
             this.spec = spec;
-            this.stageMs = stageS * MS_PER_S;
+            this.stageMs = stageS * Milliseconds.PER_SECOND;
             this.priority = spec.priority();
             this.dueAtMs = ownDueAtMs();
         }
 
         private double ownDueAtMs() {
-            return spec.deadlineS() == null ? NEVER : spec.submittedAt() + spec.deadlineS() * MS_PER_S;
+            return spec.deadlineS() == null ? NEVER : spec.submittedAt() + spec.deadlineS() * Milliseconds.PER_SECOND;
         }
     }
 
@@ -82,7 +81,8 @@
     /** An added job with its effective priority and deadline. */
     public JobSpec effective(JobSpec spec) {
         Node node = nodes.get(spec.id());
-        Double deadlineS = node.dueAtMs == NEVER ? null : (node.dueAtMs - node.spec.submittedAt()) / MS_PER_S;
+        Double deadlineS =
+                node.dueAtMs == NEVER ? null : (node.dueAtMs - node.spec.submittedAt()) / Milliseconds.PER_SECOND;
         return spec.withEffectivePriority(node.priority, deadlineS);
     }
 
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -42,7 +42,6 @@
         long submittedAt,
         List<String> dependencies,
         long readyAt) {
-    private static final double MS_PER_S = 1000;
 
     /** Begins a specification of a job without demand, constraints, deadline and dependencies. */
     public static Builder builder(String id) {
@@ -266,12 +265,12 @@
      * @param wallTimeMs the time of day, in milliseconds since the epoch
      */
     public double ageS(long wallTimeMs) {
-        return (wallTimeMs - readyAt) / MS_PER_S;
+        return (wallTimeMs - readyAt) / Milliseconds.PER_SECOND;
     }
 
     /** How long its dependencies blocked it, a time that counts towards its deadline. */
     public double blockedS() {
-        return (readyAt - submittedAt) / MS_PER_S;
+        return (readyAt - submittedAt) / Milliseconds.PER_SECOND;
     }
 
     /** How the tasks of a job relate. */
--- a/src/test/java/notchpick/scheduling/FleetPlannerTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -26,15 +26,14 @@
                 .build();
     }
 
+    /** The plan for one job where nothing is owned yet, with a minute's horizon. */
+    private static ScalingPlan planFor(JobDemand demand, Predicate<NodePool> refused) {
+        return FleetPlanner.plan(List.of(demand), List.of(), TYPES, 60, refused, pool -> false);
+    }
+
     @Test
     void rentsCheapMachinesInBothZones() {
-        ScalingPlan plan = FleetPlanner.plan(
-                List.of(new JobDemand(job(8, true, false), 8, 60, false, false)),
-                List.of(),
-                TYPES,
-                60,
-                pool -> false,
-                pool -> false);
+        ScalingPlan plan = planFor(new JobDemand(job(8, true, false), 8, 60, false, false), pool -> false);
         assertEquals(
                 Map.of(new NodePool("small", "east", true), 2, new NodePool("small", "west", true), 2),
                 plan.scaleOut());
@@ -42,25 +41,17 @@
 
     @Test
     void shortTasksRunOneAfterTheOtherWithinTheHorizon() {
-        ScalingPlan plan = FleetPlanner.plan(
-                List.of(new JobDemand(job(8, true, false), 8, 20, false, false)),
-                List.of(),
-                TYPES,
-                60,
-                pool -> pool.zone().equals("west"),
-                pool -> false);
+        ScalingPlan plan = planFor(
+                new JobDemand(job(8, true, false), 8, 20, false, false),
+                pool -> pool.zone().equals("west"));
         assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.scaleOut());
     }
 
     @Test
     void replicasRunConcurrently() {
-        ScalingPlan plan = FleetPlanner.plan(
-                List.of(new JobDemand(job(4, true, true), 4, 20, false, false)),
-                List.of(),
-                TYPES,
-                60,
-                pool -> pool.zone().equals("west"),
-                pool -> false);
+        ScalingPlan plan = planFor(
+                new JobDemand(job(4, true, true), 4, 20, false, false),
+                pool -> pool.zone().equals("west"));
         assertEquals(Map.of(new NodePool("small", "east", true), 2), plan.scaleOut());
     }
 
@@ -69,34 +60,16 @@
         Predicate<NodePool> noSpot = NodePool::spot;
         assertEquals(
                 Map.of(),
-                FleetPlanner.plan(
-                                List.of(new JobDemand(job(2, true, false), 2, 60, false, false)),
-                                List.of(),
-                                TYPES,
-                                60,
-                                noSpot,
-                                pool -> false)
+                planFor(new JobDemand(job(2, true, false), 2, 60, false, false), noSpot)
                         .scaleOut());
         assertEquals(
                 1,
-                FleetPlanner.plan(
-                                List.of(new JobDemand(job(2, true, false), 2, 60, true, false)),
-                                List.of(),
-                                TYPES,
-                                60,
-                                noSpot,
-                                pool -> false)
+                planFor(new JobDemand(job(2, true, false), 2, 60, true, false), noSpot)
                         .scaleOut()
                         .size());
         assertEquals(
                 1,
-                FleetPlanner.plan(
-                                List.of(new JobDemand(job(2, false, false), 2, 60, false, false)),
-                                List.of(),
-                                TYPES,
-                                60,
-                                pool -> false,
-                                pool -> false)
+                planFor(new JobDemand(job(2, false, false), 2, 60, false, false), pool -> false)
                         .scaleOut()
                         .size());
     }
