--- a/src/main/java/notchpick/transport/IdleConnectionLimit.java
+++ b/src/main/java/notchpick/transport/IdleConnectionLimit.java
@@ -25,8 +25,9 @@
     @Override
     public void onOpened(Connection connection) {
         super.onOpened(connection);
-        // The connection is among the connector's now: a later change of the limit reaches it, an earlier one is made up
-        // for here. No lock: a connection that is idle already ends within the call, and is counted out.
+        // The connection is among the connector's now: a later change of the limit reaches it.
+        // An earlier one is made up for here.
+        // No lock: a connection that is idle already ends within the call, and is counted out.
         boolean limited = false;
         while (limited != limiting) {
             limited = !limited;
