--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -49,7 +49,7 @@
         this.clientRequests = new ClientRequestRouter(components, heartbeats);
         this.peerRequests = new PeerRequestDispatcher(deployment.node(), loop, this::onLoop, components, heartbeats);
         this.machineTypes = new MachineTypeRefresher(
-                components, deployment.valueBytes(), this::schedule, this::onLoop, this::typesRefreshed);
+                components, deployment.maxValueBytes(), this::schedule, this::onLoop, this::typesRefreshed);
     }
 
     /** Serves users, workers and health checks. */
--- a/src/main/java/notchpick/app/ControllerComponents.java
+++ b/src/main/java/notchpick/app/ControllerComponents.java
@@ -54,9 +54,9 @@
         stateStore = new StateStoreClient(
                 stateStoreTransport,
                 loop,
-                deployment.stateAddress(),
+                deployment.stateStoreAddress(),
                 STATE_STORE_TIMEOUT_MS,
-                deployment.requestsPerS());
+                deployment.ownStateStoreRequestsPerS());
         cloud = new CloudClient(caller, deployment.cloudAddress(), CLOUD_TIMEOUT_MS);
         localLeader = new LocalLeader(
                 new LeaderEnvironment(
--- a/src/main/java/notchpick/app/ControllerServer.java
+++ b/src/main/java/notchpick/app/ControllerServer.java
@@ -40,11 +40,11 @@
                 new ArrayByteBufferPool(),
                 List.of(
                         Endpoint.forClients(
-                                deployment.serveOn(),
+                                deployment.clientBindAddress(),
                                 controller::serve,
                                 deployment.maxClientConnections(),
                                 CROWDED_IDLE_TIMEOUT_PERIODS * deployment.heartbeatPeriodMs()),
-                        Endpoint.forPeers(deployment.peerBind(), controller::servePeer)),
+                        Endpoint.forPeers(deployment.peerBindAddress(), controller::servePeer)),
                 IDLE_TIMEOUT_LEASES * deployment.workerLeaseMs());
         controller.tell(new Controller.Begin());
         server.start();
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -58,7 +58,7 @@
     /** Queries all controllers in parallel; gives their responses by name of the controller. */
     static List<NodeResponse> query(Deployment deployment, HttpCaller caller) throws InterruptedException {
         Map<String, String> addresses = new TreeMap<>();
-        addresses.put(deployment.node(), deployment.peerBind());
+        addresses.put(deployment.node(), deployment.peerBindAddress());
         deployment.peers().forEach(peer -> addresses.put(peer.node(), peer.address()));
         byte[] query = PeerProtocol.encode(new LinkTable("", 0L, null, null, 0L, List.of()));
         Map<String, Response> responses = new ConcurrentHashMap<>();
--- a/src/main/java/notchpick/app/LocalLeader.java
+++ b/src/main/java/notchpick/app/LocalLeader.java
@@ -29,7 +29,7 @@
     void setMachineTypes(List<MachineType> types) {
         machineTypes = types;
         if (leader != null) {
-            leader.tell(new Leader.TypesKnown(types));
+            leader.tell(new Leader.MachineTypesUpdated(types));
         }
     }
 
@@ -37,7 +37,7 @@
     public void elected(ElectedTerm term) {
         leader = new Leader(environment, term, stepDownHandler);
         if (machineTypes != null) {
-            leader.tell(new Leader.TypesKnown(machineTypes));
+            leader.tell(new Leader.MachineTypesUpdated(machineTypes));
         }
     }
 
@@ -48,7 +48,7 @@
 
     @Override
     public void deposed() {
-        leader.tell(new Leader.Depose());
+        leader.tell(new Leader.TermEnded());
         leader = null;
     }
 }
--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -9,26 +9,26 @@
  * What the platform's settings say of the deployment, and the time bounds that follow from it.
  *
  * @param node the name of this controller
- * @param serveOn the address at which clients are served
- * @param peerBind the address at which peers are served
+ * @param clientBindAddress the address at which clients are served
+ * @param peerBindAddress the address at which peers are served
  * @param peers the other controllers
- * @param teams the quotas of all teams
- * @param cloudRps the requests that the cloud takes in a second
+ * @param quotas the quotas of all teams
+ * @param cloudRequestsPerS the requests that the cloud takes in a second
  * @param socketLimit the most connections that this process may have open
  */
 public record Deployment(
         String node,
-        String serveOn,
-        String peerBind,
+        String clientBindAddress,
+        String peerBindAddress,
         List<Peer> peers,
         String cloudAddress,
-        String stateAddress,
+        String stateStoreAddress,
         List<String> zones,
-        List<Quota> teams,
+        List<Quota> quotas,
         ServiceObjectives objectives,
-        WorkerTiming workers,
-        StateStoreLimits stateStore,
-        double cloudRps,
+        WorkerTiming workerTiming,
+        StateStoreLimits stateStoreLimits,
+        double cloudRequestsPerS,
         int socketLimit) {
 
     /** Another controller. */
@@ -85,8 +85,8 @@
      * writes: it would refuse a larger transaction forever.
      */
     public int maxTransactionWrites() {
-        int writesPerTransaction = (int) (stateStore.writesPerS() / TRANSACTIONS_PER_S);
-        return Math.min(stateStore.transactionWrites(), Math.max(JOB_END_WRITES, writesPerTransaction));
+        int writesPerTransaction = (int) (stateStoreLimits.writesPerS() / TRANSACTIONS_PER_S);
+        return Math.min(stateStoreLimits.transactionWrites(), Math.max(JOB_END_WRITES, writesPerTransaction));
     }
 
     /** The most connections that clients may open: without some of its own a controller could call nobody. */
@@ -95,53 +95,53 @@
     }
 
     /** The number of controllers in the deployment. */
-    public int controllers() {
+    public int controllerCount() {
         return peers.size() + 1;
     }
 
     /** The largest value that the state store takes. */
-    public int valueBytes() {
-        return stateStore.valueBytes();
+    public int maxValueBytes() {
+        return stateStoreLimits.valueBytes();
     }
 
     /** The keys that all controllers together may write in a second. */
-    public double stateWriteRps() {
-        return stateStore.writesPerS();
+    public double stateStoreWritesPerS() {
+        return stateStoreLimits.writesPerS();
     }
 
     /** This controller's part of the requests that the state store takes in a second. */
-    public double requestsPerS() {
-        return stateStore.requestsPerS() / controllers();
+    public double ownStateStoreRequestsPerS() {
+        return stateStoreLimits.requestsPerS() / controllerCount();
     }
 
     /** How often a worker sends a heartbeat. */
     public double heartbeatPeriodS() {
-        return workers.heartbeatPeriodS();
+        return workerTiming.heartbeatPeriodS();
     }
 
     /** How often a worker sends a heartbeat. */
     public long heartbeatPeriodMs() {
-        return toMs(workers.heartbeatPeriodS());
+        return toMs(workerTiming.heartbeatPeriodS());
     }
 
     /** How long a worker keeps its tasks running without a reply to its heartbeats. */
     public long workerLeaseMs() {
-        return toMs(workers.leaseS());
+        return toMs(workerTiming.leaseS());
     }
 
     /** How long after the confirmation of a job's cancellation its tasks may still run. */
     public long cancelTimeoutMs() {
-        return toMs(workers.cancelTimeoutS());
+        return toMs(workerTiming.cancelTimeoutS());
     }
 
     /** The length of the leader lease. */
     public long leaderLeaseMs(Tuning tuning) {
-        return (long) (workers.leaseS() * Milliseconds.PER_SECOND * tuning.leaderLeaseRatio());
+        return (long) (workerTiming.leaseS() * Milliseconds.PER_SECOND * tuning.leaderLeaseRatio());
     }
 
     /** The quota of a team; null if there is no such team. */
     public Quota quota(String team) {
-        for (Quota quota : teams) {
+        for (Quota quota : quotas) {
             if (quota.team().equals(team)) {
                 return quota;
             }
@@ -169,7 +169,7 @@
     public long stalenessBoundMs(double leaderLeaseS) {
         return Math.max(
                 toMs(leaderLeaseS),
-                toMs(workers.cancelTimeoutS() - workers.heartbeatPeriodS()) - workerLeaseSafelyExpiredMs());
+                toMs(workerTiming.cancelTimeoutS() - workerTiming.heartbeatPeriodS()) - workerLeaseSafelyExpiredMs());
     }
 
     /** How long after its confirmation every task of a cancelled job has surely ended, whatever fails. */
@@ -186,14 +186,14 @@
      */
     public long gracePeriodMs(double leaderLeaseS) {
         double graceS = Math.min(
-                workers.leaseS() / 2,
-                workers.cancelTimeoutS() - workers.leaseS() - leaderLeaseS - workers.heartbeatPeriodS());
+                workerTiming.leaseS() / 2,
+                workerTiming.cancelTimeoutS() - workerTiming.leaseS() - leaderLeaseS - workerTiming.heartbeatPeriodS());
         return toMs(Math.max(0, graceS));
     }
 
     /** After so long a worker has surely ended its tasks, if no reply has renewed its lease. */
     public long workerLeaseSafelyExpiredMs() {
-        return leaseSafelyExpiredMs(workers.leaseS() * Milliseconds.PER_SECOND);
+        return leaseSafelyExpiredMs(workerTiming.leaseS() * Milliseconds.PER_SECOND);
     }
 
     private static long toMs(double seconds) {
--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -48,10 +48,10 @@
         scheduled = false;
         begun++;
         if (authority.holdsLease()) {
-            long begunAt = context.now();
+            long begunAt = context.nowMs();
             allocator.runRound();
             // A round in which this process stood still tells nothing of how long one takes.
-            lastRoundMs = Math.min(context.now() - begunAt, minDelayMs);
+            lastRoundMs = Math.min(context.nowMs() - begunAt, minDelayMs);
         }
         roundEnded.run();
     }
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -46,10 +46,10 @@
     public record LeaseRenewed(long untilMs) implements Message {}
 
     /** The term is over. */
-    public record Depose() implements Message {}
+    public record TermEnded() implements Message {}
 
     /** The machine types, without which no machine's resources are known. */
-    public record TypesKnown(List<MachineType> types) implements Message {}
+    public record MachineTypesUpdated(List<MachineType> types) implements Message {}
 
     /**
      * A worker's heartbeat has come.
@@ -151,7 +151,7 @@
                 this::schedule,
                 term.keyVersion(),
                 deployment.maxTransactionWrites(),
-                WRITE_RATE_RATIO * deployment.stateWriteRps(),
+                WRITE_RATE_RATIO * deployment.stateStoreWritesPerS(),
                 () -> stepDownHandler.stepDown("the leader key is gone"));
     }
 
@@ -163,9 +163,9 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof LeaseRenewed renewed) {
-            authority.leaseRenewed(renewed.untilMs());
-        } else if (message instanceof TypesKnown known) {
-            context.machineTypes().update(known.types());
+            authority.extendLease(renewed.untilMs());
+        } else if (message instanceof MachineTypesUpdated updated) {
+            context.machineTypes().update(updated.types());
             if (!recoveryBegun) {
                 recoveryBegun = true;
                 recovery.begin(this::recovered);
@@ -173,17 +173,17 @@
         } else if (message instanceof HeartbeatReceived received) {
             stepDownPolicy.heartbeatReceived(received.heartbeat(), received.relayed());
             heartbeats.receive(received.heartbeat(), received.reply());
-        } else if (message instanceof Depose) {
+        } else if (message instanceof TermEnded) {
             heartbeats.refuseAll();
             stop();
         }
     }
 
     private void recovered(long openJobsRevision) {
-        authority.recoveryCompleted();
+        authority.markRecovered();
         log.info(
                 "recovery completed: term={} jobs={} machines={}",
-                context.number(),
+                context.term(),
                 cluster.jobs().size(),
                 cluster.machines().size());
         jobs.watch(openJobsRevision);
@@ -202,7 +202,7 @@
     }
 
     private void tick() {
-        long now = context.now();
+        long now = context.nowMs();
         pauses.check();
         pauses.ticked();
         for (Machine machine : cluster.copyOfMachines()) {
@@ -229,7 +229,7 @@
 
     private void saveCommitments() {
         writer.write(StateKeys.COMMITMENTS, () -> {
-            var value = CommitmentsCodec.encode(allocator.commitments(), deployment.valueBytes());
+            var value = CommitmentsCodec.encode(allocator.commitments(), deployment.maxValueBytes());
             return Optional.of(new PreparedChange(List.of(KeyWrite.put(StateKeys.COMMITMENTS, value)), () -> {}));
         });
     }
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -90,7 +90,7 @@
 
     /** @param then is given the entries, and when they were requested */
     private void list(String prefix, ObjLongConsumer<Listing> then) {
-        long sentAt = context.now();
+        long sentAt = context.nowMs();
         stateStore.listAll(
                 prefix,
                 result -> context.timer().schedule(0, () -> {
--- a/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
+++ b/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
@@ -22,20 +22,20 @@
     ProcessPauseDetector(TermContext context, long tickMs) {
         this.context = context;
         this.tickMs = tickMs;
-        this.awakeSince = context.now();
+        this.awakeSince = context.nowMs();
     }
 
     /** The period begins anew. */
     void ticked() {
-        tickedAt = context.now();
+        tickedAt = context.nowMs();
     }
 
     /** Looks whether the process has stood still since the last tick. */
     void check() {
-        long now = context.now();
+        long now = context.nowMs();
         long sinceTickMs = now - tickedAt;
         if (sinceTickMs > tickMs * LATE_TICKS) {
-            LOG.warn("process pause detected: term={} pausedMs={}", context.number(), sinceTickMs);
+            LOG.warn("process pause detected: term={} pausedMs={}", context.term(), sinceTickMs);
             awakeSince = now;
         }
     }
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -47,8 +47,8 @@
         long workerLeaseMs = context.deployment().workerLeaseMs();
         this.maxBypassedMs = workerLeaseMs * MAX_BYPASSED_LEASE_RATIO;
         this.maxRelayedMs = (double) MAX_RELAYED_LEASES * workerLeaseMs;
-        this.lastHeartbeatAt = context.now();
-        this.bypassedSince = context.now();
+        this.lastHeartbeatAt = context.nowMs();
+        this.bypassedSince = context.nowMs();
     }
 
     /** How long users' cancellations may be unread, in milliseconds. */
@@ -63,9 +63,9 @@
      * @param relayed whether it has come through another controller
      */
     void heartbeatReceived(Heartbeat heartbeat, boolean relayed) {
-        lastHeartbeatAt = context.now();
+        lastHeartbeatAt = context.nowMs();
         if (relayed && relayedOnlySince == 0) {
-            relayedOnlySince = context.now();
+            relayedOnlySince = context.nowMs();
         }
         Machine machine = context.cluster().machine(heartbeat.machine());
         if (machine == null) {
@@ -93,8 +93,8 @@
      * @param awakeSince silence from before then says nothing
      */
     Optional<String> reason(long awakeSince) {
-        long now = context.now();
-        if (now - Math.max(authority.lastCompleteReadAt(), awakeSince) > maxUnreadMs() && !isExcused()) {
+        long now = context.nowMs();
+        if (now - Math.max(authority.lastCompleteReadSentAtMs(), awakeSince) > maxUnreadMs() && !isExcused()) {
             return Optional.of("cancellations can't be read");
         }
         if (isBypassed(now, awakeSince)) {
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -54,7 +54,7 @@
         this.reservations = reservations;
         this.index = index;
         this.capacity = capacity;
-        this.now = context.now();
+        this.now = context.nowMs();
     }
 
     /** Grants resources until no team's next task fits. */
--- a/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
@@ -26,7 +26,7 @@
         this.context = context;
         this.cluster = context.cluster();
         this.decayS = decayS;
-        this.updatedAt = context.now();
+        this.updatedAt = context.nowMs();
     }
 
     Map<String, Resources> all() {
@@ -48,7 +48,7 @@
      * @param activeTeams the teams that have open jobs
      */
     void update(Set<String> activeTeams, Resources capacity) {
-        long now = context.now();
+        long now = context.nowMs();
         double elapsedS = (now - updatedAt) / Milliseconds.PER_SECOND;
         updatedAt = now;
         Set<String> teams = new HashSet<>(commitments.keySet());
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -28,7 +28,7 @@
     }
 
     Grant encode(ResourceLease lease) {
-        return new Grant(context.number(), lease.number(), lease.team(), leaseMs, leasedMachines(lease), tasks(lease));
+        return new Grant(context.term(), lease.number(), lease.team(), leaseMs, leasedMachines(lease), tasks(lease));
     }
 
     private static List<Room> leasedMachines(ResourceLease lease) {
--- a/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
@@ -28,17 +28,19 @@
         List<String> nodes = new ArrayList<>();
         nodes.add(deployment.node());
         for (String node : livePeers.get()) {
-            if (distrustedUntil.getOrDefault(node, 0L) <= context.now()) {
+            if (distrustedUntil.getOrDefault(node, 0L) <= context.nowMs()) {
                 nodes.add(node);
             }
         }
-        List<String> teams =
-                deployment.teams().stream().map(Deployment.Quota::team).sorted().toList();
+        List<String> teams = deployment.quotas().stream()
+                .map(Deployment.Quota::team)
+                .sorted()
+                .toList();
         return nodes.get(Math.floorMod(teams.indexOf(team), nodes.size()));
     }
 
     /** The controller has let a lease expire. */
     void leaseExpired(String holder) {
-        distrustedUntil.put(holder, context.now() + DISTRUST_PERIODS * context.heartbeatPeriodMs());
+        distrustedUntil.put(holder, context.nowMs() + DISTRUST_PERIODS * context.heartbeatPeriodMs());
     }
 }
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -54,7 +54,7 @@
 
     /** Runs one allocation round. */
     public void runRound() {
-        long now = context.now();
+        long now = context.nowMs();
         Resources capacity = cluster.capacity();
         Map<String, List<Job>> waiting = new HashMap<>();
         Set<String> activeTeams = new HashSet<>();
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -59,7 +59,7 @@
         this.leaseMs = tuning.resourceLeaseMs();
         this.holders = new LeaseHolderSelector(context, peers::livePeers);
         this.encoder = new GrantEncoder(context, leaseMs);
-        this.lastNumber = context.number() << LEASE_BITS;
+        this.lastNumber = context.term() << LEASE_BITS;
     }
 
     /** A lease that covers nothing yet, and is not held before {@link #grant}. */
@@ -115,7 +115,7 @@
     void placed(Placements placements) {
         ResourceLease lease = leases.get(placements.getLease());
         if (lease == null
-                || placements.getTerm() != context.number()
+                || placements.getTerm() != context.term()
                 || !lease.holder().equals(placements.getNode())) {
             LOG.info(
                     "placements refused: lease={} holder={} term={} reason=\"no such lease\"",
@@ -138,7 +138,7 @@
 
     private int accept(ResourceLease lease, Placements placements) {
         Map<Machine, Resources> remaining = new HashMap<>(lease.resources());
-        long now = context.now();
+        long now = context.nowMs();
         int accepted = 0;
         for (Placed placed : placements.getPlaced()) {
             Job job = cluster.job(placed.getJob());
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -50,7 +50,7 @@
                 StateKeys.LAUNCHES,
                 new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
                 PackedRecords.Packing.WORST_FIT,
-                deployment.valueBytes(),
+                deployment.maxValueBytes(),
                 deployment.maxTransactionWrites(),
                 this::recorded);
         records.setPreconditions(assignments -> new Preconditions(openJobs(assignments), this::jobsEnded));
@@ -97,7 +97,7 @@
     }
 
     private Machine readyMachine(LaunchRecord launch) {
-        long now = context.now();
+        long now = context.nowMs();
         Machine machine = new Machine(
                 launch.machine(),
                 launch.pool(),
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -71,7 +71,7 @@
         this.context = context;
         this.authority = authority;
         this.rounds = rounds;
-        this.validator = new HeartbeatValidator(context.cluster(), authority, context.number());
+        this.validator = new HeartbeatValidator(context.cluster(), authority, context.term());
         this.reconciler = new HeartbeatReconciler(context, health, journal);
         this.planner = new CommandPlanner(context.cluster(), authority);
     }
@@ -93,13 +93,13 @@
         }
         Machine machine = context.cluster().machine(heartbeat.machine());
         if (machine != null) {
-            machine.leaseMayBeRenewed(context.now());
+            machine.leaseMayBeRenewed(context.nowMs());
         }
         reply.accept(reply(stops));
     }
 
     private void accept(Heartbeat heartbeat, Consumer<Response> reply) {
-        long now = context.now();
+        long now = context.nowMs();
         Machine machine = context.cluster().machineOrAdd(heartbeat.machine(), name -> unknownMachine(heartbeat, now));
         // The worker has given up waiting for the reply to an earlier heartbeat.
         refuse(machine);
@@ -197,11 +197,11 @@
 
     private Response reply(List<TaskCommand> commands) {
         if (!commands.isEmpty()) {
-            return Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), commands)));
+            return Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.term(), commands)));
         }
         // Most replies carry no command: they are serialized once.
         if (emptyReply == null) {
-            emptyReply = Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.number(), List.of())));
+            emptyReply = Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.term(), List.of())));
         }
         return emptyReply;
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -33,14 +33,14 @@
     CompletionLog(TermContext context, FencedWriter writer, Runnable recorded) {
         Deployment deployment = context.deployment();
         this.cluster = context.cluster();
-        this.rangeLength = deployment.valueBytes() * TASKS_PER_VALUE_BYTE;
+        this.rangeLength = deployment.maxValueBytes() * TASKS_PER_VALUE_BYTE;
         this.recorded = recorded;
         this.records = new PackedRecords<>(
                 writer,
                 StateKeys.COMPLETIONS,
                 new PackedRecords.Encoding<>(CompletionCodec::maxBytes, CompletionCodec::encode),
                 PackedRecords.Packing.BEST_FIT,
-                deployment.valueBytes(),
+                deployment.maxValueBytes(),
                 deployment.maxTransactionWrites(),
                 this::written);
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -111,7 +111,7 @@
 
     /** Takes in the open jobs, as listed by a request that was sent then. */
     public void loadOpenJobs(Listing open, long sentAtMs) {
-        authority.completeReadSentAt(sentAtMs);
+        authority.recordCompleteRead(sentAtMs);
         cluster.clearJobs();
         open.entries().forEach(entry -> opened(entry.key(), entry.value(), entry.version()));
     }
@@ -152,7 +152,7 @@
         for (TaskAssignment assignment : cluster.assignmentsOf(id)) {
             if (assignment.mayBeOnWorker()) {
                 // The end was confirmed after the last complete read was sent, or would have been known by that.
-                assignment.jobEnded(authority.lastCompleteReadAt());
+                assignment.jobEnded(authority.lastCompleteReadSentAtMs());
             } else {
                 cluster.unassign(assignment);
             }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -57,7 +57,7 @@
     /** Follows the changes after this revision, until the term ends. */
     void start(long sinceRevision) {
         listener.watchStarting();
-        long sentAt = context.now();
+        long sentAt = context.nowMs();
         stateStore.changes(StateKeys.OPEN_JOBS, sinceRevision, waitMs, inTurn(result -> {
             if (result instanceof Ok<Changes> ok) {
                 apply(ok.value(), sentAt);
@@ -78,7 +78,7 @@
                 listener.jobClosed(StateKeys.openJobId(change.key()));
             }
         }
-        authority.completeReadSentAt(sentAt);
+        authority.recordCompleteRead(sentAt);
         if (!changes.log().isEmpty()) {
             listener.jobsChanged();
         }
@@ -86,7 +86,7 @@
 
     /** The state store has forgotten the changes since the last revision: all open jobs are read again. */
     private void relist() {
-        long sentAt = context.now();
+        long sentAt = context.nowMs();
         stateStore.listAll(StateKeys.OPEN_JOBS, inTurn(result -> {
             if (!(result instanceof Ok<Listing> ok)) {
                 context.timer().schedule(RETRY_MS, this::relist);
@@ -98,7 +98,7 @@
                 listener.jobOpened(entry.key(), entry.value(), entry.version());
             }
             context.cluster().jobIds().stream().filter(id -> !open.contains(id)).forEach(listener::jobClosed);
-            authority.completeReadSentAt(sentAt);
+            authority.recordCompleteRead(sentAt);
             start(ok.value().revision());
         }));
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -76,7 +76,7 @@
             // What a former leader rented is not known yet; it must not be rented once more.
             return;
         }
-        long now = context.now();
+        long now = context.nowMs();
         for (Machine machine : provisioning.review(now)) {
             LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), now - machine.provisionedAt());
             machine.release();
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -63,7 +63,7 @@
     }
 
     private Machine unknownMachine(ListedMachine listed) {
-        long now = context.now();
+        long now = context.nowMs();
         NodePool pool = new NodePool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
                 new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -47,7 +47,7 @@
     void load(List<String> names) {
         for (String name : names) {
             Machine machine = cluster.machineOrAdd(
-                    name, n -> new Machine(n, new NodePool("", "", false), Resources.NONE, context.now()));
+                    name, n -> new Machine(n, new NodePool("", "", false), Resources.NONE, context.nowMs()));
             machine.release();
             machine.releaseRecorded();
         }
@@ -75,7 +75,7 @@
         List<Machine> names = new ArrayList<>(recorded);
         for (Machine machine : released(false)) {
             int size = ReleasedMachinesCodec.maxBytes(machine);
-            if (bytes + size <= context.deployment().valueBytes() - RECORD_FRAME_BYTES) {
+            if (bytes + size <= context.deployment().maxValueBytes() - RECORD_FRAME_BYTES) {
                 names.add(machine);
                 bytes += size;
             }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -37,12 +37,12 @@
         this.cloud = cloud;
         this.refused = refused;
         // The term belongs to one controller and one of its incarnations, so the names are never used again.
-        this.requestPrefix = context.deployment().node() + "-" + context.number() + "-";
+        this.requestPrefix = context.deployment().node() + "-" + context.term() + "-";
     }
 
     /** Whether the cloud has lately given less of the pool than was asked for. */
     boolean wasRefused(NodePool pool) {
-        return refusedUntil.getOrDefault(pool, 0L) > context.now();
+        return refusedUntil.getOrDefault(pool, 0L) > context.nowMs();
     }
 
     /** Rents machines of the pool, unless a request for it is still open. */
@@ -79,7 +79,7 @@
     }
 
     private void rented(NodePool pool, int count, int batch, List<String> machines) {
-        long now = context.now();
+        long now = context.nowMs();
         LOG.info(
                 "machines rented: count={} requested={} type={} zone={} spot={}",
                 machines.size(),
@@ -103,7 +103,7 @@
             // All pools together stay within the rate that the cloud takes.
             long delayMs = (long) (Milliseconds.PER_SECOND
                     * requested.size()
-                    / context.deployment().cloudRps());
+                    / context.deployment().cloudRequestsPerS());
             context.timer().schedule(delayMs, () -> rentNext(pool, count - batch));
         } else {
             requested.remove(pool);
--- a/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
@@ -18,7 +18,7 @@
     private final long launchStalenessBoundMs;
     private long leaseUntil;
     private long leaseRegainedAt = NEVER;
-    private long lastCompleteReadAt = NEVER;
+    private long lastCompleteReadSentAtMs = NEVER;
     private boolean recovered;
 
     /**
@@ -35,7 +35,7 @@
     }
 
     /** The leader lease is surely held until then. */
-    public void leaseRenewed(long untilMs) {
+    public void extendLease(long untilMs) {
         if (!holdsLease()) {
             leaseRegainedAt = clock.getAsLong();
         }
@@ -43,17 +43,17 @@
     }
 
     /** All cancellations are known that were confirmed before a read that was sent then. */
-    public void completeReadSentAt(long sentAtMs) {
-        lastCompleteReadAt = Math.max(lastCompleteReadAt, sentAtMs);
+    public void recordCompleteRead(long sentAtMs) {
+        lastCompleteReadSentAtMs = Math.max(lastCompleteReadSentAtMs, sentAtMs);
     }
 
     /** When the last complete read of users' cancellations was sent. */
-    public long lastCompleteReadAt() {
-        return lastCompleteReadAt;
+    public long lastCompleteReadSentAtMs() {
+        return lastCompleteReadSentAtMs;
     }
 
     /** What the former leader left has been read. */
-    public void recoveryCompleted() {
+    public void markRecovered() {
         recovered = true;
     }
 
@@ -100,6 +100,6 @@
     }
 
     private boolean isReadWithin(long ms) {
-        return clock.getAsLong() - lastCompleteReadAt < ms;
+        return clock.getAsLong() - lastCompleteReadSentAtMs < ms;
     }
 }
--- a/src/main/java/notchpick/coordination/leader/term/TermContext.java
+++ b/src/main/java/notchpick/coordination/leader/term/TermContext.java
@@ -10,11 +10,11 @@
 /**
  * What the parts of a leader share during its term. All of them run in the leader's turn.
  *
- * @param number the number of the term, which is also the fencing token
+ * @param term the number of the term, which is also the fencing token
  * @param timer runs work in the leader's turn; what is left is dropped when the term ends
  */
 public record TermContext(
-        long number,
+        long term,
         EventLoop loop,
         Timer timer,
         Deployment deployment,
@@ -22,7 +22,7 @@
         MachineTypeCatalog machineTypes,
         RuntimeEstimator runtimes) {
     /** The steady clock, in milliseconds. */
-    public long now() {
+    public long nowMs() {
         return loop.nowMs();
     }
 
--- a/src/main/java/notchpick/coordination/userapi/SubmissionValidator.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionValidator.java
@@ -44,11 +44,11 @@
         if (!isReady()) {
             throw new SubmissionRejectedException(Reason.NOT_READY, "the machine types are not known yet");
         }
-        if (JobSpecCodec.maxBytes(spec) > deployment.valueBytes()) {
+        if (JobSpecCodec.maxBytes(spec) > deployment.maxValueBytes()) {
             throw new SubmissionRejectedException(
                     Reason.MALFORMED,
                     "class, team, image, types and the jobs that it waits on are too long: a description may take "
-                            + deployment.valueBytes() + " bytes");
+                            + deployment.maxValueBytes() + " bytes");
         }
         checkQuota(spec);
         checkMachineTypes(spec);
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -35,7 +35,8 @@
             EventLoop loop, Deployment deployment, StateStoreClient stateStore, ProgressSource progress) {
         super(loop);
         JobOutcomes outcomes = new JobOutcomes(stateStore);
-        OpenJobCache openJobs = new OpenJobCache(loop, stateStore, outcomes, deployment.requestsPerS(), this::schedule);
+        OpenJobCache openJobs =
+                new OpenJobCache(loop, stateStore, outcomes, deployment.ownStateStoreRequestsPerS(), this::schedule);
         JobReader jobs = new JobReader(openJobs, outcomes, stateStore, this::onLoop);
         this.validator = new SubmissionValidator(deployment);
         this.statuses = new StatusHandler(jobs, outcomes, progress);
--- a/src/test/java/notchpick/app/SettingsTest.java
+++ b/src/test/java/notchpick/app/SettingsTest.java
@@ -41,7 +41,7 @@
     @Test
     void readsThePlatformsSettings() throws Exception {
         Deployment deployment = Settings.read(file("s.json", GOOD));
-        assertEquals(2, deployment.controllers());
+        assertEquals(2, deployment.controllerCount());
         assertEquals(
                 List.of(new Objective(Kind.FINISHED, 150), new Objective(Kind.STARTED, 90)),
                 deployment.objectives().byClass().get("c"));
@@ -55,11 +55,11 @@
                 GOOD.replace(
                         "\"txn_ops\":12",
                         "\"txn_ops\":12,\"next\":{\"value_kb\":2.0,\"txn_ops\":4,\"write_rps\":200,\"later\":1}")));
-        assertEquals(2048, deployment.valueBytes());
-        assertEquals(4, deployment.stateStore().transactionWrites());
+        assertEquals(2048, deployment.maxValueBytes());
+        assertEquals(4, deployment.stateStoreLimits().transactionWrites());
         assertEquals(4, deployment.maxTransactionWrites());
-        assertEquals(100, deployment.stateStore().writesPerS());
-        assertEquals(250, deployment.stateStore().requestsPerS());
+        assertEquals(100, deployment.stateStoreLimits().writesPerS());
+        assertEquals(250, deployment.stateStoreLimits().requestsPerS());
     }
 
     @Test
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -28,8 +28,8 @@
     private final HeartbeatValidator validator = new HeartbeatValidator(cluster, authority, TERM);
 
     HeartbeatValidatorTest() {
-        authority.completeReadSentAt(now);
-        authority.recoveryCompleted();
+        authority.recordCompleteRead(now);
+        authority.markRecovered();
     }
 
     private static Heartbeat heartbeat(long incarnation, long sequence, long fencingToken) {
@@ -88,7 +88,7 @@
     @Test
     void refusesAllOnceCancellationsAreUnreadForTooLong() {
         now += DEPLOYMENT.stalenessBoundMs(LEADER_LEASE_S);
-        authority.leaseRenewed(now + LEASE_UNTIL_MS);
+        authority.extendLease(now + LEASE_UNTIL_MS);
         assertEquals(Verdict.REFUSE, validator.validate(heartbeat(1, 1, TERM)));
     }
 }
