--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -289,7 +289,7 @@
 
         @Override
         public void jobsFoundEnded(List<String> ids) {
-            jobs.foundEnded(ids);
+            jobs.closeEndedJobs(ids);
         }
     }
 
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -162,7 +162,7 @@
     }
 
     /** A conditional write has shown that these jobs have ended, before the watch has; how they ended is read. */
-    public void foundEnded(List<String> ids) {
+    public void closeEndedJobs(List<String> ids) {
         ids.forEach(this::closed);
         dependencies.resolveEnded();
         listener.jobsChanged();
