--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -77,10 +77,10 @@
         List<JobSpec> tasks = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments()) {
             JobSpec spec = assignment.spec();
-            double ranS = (now - assignment.runningSince()) / Milliseconds.PER_SECOND;
+            double ranS = (now - assignment.runningSinceMs()) / Milliseconds.PER_SECOND;
             double remainingS = context.runtimes().runS(spec) - ranS;
             boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
-            if (!assignment.mayBePreempted(now) || !pays || spec.hasZoneConstraint()) {
+            if (!assignment.isPreemptible(now) || !pays || spec.hasZoneConstraint()) {
                 return Optional.empty();
             }
             tasks.add(spec);
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -71,12 +71,12 @@
         if (machine == null) {
             return;
         }
-        if (!relayed && machine.reportsDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
+        if (!relayed && machine.isReportingDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
             relayedOnlySince = 0;
-            machine.health().replyReceived();
+            machine.health().recordReceivedReply();
             links.workerReplyDelivered(heartbeat.zone());
         }
-        machine.setReportsDirectly(!relayed);
+        machine.setReportingDirectly(!relayed);
     }
 
     /** Why a leader that has not yet read what a former leader left must step down, if it must. */
--- a/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
@@ -23,7 +23,7 @@
     /** Frees the machine's tasks if its worker has surely killed them. */
     void review(Machine machine, long now) {
         // Until the machine is reconciled, a former leader may have renewed its lease during its grace period.
-        long renewedAt = machine.lastHeartbeatAt() + (machine.isReconciled() ? 0 : gracePeriodMs);
+        long renewedAt = machine.lastHeartbeatAtMs() + (machine.isReconciled() ? 0 : gracePeriodMs);
         if (machine.state() == Machine.State.PROVISIONING || now - renewedAt <= leaseSafelyExpiredMs) {
             return;
         }
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -140,8 +140,8 @@
 
     /** Grants resources to a job whose image is on the machine, which may come after the first job in order. */
     private void grantInsteadOf(Candidate first, TeamTurn turn, Job job, Machine machine) {
-        if (first != null && first.job().deferredSince() == 0) {
-            first.job().setDeferredSince(now);
+        if (first != null && first.job().deferredSinceMs() == 0) {
+            first.job().setDeferredSinceMs(now);
         }
         grant(turn, job, machine);
     }
@@ -181,14 +181,14 @@
         double rate = Math.max(context.machineTypes().fetchGbPerS(machine.type()), MIN_FETCH_GB_PER_S);
         double fetchMs = Milliseconds.PER_SECOND * job.spec().imageGb() / rate;
         return !job.spec().isUrgent()
-                && (job.deferredSince() == 0 || now - job.deferredSince() < MAX_DEFERRAL_FETCHES * fetchMs);
+                && (job.deferredSinceMs() == 0 || now - job.deferredSinceMs() < MAX_DEFERRAL_FETCHES * fetchMs);
     }
 
     private void grant(TeamTurn turn, Job job, Machine machine) {
         JobSpec spec = job.spec();
-        job.setSkippedSince(0);
+        job.setSkippedSinceMs(0);
         if (!machine.images().contains(spec.image())) {
-            job.setDeferredSince(0);
+            job.setDeferredSinceMs(0);
         }
         index.update(machine, () -> {
             // The image will be fetched for this task, and serves those that follow.
--- a/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
@@ -29,11 +29,11 @@
 
     /** The job has found no machine; true if that has reserved one, which others then can't use. */
     boolean skipped(Job job, TeamTurn turn, PlacementIndex<Machine> index, long now) {
-        if (job.skippedSince() == 0) {
-            job.setSkippedSince(now);
+        if (job.skippedSinceMs() == 0) {
+            job.setSkippedSinceMs(now);
             return false;
         }
-        if (now - job.skippedSince() < maxSkippedMs || reserved.containsValue(turn)) {
+        if (now - job.skippedSinceMs() < maxSkippedMs || reserved.containsValue(turn)) {
             return false;
         }
         Machine nearest = nearest(job.spec(), index);
--- a/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
@@ -18,7 +18,7 @@
     /** The class of the job; empty where placement also depends on its other tasks, or on machines that failed it. */
     static Optional<EquivalenceClass> of(Job job) {
         JobSpec spec = job.spec();
-        if (spec.hasZoneConstraint() || job.hasFailed()) {
+        if (spec.hasZoneConstraint() || job.hasTaskFailures()) {
             return Optional.empty();
         }
         return Optional.of(new EquivalenceClass(
@@ -26,7 +26,7 @@
                 spec.types(),
                 spec.zone(),
                 spec.spot(),
-                job.mayUseOnDemand(),
+                job.canUseOnDemand(),
                 spec.isUrgent(),
                 spec.image()));
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
@@ -29,7 +29,7 @@
         long avoidanceMs = heartbeatPeriodMs * FAILURE_AVOIDANCE_PERIODS;
         Map<String, Integer> zones = spec.hasZoneConstraint() ? tasksByZone(job, turn.lease()) : Map.of();
         Predicate<Machine> admits = machine -> spec.allowsZoneAmongTasks(machine.zone(), zones)
-                && (machine.isSpot() || job.mayUseOnDemand())
+                && (machine.isSpot() || job.canUseOnDemand())
                 && !machine.health().hasFailedWithin(spec.id(), now, avoidanceMs)
                 && reservations.mayUse(turn, machine);
         return spec.isUrgent()
@@ -39,7 +39,7 @@
 
     /** Commands go out with the replies to heartbeats: when the next reply to this machine can be given. */
     private long launchDelayMs(Machine machine, long now) {
-        return machine.awaitsReply() ? 0 : Math.max(1, machine.lastHeartbeatAt() + heartbeatPeriodMs - now);
+        return machine.isAwaitingReply() ? 0 : Math.max(1, machine.lastHeartbeatAtMs() + heartbeatPeriodMs - now);
     }
 
     private Map<String, Integer> tasksByZone(Job job, ResourceLease lease) {
--- a/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
@@ -54,7 +54,7 @@
                 JobSpec spec = assignment.spec();
                 if (assignment.isStopRequested()) {
                     beingFreedCores += spec.demand().cores();
-                } else if (assignment.mayBePreempted(now) && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                } else if (assignment.isPreemptible(now) && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
                     victims.add(new Victim<>(assignment, spec, machine.type(), machine.zone(), machine.isSpot()));
                 }
             }
@@ -83,7 +83,7 @@
             }
             held = held.plus(spec.demand().times(guaranteedTasks));
             // Much becomes free by itself within a heartbeat period.
-            boolean hasWaited = now - job.skippedSince() >= context.heartbeatPeriodMs();
+            boolean hasWaited = now - job.skippedSinceMs() >= context.heartbeatPeriodMs();
             if (hasWaited && (guaranteedTasks > 0 || spec.isUrgent())) {
                 int tasks = spec.isUrgent() ? job.startableTasks() : guaranteedTasks;
                 preemptors.add(new Preemptor(spec, tasks, guaranteedTasks > 0));
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -85,7 +85,7 @@
             Set<TaskAssignment> loaded = new LinkedHashSet<>();
             for (LaunchRecord launch : LaunchRecordCodec.decode(entry.value())) {
                 Machine machine = cluster.machineOrAdd(launch.machine(), name -> readyMachine(launch));
-                machine.markLaunchedToByFormerLeader();
+                machine.markFormerLeaderLaunches();
                 Job job = cluster.job(launch.job().id());
                 if (job == null || !job.isTaskDone(launch.task())) {
                     JobSpec spec = job == null ? launch.job() : job.spec();
@@ -126,8 +126,8 @@
         Set<Machine> machines = new LinkedHashSet<>();
         for (TaskAssignment assignment : durable) {
             Machine machine = assignment.machine();
-            if (assignment.phase() == Phase.PLANNED && machine.holds(assignment)) {
-                assignment.launchRecorded();
+            if (assignment.phase() == Phase.PLANNED && machine.hasAssignment(assignment)) {
+                assignment.markLaunchDurable();
                 machines.add(machine);
             }
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
@@ -63,7 +63,7 @@
     private static void addLaunches(Machine machine, List<TaskCommand> commands) {
         for (TaskAssignment assignment : machine.assignments()) {
             if (assignment.phase() == Phase.DURABLE) {
-                assignment.launchSent();
+                assignment.markLaunchSent();
                 commands.add(new StartTask(assignment.taskName(), assignment.attempt()));
             }
         }
@@ -86,7 +86,7 @@
     /** A completed task's worker may forget it only when the state store has the completion. */
     boolean mayForget(TaskStatus status) {
         Job job = cluster.job(status.job());
-        return status.exit() != ExitReason.DONE || job == null || job.mayForgetCompletion(status.task());
+        return status.exit() != ExitReason.DONE || job == null || job.canForgetCompletion(status.task());
     }
 
     /** Whether a task's job ended so long ago that the worker's lease must not be renewed without a stop command. */
@@ -94,7 +94,7 @@
         for (TaskStatus status : reported) {
             TaskAssignment assignment = machine.assignment(status.name());
             if (isLiveTaskOfEndedJob(status)
-                    && (assignment == null || !authority.mayRenewDespiteEndedJob(assignment.jobOpenUntil()))) {
+                    && (assignment == null || !authority.mayRenewDespiteEndedJob(assignment.jobOpenUntilMs()))) {
                 return true;
             }
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -93,7 +93,7 @@
         }
         Machine machine = context.cluster().machine(heartbeat.machine());
         if (machine != null) {
-            machine.leaseMayBeRenewed(context.now());
+            machine.recordPossibleLeaseRenewal(context.now());
         }
         reply.accept(reply(stops));
     }
@@ -105,12 +105,12 @@
         refuse(machine);
         if (machine.state() == Machine.State.PROVISIONING) {
             machine.markReady(now);
-            LOG.info("machine ready: machine={} bootMs={}", machine.name(), now - machine.provisionedAt());
+            LOG.info("machine ready: machine={} bootMs={}", machine.name(), now - machine.provisionedAtMs());
         }
         boolean changed = reconciler.reconcile(machine, heartbeat, now);
         PendingHeartbeat waiting = new PendingHeartbeat(reply, heartbeat.tasks(), rounds.begun());
         pending.put(machine, waiting);
-        machine.setAwaitsReply(true);
+        machine.setAwaitingReply(true);
         if (!changed) {
             reply(machine);
             return;
@@ -132,7 +132,7 @@
     /** The machine's pending heartbeat, if there is one, is refused: its worker turns to another controller. */
     public void refuse(Machine machine) {
         PendingHeartbeat waiting = pending.remove(machine);
-        machine.setAwaitsReply(false);
+        machine.setAwaitingReply(false);
         if (waiting != null) {
             waiting.reply.accept(refusal());
         }
@@ -155,7 +155,7 @@
     }
 
     private boolean mustWait(Machine machine, PendingHeartbeat waiting) {
-        if (machine.isLeased() || waiting.roundsBegun == rounds.begun()) {
+        if (machine.hasLeasedResources() || waiting.roundsBegun == rounds.begun()) {
             return true;
         }
         for (TaskAssignment assignment : machine.assignments()) {
@@ -174,7 +174,7 @@
     /** Replies to the machine's pending heartbeat now, if there is one, with all commands that are due. */
     public void reply(Machine machine) {
         PendingHeartbeat waiting = pending.remove(machine);
-        machine.setAwaitsReply(false);
+        machine.setAwaitingReply(false);
         if (waiting == null) {
             return;
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -39,7 +39,7 @@
     boolean reconcile(Machine machine, Heartbeat heartbeat, long now) {
         boolean changed = !machine.hasReported();
         changed |= endFormerIncarnation(machine, heartbeat);
-        machine.heartbeatAccepted(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.reclaimNoticeS(), now);
+        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.reclaimNoticeS(), now);
         Set<TaskAssignment> present = new HashSet<>();
         for (TaskStatus status : heartbeat.tasks()) {
             if (status.phase() == TaskPhase.EXITED) {
@@ -58,7 +58,7 @@
             changed = true;
         }
         if (changed && machine.isIdle()) {
-            machine.becameIdle(now);
+            machine.markIdle(now);
         }
         return changed;
     }
@@ -84,13 +84,13 @@
     private boolean taskExited(Machine machine, TaskStatus status, long now) {
         boolean changed = false;
         TaskAssignment assignment = machine.assignment(status.name());
-        if (assignment != null && assignment.attempt() == status.attempt() && assignment.mayBeOnWorker()) {
+        if (assignment != null && assignment.attempt() == status.attempt() && assignment.canBeOnWorker()) {
             attemptEnded(assignment, status.exit(), now);
             changed = true;
         }
         Job job = cluster.job(status.job());
         if (status.exit() == ExitReason.DONE && job != null && job.complete(status.task())) {
-            machine.health().taskSucceeded();
+            machine.health().recordTaskSuccess();
             journal.taskCompleted(job, status.task());
             changed = true;
         }
@@ -102,7 +102,7 @@
         switch (exit) {
             case DONE -> {
                 if (assignment.isRunning()) {
-                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / Milliseconds.PER_SECOND);
+                    runtimes.observe(assignment.spec(), (now - assignment.runningSinceMs()) / Milliseconds.PER_SECOND);
                 }
             }
             case STOPPED -> {}
@@ -124,19 +124,19 @@
             return adopt(machine, status);
         }
         boolean isOtherAttempt = assignment.attempt() != status.attempt();
-        if ((isOtherAttempt && assignment.phase() != Phase.INHERITED) || !assignment.mayBeOnWorker()) {
+        if ((isOtherAttempt && assignment.phase() != Phase.INHERITED) || !assignment.canBeOnWorker()) {
             return null;
         }
         if (assignment.phase() == Phase.SENT) {
-            machine.health().replyReceived();
+            machine.health().recordReceivedReply();
         }
-        assignment.reported(status.attempt());
+        assignment.markReported(status.attempt());
         return assignment;
     }
 
     private TaskAssignment adopt(Machine machine, TaskStatus status) {
         Job job = cluster.job(status.job());
-        if (job == null || !job.mayAdopt(status.task())) {
+        if (job == null || !job.canAdopt(status.task())) {
             return null;
         }
         TaskAssignment adopted = cluster.assign(job.spec(), status.task(), machine, status.attempt(), Phase.REPORTED);
@@ -146,7 +146,7 @@
 
     private void updateProgress(TaskAssignment assignment, TaskPhase phase, long now) {
         if (phase != TaskPhase.FETCHING && !assignment.isRunning()) {
-            cluster.startedRunning(assignment, now);
+            cluster.markRunning(assignment, now);
         }
         assignment.setCheckpointing(phase == TaskPhase.CHECKPOINTING);
     }
@@ -157,13 +157,13 @@
             return false;
         }
         if (hasMissedCommand(machine, present)) {
-            machine.health().replyMissed(now, heartbeatPeriodMs);
+            machine.health().recordMissedReply(now, heartbeatPeriodMs);
         }
         boolean dropped = false;
         for (TaskAssignment assignment : machine.copyOfAssignments()) {
             // A launch command was executed before this heartbeat was made, or never will be; so with a former
             // leader's, as the worker has seen this term and drops what may still come of it.
-            if (!present.contains(assignment) && assignment.mayBeOnWorker()) {
+            if (!present.contains(assignment) && assignment.canBeOnWorker()) {
                 cluster.unassign(assignment);
                 dropped = true;
             }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
@@ -50,6 +50,6 @@
 
     /** A worker that has seen no token has executed no command, and only a launch record says that one may come. */
     private static boolean hasNeverHadCommands(Heartbeat heartbeat, Machine machine) {
-        return heartbeat.fencingToken() == 0 && (machine == null || !machine.wasLaunchedToByFormerLeader());
+        return heartbeat.fencingToken() == 0 && (machine == null || !machine.hasFormerLeaderLaunches());
     }
 }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
@@ -29,10 +29,10 @@
         Machine machine = assignment.machine();
         String jobId = assignment.spec().id();
         LOG.info("task failed: task={} machine={}", assignment.taskName(), machine.name());
-        machine.health().taskFailed(jobId, now);
+        machine.health().recordTaskFailure(jobId, now);
         Job job = cluster.job(jobId);
         if (job != null) {
-            job.taskFailed(machine.name(), now, heartbeatPeriodMs);
+            job.recordTaskFailure(machine.name(), now, heartbeatPeriodMs);
         }
         if (!machine.health().isSuspected() && hasFailedSeveralJobs(machine, now)) {
             LOG.info("machine quarantined: machine={} reason=\"tasks of several jobs failed\"", machine.name());
@@ -65,7 +65,7 @@
         if (!hasFailedSeveralJobs(machine, now)) {
             LOG.info("machine quarantine ended: machine={}", machine.name());
             machine.health().clearSuspicion(now);
-        } else if (now - machine.health().suspectedSince() >= heartbeatPeriodMs
+        } else if (now - machine.health().suspectedSinceMs() >= heartbeatPeriodMs
                 && machine.state() == Machine.State.READY) {
             LOG.warn("machine draining: machine={} reason=\"repeated task failures\"", machine.name());
             machine.drain();
--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -55,7 +55,7 @@
             }
             range.completed().stream().forEach(bit -> {
                 job.complete(range.firstTask() + bit);
-                job.completionRecorded(range.firstTask() + bit);
+                job.markCompletionDurable(range.firstTask() + bit);
             });
             // Another version may have written longer ranges.
             int end = range.firstTask() + Math.max(1, range.completed().length());
@@ -80,7 +80,7 @@
     }
 
     private void written(List<CompletionRange> durable) {
-        durable.forEach(CompletionRange::recorded);
+        durable.forEach(CompletionRange::markSnapshotDurable);
         recorded.run();
     }
 
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -71,7 +71,7 @@
     /** A job has come; {@link #resolveEnded} follows when all that came with it are known. */
     void opened(Job job) {
         JobSpec spec = job.spec();
-        graph.opened(spec.id(), spec.dependencies());
+        graph.addJob(spec.id(), spec.dependencies());
         job.setBlocked(graph.isBlocked(spec.id()));
         updatePriorities(criticalPath.add(spec, stages.stageS(spec)));
     }
@@ -79,17 +79,17 @@
     /** A job has ended; {@link #resolveEnded} finds out how, should others depend on it. */
     void closed(String id) {
         updatePriorities(criticalPath.remove(id));
-        graph.closed(id);
+        graph.removeJob(id);
     }
 
     /** It is known, and durable, how a job has ended. */
     void ended(String id, JobRecord record) {
         boolean anyReady = false;
-        for (String ready : graph.resolved(id, record)) {
+        for (String ready : graph.applyOutcome(id, record)) {
             Job job = cluster.job(ready);
             job.setBlocked(false);
-            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAt(ready));
-            cluster.respec(job, job.spec().withReadyAt(readyAt));
+            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAtMs(ready));
+            cluster.replaceSpec(job, job.spec().withReadyAt(readyAt));
             LOG.info("dependencies satisfied: job={} last={}", ready, id);
             anyReady = true;
         }
@@ -122,7 +122,7 @@
         for (String id : changed) {
             Job job = cluster.job(id);
             if (job != null) {
-                cluster.respec(job, criticalPath.effective(job.spec()));
+                cluster.replaceSpec(job, criticalPath.effective(job.spec()));
             }
         }
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -150,9 +150,9 @@
             LOG.info("job cancelled: job={}", id);
         }
         for (TaskAssignment assignment : cluster.assignmentsOf(id)) {
-            if (assignment.mayBeOnWorker()) {
+            if (assignment.canBeOnWorker()) {
                 // The end was confirmed after the last complete read was sent, or would have been known by that.
-                assignment.jobEnded(authority.lastCompleteReadAt());
+                assignment.requestImmediateStop(authority.lastCompleteReadAt());
             } else {
                 cluster.unassign(assignment);
             }
--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -78,7 +78,7 @@
         }
         long now = context.now();
         for (Machine machine : provisioning.review(now)) {
-            LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), now - machine.provisionedAt());
+            LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), now - machine.provisionedAtMs());
             machine.release();
         }
         ScalingPlan plan = FleetPlanner.plan(
@@ -119,7 +119,7 @@
     }
 
     private static long silentMs(Machine machine, long awakeSince, long now) {
-        return now - Math.max(machine.lastHeartbeatAt(), awakeSince);
+        return now - Math.max(machine.lastHeartbeatAtMs(), awakeSince);
     }
 
     private double silentThresholdMs() {
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -67,7 +67,7 @@
         NodePool pool = new NodePool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
                 new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
-        machine.setProvisionedAt(now - (long) (listed.ageS() * Milliseconds.PER_SECOND));
+        machine.setProvisionedAtMs(now - (long) (listed.ageS() * Milliseconds.PER_SECOND));
         return machine;
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -59,7 +59,7 @@
                 if (hasNoSpotMachine(spec)) {
                     job.markSpotUnavailable();
                 }
-                demands.add(new JobDemand(spec, tasks, waiting.runS(), job.mayUseOnDemand(), isGuaranteed));
+                demands.add(new JobDemand(spec, tasks, waiting.runS(), job.canUseOnDemand(), isGuaranteed));
             }
         }
         return demands;
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -49,7 +49,7 @@
             Machine machine = cluster.machineOrAdd(
                     name, n -> new Machine(n, new NodePool("", "", false), Resources.NONE, context.now()));
             machine.release();
-            machine.releaseRecorded();
+            machine.markReleaseDurable();
         }
     }
 
@@ -86,7 +86,7 @@
         KeyWrite write = KeyWrite.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
                 .withMaxBytes(bytes + RECORD_FRAME_BYTES);
         return Optional.of(new PreparedChange(List.of(write), () -> {
-            names.forEach(Machine::releaseRecorded);
+            names.forEach(Machine::markReleaseDurable);
             requestRelease();
         }));
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -65,7 +65,7 @@
         Map<NodePool, List<Machine>> overdue = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING
-                    && now - machine.provisionedAt()
+                    && now - machine.provisionedAtMs()
                             > OVERDUE_BOOT_TIMES * types.bootMs(machine.type())
                                     + OVERDUE_HEARTBEAT_PERIODS * heartbeatPeriodMs) {
                 overdue.computeIfAbsent(machine.pool(), pool -> new ArrayList<>())
@@ -84,8 +84,8 @@
             (othersCame(machine, overdue) ? faulty : awaited).add(machine);
         }
         if (!awaited.isEmpty()) {
-            awaited.sort(Comparator.comparingLong(machine -> machine.provisionedAt()));
-            late.put(pool, now - awaited.get(0).provisionedAt());
+            awaited.sort(Comparator.comparingLong(machine -> machine.provisionedAtMs()));
+            late.put(pool, now - awaited.get(0).provisionedAtMs());
             Long last = replacedAt.get(pool);
             if (last == null || now - last >= OVERDUE_BOOT_TIMES * types.bootMs(pool.type())) {
                 replacedAt.put(pool, now);
@@ -100,10 +100,10 @@
         int came = 0;
         for (Machine other : cluster.machines()) {
             if (other.isInService() && other.pool().equals(machine.pool())) {
-                if (other.provisionedAt() - machine.provisionedAt() > types.bootMs(machine.type())) {
+                if (other.provisionedAtMs() - machine.provisionedAtMs() > types.bootMs(machine.type())) {
                     return true;
                 }
-                came += other.provisionedAt() >= machine.provisionedAt() - heartbeatPeriodMs ? 1 : 0;
+                came += other.provisionedAtMs() >= machine.provisionedAtMs() - heartbeatPeriodMs ? 1 : 0;
             }
         }
         return came >= overdue.size();
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -34,7 +34,7 @@
         return switch (machine.state()) {
             case PROVISIONING, RELEASED -> false;
             case READY ->
-                (machine.isIdle() && unneeded && now - machine.idleSince() > keepIdleMs(machine))
+                (machine.isIdle() && unneeded && now - machine.idleSinceMs() > keepIdleMs(machine))
                         || isLost(machine, silentMs, zoneIsSilent);
             case DRAINING -> machine.isIdle() || silentMs > lostAfterMs();
         };
--- a/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
@@ -42,7 +42,7 @@
         Map<String, Count> byZone = new HashMap<>();
         for (Machine machine : machines) {
             if (machine.state() == Machine.State.READY) {
-                boolean isSilent = now - Math.max(machine.lastHeartbeatAt(), awakeSince) > thresholdMs;
+                boolean isSilent = now - Math.max(machine.lastHeartbeatAtMs(), awakeSince) > thresholdMs;
                 byZone.computeIfAbsent(machine.zone(), zone -> new Count()).add(isSilent);
                 all.add(isSilent);
             }
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -148,13 +148,13 @@
         String id = StateKeys.openJobId(key);
         JobSpec spec = JobSpecCodec.decode(id, value);
         jobs.put(id, new OpenJob(JobRecord.open(spec), version));
-        dependencies.opened(id, spec.dependencies());
+        dependencies.addJob(id, spec.dependencies());
         return id;
     }
 
     private void closed(String id) {
         jobs.remove(id);
-        dependencies.closed(id);
+        dependencies.removeJob(id);
     }
 
     private void answer(List<PendingRead> batch, boolean isCurrent) {
@@ -191,7 +191,7 @@
             return;
         }
         outcomes.read(dependencies.unresolved(), found -> {
-            found.ifPresent(ended -> ended.forEach(dependencies::resolved));
+            found.ifPresent(ended -> ended.forEach(dependencies::applyOutcome));
             batch.forEach(read -> answer(read, found.isPresent()));
         });
     }
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -67,9 +67,9 @@
     }
 
     /** Changes how the job, and what runs of it, counts from now on; its demand must stay as it is. */
-    public void respec(Job job, JobSpec spec) {
-        job.respec(spec);
-        assignmentsByJob.getOrDefault(spec.id(), Set.of()).forEach(assignment -> assignment.respec(spec));
+    public void replaceSpec(Job job, JobSpec spec) {
+        job.replaceSpec(spec);
+        assignmentsByJob.getOrDefault(spec.id(), Set.of()).forEach(assignment -> assignment.replaceSpec(spec));
     }
 
     // ---- machines ------------------------------------------------------------------------------
@@ -148,8 +148,8 @@
     }
 
     /** The worker reports for the first time that the task runs. */
-    public void startedRunning(TaskAssignment assignment, long now) {
-        assignment.startedRunning(now);
+    public void markRunning(TaskAssignment assignment, long now) {
+        assignment.markRunning(now);
         Job job = jobs.get(assignment.spec().id());
         if (job != null) {
             job.taskStartedRunning();
--- a/src/main/java/notchpick/model/CompletionRange.java
+++ b/src/main/java/notchpick/model/CompletionRange.java
@@ -29,13 +29,13 @@
     }
 
     /** The completions as they are now, which then are on their way to the state store. */
-    public BitSet write() {
+    public BitSet takeSnapshot() {
         written = job.doneTasks(first, count);
         return written;
     }
 
     /** The state store has the completions of the last write. */
-    public void recorded() {
-        written.stream().forEach(task -> job.completionRecorded(first + task));
+    public void markSnapshotDurable() {
+        written.stream().forEach(task -> job.markCompletionDurable(first + task));
     }
 }
--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -31,7 +31,7 @@
     private static final class Dependencies {
         private final List<String> all;
         private final Set<String> unsatisfied;
-        private long lastEndedAt;
+        private long lastEndedAtMs;
 
         Dependencies(List<String> all) {
             this.all = all;
@@ -45,7 +45,7 @@
     }
 
     /** Adds an open job with its dependencies; idempotent. */
-    public void opened(String job, List<String> dependsOn) {
+    public void addJob(String job, List<String> dependsOn) {
         // Pages of a listing may be read in any order, a dependent before the job that it depends on.
         unresolved.remove(job);
         if (dependsOn.isEmpty() || dependencies.containsKey(job)) {
@@ -63,7 +63,7 @@
     }
 
     /** Removes a job that is not open any more; if others depend on it, its outcome is unresolved. */
-    public void closed(String job) {
+    public void removeJob(String job) {
         Dependencies removed = dependencies.remove(job);
         cancelledByDependency.remove(job);
         if (removed != null) {
@@ -85,7 +85,7 @@
     }
 
     /** Applies the outcome of a job; returns the dependents all of whose dependencies are satisfied by it. */
-    public Collection<String> resolved(String job, JobRecord outcome) {
+    public Collection<String> applyOutcome(String job, JobRecord outcome) {
         unresolved.remove(job);
         Set<String> ready = new LinkedHashSet<>();
         for (String dependent : List.copyOf(dependents.getOrDefault(job, Set.of()))) {
@@ -93,7 +93,7 @@
             if (outcome.status() == JobStatus.CANCELLED) {
                 cancelWithDependents(dependent);
             } else if (own.unsatisfied.remove(job)) {
-                own.lastEndedAt = Math.max(own.lastEndedAt, outcome.endedAt());
+                own.lastEndedAtMs = Math.max(own.lastEndedAtMs, outcome.endedAtMs());
                 if (own.unsatisfied.isEmpty()) {
                     ready.add(dependent);
                 }
@@ -120,8 +120,8 @@
     }
 
     /** Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known. */
-    public long lastEndedAt(String job) {
-        return dependencies.get(job).lastEndedAt;
+    public long lastEndedAtMs(String job) {
+        return dependencies.get(job).lastEndedAtMs;
     }
 
     /** Whether the open job depends on a cancelled one, directly or transitively. */
--- a/src/main/java/notchpick/model/Job.java
+++ b/src/main/java/notchpick/model/Job.java
@@ -30,8 +30,8 @@
     private boolean blocked;
     private int backoffPeriods = 1;
     private long notBefore;
-    private long skippedSince;
-    private long deferredSince;
+    private long skippedSinceMs;
+    private long deferredSinceMs;
     private boolean spotTooSlow;
     private boolean spotUnavailable;
 
@@ -50,8 +50,8 @@
         return spec;
     }
 
-    /** Replaces the specification; see {@link ClusterState#respec}. */
-    void respec(JobSpec changed) {
+    /** Replaces the specification; see {@link ClusterState#replaceSpec}. */
+    void replaceSpec(JobSpec changed) {
         spec = changed;
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** The state store has the completion of the task. */
-    public void completionRecorded(int task) {
+    public void markCompletionDurable(int task) {
         durablyDone.set(task);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Whether a worker may forget that the task has completed there. */
-    public boolean mayForgetCompletion(int task) {
+    public boolean canForgetCompletion(int task) {
         return spec.isService() || task >= spec.tasks() || durablyDone.get(task);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Whether a task that a worker reports unexpectedly can be taken over as it is. */
-    public boolean mayAdopt(int task) {
+    public boolean canAdopt(int task) {
         return task < spec.tasks() && !done.get(task) && !assigned.containsKey(task) && !leased.get(task);
     }
 
@@ -204,7 +204,7 @@
     }
 
     /** A task of it has failed on the machine. */
-    public void taskFailed(String machine, long now, long heartbeatPeriodMs) {
+    public void recordTaskFailure(String machine, long now, long heartbeatPeriodMs) {
         failedMachines.add(machine);
         // What fails of the same trial does not make the backoff any longer.
         if (isSuspectedFaulty() && now >= notBefore) {
@@ -214,7 +214,7 @@
     }
 
     /** Whether a task of it ever failed, so that some machine may be avoided. */
-    public boolean hasFailed() {
+    public boolean hasTaskFailures() {
         return !failedMachines.isEmpty();
     }
 
@@ -237,23 +237,23 @@
     }
 
     /** Since when its next task has been skipped for want of resources; 0: it has not. */
-    public long skippedSince() {
-        return skippedSince;
+    public long skippedSinceMs() {
+        return skippedSinceMs;
     }
 
     /** Its next task has been skipped, or has found resources (0). */
-    public void setSkippedSince(long atMs) {
-        skippedSince = atMs;
+    public void setSkippedSinceMs(long atMs) {
+        skippedSinceMs = atMs;
     }
 
     /** Since when other jobs have gone first where its image is missing; 0: they have not. */
-    public long deferredSince() {
-        return deferredSince;
+    public long deferredSinceMs() {
+        return deferredSinceMs;
     }
 
     /** Another job has gone first, or its own turn has come (0). */
-    public void setDeferredSince(long atMs) {
-        deferredSince = atMs;
+    public void setDeferredSinceMs(long atMs) {
+        deferredSinceMs = atMs;
     }
 
     /** Whether it would be late on spot machines alone. */
@@ -267,7 +267,7 @@
     }
 
     /** On-demand machines are for jobs that need them, by their users' word or to meet their objective. */
-    public boolean mayUseOnDemand() {
+    public boolean canUseOnDemand() {
         return spotTooSlow || spotUnavailable || !spec.spot();
     }
 }
--- a/src/main/java/notchpick/model/JobRecord.java
+++ b/src/main/java/notchpick/model/JobRecord.java
@@ -5,9 +5,9 @@
 /**
  * The status of a job, and what is kept of it for good once it has ended.
  *
- * @param endedAt wall-clock time of its end, in milliseconds; 0 if an earlier version wrote the record
+ * @param endedAtMs wall-clock time of its end, in milliseconds; 0 if an earlier version wrote the record
  */
-public record JobRecord(JobStatus status, int tasks, int done, long endedAt, boolean service) {
+public record JobRecord(JobStatus status, int tasks, int done, long endedAtMs, boolean service) {
     /** A job that has been accepted and has not ended. */
     public static JobRecord open(JobSpec spec) {
         return new JobRecord(JobStatus.OPEN, spec.tasks(), 0, 0, spec.isService());
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -36,17 +36,17 @@
 
     private State state = State.PROVISIONING;
     private boolean releaseDurable;
-    private long provisionedAt;
-    private long idleSince;
+    private long provisionedAtMs;
+    private long idleSinceMs;
 
     private long incarnation;
     private long sequence = -1;
-    private long lastHeartbeatAt;
+    private long lastHeartbeatAtMs;
     private boolean everReported;
-    private boolean reportsDirectly;
-    private boolean awaitsReply;
+    private boolean reportingDirectly;
+    private boolean awaitingReply;
     private boolean reconciled;
-    private boolean launchedByFormerLeader;
+    private boolean formerLeaderLaunches;
     private Double reclaimNoticeS;
 
     private Resources leased = Resources.NONE;
@@ -57,9 +57,9 @@
         this.name = name;
         this.pool = pool;
         this.size = size;
-        this.provisionedAt = now;
-        this.idleSince = now;
-        this.lastHeartbeatAt = now;
+        this.provisionedAtMs = now;
+        this.idleSinceMs = now;
+        this.lastHeartbeatAtMs = now;
         this.free = size;
     }
 
@@ -101,7 +101,7 @@
     public void markReady(long now) {
         requireState(State.PROVISIONING);
         state = State.READY;
-        idleSince = now;
+        idleSinceMs = now;
     }
 
     /** No new tasks are placed here, and the machine is released once it is idle. */
@@ -116,7 +116,7 @@
     }
 
     /** The decision to release the machine is durable, so that the release may be requested. */
-    public void releaseRecorded() {
+    public void markReleaseDurable() {
         requireState(State.RELEASED);
         releaseDurable = true;
     }
@@ -132,23 +132,23 @@
     }
 
     /** When the machine was rented, in milliseconds of the steady clock. */
-    public long provisionedAt() {
-        return provisionedAt;
+    public long provisionedAtMs() {
+        return provisionedAtMs;
     }
 
     /** The cloud lists a machine of this age that was not known. */
-    public void setProvisionedAt(long atMs) {
-        provisionedAt = atMs;
+    public void setProvisionedAtMs(long atMs) {
+        provisionedAtMs = atMs;
     }
 
     /** Since when nothing has been assigned to the machine; meaningful only while it is idle. */
-    public long idleSince() {
-        return idleSince;
+    public long idleSinceMs() {
+        return idleSinceMs;
     }
 
     /** The machine has just become idle. */
-    public void becameIdle(long now) {
-        idleSince = now;
+    public void markIdle(long now) {
+        idleSinceMs = now;
     }
 
     // ---- heartbeats ----------------------------------------------------------------------------
@@ -170,22 +170,22 @@
     }
 
     /** Takes over what identifies the newest heartbeat. */
-    public void heartbeatAccepted(long newIncarnation, long newSequence, Double newReclaimNoticeS, long now) {
+    public void recordHeartbeat(long newIncarnation, long newSequence, Double newReclaimNoticeS, long now) {
         everReported = true;
         incarnation = newIncarnation;
         sequence = newSequence;
         reclaimNoticeS = newReclaimNoticeS;
-        lastHeartbeatAt = now;
+        lastHeartbeatAtMs = now;
     }
 
     /** A reply that may renew the worker's lease goes out, though the heartbeat itself did not count. */
-    public void leaseMayBeRenewed(long now) {
-        lastHeartbeatAt = now;
+    public void recordPossibleLeaseRenewal(long now) {
+        lastHeartbeatAtMs = now;
     }
 
     /** When the newest heartbeat came; the worker's lease runs out some time after that at the latest. */
-    public long lastHeartbeatAt() {
-        return lastHeartbeatAt;
+    public long lastHeartbeatAtMs() {
+        return lastHeartbeatAtMs;
     }
 
     /** Whether a heartbeat was accepted during this term. */
@@ -194,21 +194,21 @@
     }
 
     /** Whether the last heartbeat came from the worker itself, not through another controller. */
-    public boolean reportsDirectly() {
-        return reportsDirectly;
+    public boolean isReportingDirectly() {
+        return reportingDirectly;
     }
 
-    public void setReportsDirectly(boolean direct) {
-        reportsDirectly = direct;
+    public void setReportingDirectly(boolean direct) {
+        reportingDirectly = direct;
     }
 
     /** Whether a heartbeat is waiting for its reply, so that commands can go out at once. */
-    public boolean awaitsReply() {
-        return awaitsReply;
+    public boolean isAwaitingReply() {
+        return awaitingReply;
     }
 
-    public void setAwaitsReply(boolean waiting) {
-        awaitsReply = waiting;
+    public void setAwaitingReply(boolean waiting) {
+        awaitingReply = waiting;
     }
 
     /** Whether all that is on the machine has been reported, and no command of a former leader can reach it any more. */
@@ -221,13 +221,13 @@
     }
 
     /** Whether a former leader may have sent commands to the machine. */
-    public boolean wasLaunchedToByFormerLeader() {
-        return launchedByFormerLeader;
+    public boolean hasFormerLeaderLaunches() {
+        return formerLeaderLaunches;
     }
 
     /** A launch record of a former leader names the machine. */
-    public void markLaunchedToByFormerLeader() {
-        launchedByFormerLeader = true;
+    public void markFormerLeaderLaunches() {
+        formerLeaderLaunches = true;
     }
 
     /** The seconds until the cloud reclaims the machine; null if it has given no notice. */
@@ -247,7 +247,7 @@
                 && reclaimNoticeS == null
                 && health.permitsLaunches(now)
                 // A machine that has missed heartbeats may be gone; what is launched there would only wait.
-                && now - lastHeartbeatAt < 2 * heartbeatPeriodMs;
+                && now - lastHeartbeatAtMs < 2 * heartbeatPeriodMs;
     }
 
     // ---- assignments and resources -------------------------------------------------------------
@@ -286,7 +286,7 @@
     }
 
     /** Whether this very assignment still stands. */
-    public boolean holds(TaskAssignment assignment) {
+    public boolean hasAssignment(TaskAssignment assignment) {
         return assignments.get(assignment.taskName()) == assignment;
     }
 
@@ -311,7 +311,7 @@
     }
 
     /** Whether some of its resources are leased to a controller that places tasks. */
-    public boolean isLeased() {
+    public boolean hasLeasedResources() {
         return leased.cores() > Resources.EPSILON;
     }
 
@@ -331,6 +331,6 @@
     }
 
     public boolean isIdle() {
-        return assignments.isEmpty() && !isLeased();
+        return assignments.isEmpty() && !hasLeasedResources();
     }
 }
--- a/src/main/java/notchpick/model/MachineHealth.java
+++ b/src/main/java/notchpick/model/MachineHealth.java
@@ -10,7 +10,7 @@
 
     private final Map<String, Long> taskFailures = new HashMap<>();
     private long quarantinedUntil;
-    private long suspectedSince;
+    private long suspectedSinceMs;
     private int missedReplies;
     private long launchesSuppressedUntil;
 
@@ -25,13 +25,13 @@
      * A reply with launch commands was lost, as the next heartbeat shows. Launches are suppressed for a time that
      * doubles with each reply missed: on a machine that hears nothing they would take resources in vain.
      */
-    public void replyMissed(long now, long heartbeatPeriodMs) {
+    public void recordMissedReply(long now, long heartbeatPeriodMs) {
         missedReplies = Math.min(missedReplies + 1, MAX_SUPPRESSION_DOUBLINGS);
         launchesSuppressedUntil = now + (heartbeatPeriodMs << missedReplies);
     }
 
     /** A reply has surely arrived. */
-    public void replyReceived() {
+    public void recordReceivedReply() {
         missedReplies = 0;
         launchesSuppressedUntil = 0;
     }
@@ -44,12 +44,12 @@
     }
 
     /** A task of the job has failed here. */
-    public void taskFailed(String job, long now) {
+    public void recordTaskFailure(String job, long now) {
         taskFailures.put(job, now);
     }
 
     /** A task has succeeded here. */
-    public void taskSucceeded() {
+    public void recordTaskSuccess() {
         taskFailures.clear();
     }
 
@@ -68,21 +68,21 @@
 
     /** The machine is quarantined until it has been found sound or faulty. */
     public void suspect(long now) {
-        suspectedSince = now;
+        suspectedSinceMs = now;
         quarantinedUntil = Long.MAX_VALUE;
     }
 
     /** The machine is found to be sound. */
     public void clearSuspicion(long now) {
-        suspectedSince = 0;
+        suspectedSinceMs = 0;
         quarantinedUntil = now;
     }
 
     public boolean isSuspected() {
-        return suspectedSince != 0;
+        return suspectedSinceMs != 0;
     }
 
-    public long suspectedSince() {
-        return suspectedSince;
+    public long suspectedSinceMs() {
+        return suspectedSinceMs;
     }
 }
--- a/src/main/java/notchpick/model/TaskAssignment.java
+++ b/src/main/java/notchpick/model/TaskAssignment.java
@@ -31,10 +31,10 @@
     private Phase phase;
     private boolean running;
     private boolean checkpointing;
-    private long runningSince;
+    private long runningSinceMs;
     private boolean stopRequested;
     private double stopGraceS;
-    private long jobOpenUntil;
+    private long jobOpenUntilMs;
 
     public TaskAssignment(JobSpec spec, int task, Machine machine, long attempt, Phase phase) {
         this.spec = spec;
@@ -50,8 +50,8 @@
         return spec;
     }
 
-    /** Replaces the specification; see {@link ClusterState#respec}. */
-    void respec(JobSpec changed) {
+    /** Replaces the specification; see {@link ClusterState#replaceSpec}. */
+    void replaceSpec(JobSpec changed) {
         spec = changed;
     }
 
@@ -76,25 +76,25 @@
     }
 
     /** Whether a launch command is, or may be, on its way or carried out: only the worker can tell what became of it. */
-    public boolean mayBeOnWorker() {
+    public boolean canBeOnWorker() {
         return phase == Phase.INHERITED || phase == Phase.SENT || phase == Phase.REPORTED;
     }
 
     /** The launch record has become durable. */
-    public void launchRecorded() {
+    public void markLaunchDurable() {
         requirePhase(Phase.PLANNED);
         phase = Phase.DURABLE;
     }
 
     /** The launch command goes out. */
-    public void launchSent() {
+    public void markLaunchSent() {
         requirePhase(Phase.DURABLE);
         phase = Phase.SENT;
     }
 
     /** The worker has reported this attempt. */
-    public void reported(long reportedAttempt) {
-        if (!mayBeOnWorker()) {
+    public void markReported(long reportedAttempt) {
+        if (!canBeOnWorker()) {
             throw new IllegalStateException("task " + taskName + " is reported before its launch in phase " + phase);
         }
         attempt = reportedAttempt;
@@ -112,14 +112,14 @@
     }
 
     /** The task has its image and runs. */
-    void startedRunning(long now) {
+    void markRunning(long now) {
         running = true;
-        runningSince = now;
+        runningSinceMs = now;
     }
 
     /** When the task was first reported as running, in milliseconds; 0 if it was not. */
-    public long runningSince() {
-        return runningSince;
+    public long runningSinceMs() {
+        return runningSinceMs;
     }
 
     public boolean isCheckpointing() {
@@ -150,23 +150,23 @@
      *
      * @param openUntilMs a time at which the job surely had not been cancelled yet
      */
-    public void jobEnded(long openUntilMs) {
+    public void requestImmediateStop(long openUntilMs) {
         stopRequested = true;
         stopGraceS = 0;
-        jobOpenUntil = openUntilMs;
+        jobOpenUntilMs = openUntilMs;
     }
 
     /** If the job has ended, a time at which it surely had not been cancelled yet. */
-    public long jobOpenUntil() {
-        return jobOpenUntil;
+    public long jobOpenUntilMs() {
+        return jobOpenUntilMs;
     }
 
     /** Whether stopping the task now loses neither its work nor its users' count of its start. */
-    public boolean mayBePreempted(long now) {
+    public boolean isPreemptible(long now) {
         return spec.checkpointIntervalS() > 0
                 && running
                 && !checkpointing
                 && !stopRequested
-                && now - runningSince >= MIN_UNDISTURBED_RUN_MS;
+                && now - runningSinceMs >= MIN_UNDISTURBED_RUN_MS;
     }
 }
--- a/src/main/java/notchpick/storage/CompletionCodec.java
+++ b/src/main/java/notchpick/storage/CompletionCodec.java
@@ -26,7 +26,7 @@
             list.addArray()
                     .add(range.job().id())
                     .add(range.first())
-                    .add(Base64.getEncoder().encodeToString(range.write().toByteArray()));
+                    .add(Base64.getEncoder().encodeToString(range.takeSnapshot().toByteArray()));
         }
         return node;
     }
--- a/src/main/java/notchpick/storage/JobRecordCodec.java
+++ b/src/main/java/notchpick/storage/JobRecordCodec.java
@@ -19,7 +19,7 @@
                 .put("state", record.status().name().toLowerCase(Locale.ROOT))
                 .put("tasks", record.tasks())
                 .put("done", record.done())
-                .put("endedAt", record.endedAt());
+                .put("endedAt", record.endedAtMs());
         return record.service() ? node.put("service", true) : node;
     }
 
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -38,7 +38,7 @@
 
     private Machine knownMachine(long incarnation, long sequence) {
         Machine machine = new Machine("m-1", new NodePool("m8", "east", true), new Resources(8, 0, 64), 0);
-        machine.heartbeatAccepted(incarnation, sequence, null, now);
+        machine.recordHeartbeat(incarnation, sequence, null, now);
         cluster.addMachine(machine);
         return machine;
     }
@@ -75,7 +75,7 @@
 
     @Test
     void introducesItsTokenWhereAFormerLeaderMayHaveLaunchedTasks() {
-        knownMachine(1, 0).markLaunchedToByFormerLeader();
+        knownMachine(1, 0).markFormerLeaderLaunches();
         assertEquals(Verdict.INTRODUCE_TOKEN, validator.validate(heartbeat(1, 1, 0)));
     }
 
--- a/src/test/java/notchpick/model/DependencyGraphTest.java
+++ b/src/test/java/notchpick/model/DependencyGraphTest.java
@@ -18,12 +18,12 @@
 
     private void open(String job, String... dependsOn) {
         open.add(job);
-        dependencies.opened(job, List.of(dependsOn));
+        dependencies.addJob(job, List.of(dependsOn));
     }
 
     private void close(String job) {
         open.remove(job);
-        dependencies.closed(job);
+        dependencies.removeJob(job);
     }
 
     private static JobRecord done(long at) {
@@ -37,12 +37,12 @@
         open("c", "a", "b");
         close("a");
         assertEquals(Set.of("a"), dependencies.unresolved());
-        assertTrue(dependencies.resolved("a", done(700)).isEmpty());
+        assertTrue(dependencies.applyOutcome("a", done(700)).isEmpty());
         close("b");
         assertTrue(dependencies.isBlocked("c"), "ended, with an unknown outcome");
-        assertEquals(Set.of("c"), dependencies.resolved("b", done(500)));
+        assertEquals(Set.of("c"), dependencies.applyOutcome("b", done(500)));
         assertFalse(dependencies.isBlocked("c"));
-        assertEquals(700, dependencies.lastEndedAt("c"));
+        assertEquals(700, dependencies.lastEndedAtMs("c"));
     }
 
     @Test
@@ -51,7 +51,7 @@
         open("b", "a");
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.isBlocked("c") && dependencies.isBlocked("b"));
-        dependencies.resolved("a", CANCELLED);
+        dependencies.applyOutcome("a", CANCELLED);
         assertTrue(dependencies.isCancelledByDependency("c") && dependencies.isCancelledByDependency("b"));
     }
 
@@ -60,11 +60,11 @@
         open("a");
         open("b", "a");
         close("a");
-        dependencies.resolved("a", CANCELLED);
+        dependencies.applyOutcome("a", CANCELLED);
         open("c", "b");
         assertTrue(dependencies.isCancelledByDependency("c"));
         close("b");
-        dependencies.resolved("b", CANCELLED);
+        dependencies.applyOutcome("b", CANCELLED);
         assertTrue(dependencies.isCancelledByDependency("c"));
         close("c");
         assertTrue(dependencies.cancelledByDependency().isEmpty());
@@ -83,10 +83,10 @@
         open("a");
         open("b", "a");
         close("a");
-        dependencies.resolved("a", done(9));
+        dependencies.applyOutcome("a", done(9));
         open("b", "a");
         assertFalse(dependencies.isBlocked("b"));
-        assertTrue(dependencies.resolved("a", CANCELLED).isEmpty());
+        assertTrue(dependencies.applyOutcome("a", CANCELLED).isEmpty());
         assertFalse(dependencies.isCancelledByDependency("b") && dependencies.isBlocked("b"));
     }
 
@@ -97,7 +97,7 @@
             open("j" + i, "j" + (i - 1));
         }
         close("j0");
-        dependencies.resolved("j0", CANCELLED);
+        dependencies.applyOutcome("j0", CANCELLED);
         assertEquals(19_999, dependencies.cancelledByDependency().size());
     }
 }
--- a/src/test/java/notchpick/model/TaskAssignmentTest.java
+++ b/src/test/java/notchpick/model/TaskAssignmentTest.java
@@ -29,51 +29,51 @@
     @Test
     void aLaunchIsRecordedThenSentThenReported() {
         TaskAssignment assignment = assignment(Phase.PLANNED);
-        assertFalse(assignment.mayBeOnWorker());
-        assignment.launchRecorded();
-        assertFalse(assignment.mayBeOnWorker());
-        assignment.launchSent();
-        assertTrue(assignment.mayBeOnWorker());
-        assignment.reported(7);
+        assertFalse(assignment.canBeOnWorker());
+        assignment.markLaunchDurable();
+        assertFalse(assignment.canBeOnWorker());
+        assignment.markLaunchSent();
+        assertTrue(assignment.canBeOnWorker());
+        assignment.markReported(7);
         assertEquals(Phase.REPORTED, assignment.phase());
     }
 
     @Test
     void aLaunchThatIsNotDurableIsNotSent() {
         assertThrows(
-                IllegalStateException.class, () -> assignment(Phase.PLANNED).launchSent());
+                IllegalStateException.class, () -> assignment(Phase.PLANNED).markLaunchSent());
     }
 
     @Test
     void aTaskThatWasNotSentCannotBeReported() {
         assertThrows(
-                IllegalStateException.class, () -> assignment(Phase.PLANNED).reported(7));
+                IllegalStateException.class, () -> assignment(Phase.PLANNED).markReported(7));
         assertThrows(
-                IllegalStateException.class, () -> assignment(Phase.DURABLE).reported(7));
+                IllegalStateException.class, () -> assignment(Phase.DURABLE).markReported(7));
     }
 
     @Test
     void anInheritedTaskTakesOverTheReportedAttempt() {
         TaskAssignment assignment = assignment(Phase.INHERITED);
-        assignment.reported(9);
+        assignment.markReported(9);
         assertEquals(9, assignment.attempt());
     }
 
     @Test
     void aTaskIsPreemptedOnlyAfterAnUndisturbedRun() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
-        assertFalse(assignment.mayBePreempted(UNDISTURBED_MS));
-        assignment.startedRunning(1000);
-        assertFalse(assignment.mayBePreempted(1000 + UNDISTURBED_MS - 1));
-        assertTrue(assignment.mayBePreempted(1000 + UNDISTURBED_MS));
+        assertFalse(assignment.isPreemptible(UNDISTURBED_MS));
+        assignment.markRunning(1000);
+        assertFalse(assignment.isPreemptible(1000 + UNDISTURBED_MS - 1));
+        assertTrue(assignment.isPreemptible(1000 + UNDISTURBED_MS));
     }
 
     @Test
     void aTaskThatIsAlreadyStoppingIsNotPreempted() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
-        assignment.startedRunning(0);
+        assignment.markRunning(0);
         assignment.requestCheckpointAndStop();
-        assertFalse(assignment.mayBePreempted(UNDISTURBED_MS));
+        assertFalse(assignment.isPreemptible(UNDISTURBED_MS));
         assertEquals(2, assignment.stopGraceS());
     }
 
@@ -81,8 +81,8 @@
     void aTaskOfAnEndedJobStopsAtOnce() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
         assignment.requestCheckpointAndStop();
-        assignment.jobEnded(500);
+        assignment.requestImmediateStop(500);
         assertEquals(0, assignment.stopGraceS());
-        assertEquals(500, assignment.jobOpenUntil());
+        assertEquals(500, assignment.jobOpenUntilMs());
     }
 }
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -171,7 +171,7 @@
             JsonNode value = CompletionCodec.encode(List.of(run));
             assertTrue(Json.bytes(value).length <= CompletionCodec.maxBytes(run) + 64, "no larger than reckoned");
             assertTrue(CompletionCodec.maxBytes(run) + 64 <= VALUE_BYTES);
-            run.recorded();
+            run.markSnapshotDurable();
             RecordedCompletions read = CompletionCodec.decode(value).get(0);
             assertEquals(first, read.firstTask());
             assertEquals(run.count(), read.completed().cardinality());
