--- a/src/main/java/notchpick/app/MachineTypeRefresher.java
+++ b/src/main/java/notchpick/app/MachineTypeRefresher.java
@@ -66,7 +66,7 @@
     }
 
     private void readCachedTypes() {
-        stateStore.get(StateKeys.MACHINE_TYPES, callbacks.inTurn(result -> {
+        stateStore.get(StateKeys.MACHINE_TYPES, callbacks.onLoop(result -> {
             if (!typesKnown && result instanceof Ok<Entry> ok) {
                 MachineTypesCodec.decode(ok.value().value()).ifPresent(this::take);
             }
@@ -79,7 +79,7 @@
     }
 
     private void queryCloud(long nextRefreshMs) {
-        cloud.types(callbacks.inTurn(types -> {
+        cloud.types(callbacks.onLoop(types -> {
             types.ifPresent(listed -> {
                 take(listed);
                 cache(listed);
--- a/src/main/java/notchpick/app/PeerRequestDispatcher.java
+++ b/src/main/java/notchpick/app/PeerRequestDispatcher.java
@@ -91,6 +91,6 @@
         Request request = new Request(null, relay.getMethod(), relay.getPath(), body);
         Consumer<Response> relayReply = response -> reply.accept(ControllerReplies.peerMessage(
                 new Relayed(response.status(), new String(response.body(), StandardCharsets.UTF_8))));
-        userRequests.tell(new UserRequestHandler.UserRequest(request, callbacks.inTurn(relayReply)));
+        userRequests.tell(new UserRequestHandler.UserRequest(request, callbacks.onLoop(relayReply)));
     }
 }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -88,8 +88,8 @@
         for (String ready : graph.resolved(id, record)) {
             Job job = cluster.job(ready);
             job.setBlocked(false);
-            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAt(ready));
-            cluster.respec(job, job.spec().withReadyAt(readyAt));
+            long readyAt = Math.max(job.spec().submittedAtMs(), graph.lastEndedAt(ready));
+            cluster.respec(job, job.spec().withReadyAtMs(readyAt));
             LOG.info("dependencies satisfied: job={} last={}", ready, id);
             anyReady = true;
         }
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -47,7 +47,7 @@
         for (WaitingJob<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
-            aheadS += waiting.remainingS();
+            aheadS += waiting.remainingCoreS();
             Quota quota = deployment.quota(spec.team());
             Resources before = demandByTeam.getOrDefault(spec.team(), Resources.NONE);
             int tasks = Math.min(job.desiredTasks(), tasksWithinQuota(spec, quota, before));
--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -80,7 +80,7 @@
                 .put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(cancelled))
                 .delete(StateKeys.OPEN_JOBS + id);
         stateStore.commit(
-                transaction, callbacks.inTurn(result -> committed(id, cancelled, result, reply, attemptsLeft)));
+                transaction, callbacks.onLoop(result -> committed(id, cancelled, result, reply, attemptsLeft)));
     }
 
     private void committed(
--- a/src/main/java/notchpick/coordination/userapi/JobReader.java
+++ b/src/main/java/notchpick/coordination/userapi/JobReader.java
@@ -44,7 +44,7 @@
             } else if (!stateStore.hasUnreservedBudget()) {
                 then.accept(new Unavailable("too many ask at once"));
             } else {
-                stateStore.get(StateKeys.JOB_RECORDS + id, callbacks.inTurn(result -> then.accept(ended(id, result))));
+                stateStore.get(StateKeys.JOB_RECORDS + id, callbacks.onLoop(result -> then.accept(ended(id, result))));
             }
         });
     }
--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -56,7 +56,7 @@
                 .checkpointIntervalS(amount(body, "bookmarkS"))
                 .checkpointWriteS(amount(body, "bookmarkWriteS"))
                 .deadlineS(Json.isAbsent(body, DEADLINE_S) ? null : amount(body, DEADLINE_S))
-                .submittedAt(receivedAtMs)
+                .submittedAtMs(receivedAtMs)
                 .dependencies(dependencies(body))
                 .build();
     }
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -37,7 +37,7 @@
         }
 
         private double ownDueAtMs() {
-            return spec.deadlineS() == null ? NEVER : spec.submittedAt() + spec.deadlineS() * Milliseconds.PER_SECOND;
+            return spec.deadlineS() == null ? NEVER : spec.submittedAtMs() + spec.deadlineS() * Milliseconds.PER_SECOND;
         }
     }
 
@@ -82,7 +82,7 @@
     public JobSpec effective(JobSpec spec) {
         Node node = nodes.get(spec.id());
         Double deadlineS =
-                node.dueAtMs == NEVER ? null : (node.dueAtMs - node.spec.submittedAt()) / Milliseconds.PER_SECOND;
+                node.dueAtMs == NEVER ? null : (node.dueAtMs - node.spec.submittedAtMs()) / Milliseconds.PER_SECOND;
         return spec.withEffectivePriority(node.priority, deadlineS);
     }
 
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -23,10 +23,10 @@
      * One waiting job.
      *
      * @param job the caller's reference to it
-     * @param remainingS core-seconds that its unfinished tasks are expected to need
+     * @param remainingCoreS core-seconds that its unfinished tasks are expected to need
      * @param runS the expected run time of one of its tasks
      */
-    public record WaitingJob<J>(J job, JobSpec spec, double remainingS, double runS) {}
+    public record WaitingJob<J>(J job, JobSpec spec, double remainingCoreS, double runS) {}
 
     /**
      * A job with its sort keys, computed once rather than at each comparison.
@@ -44,8 +44,8 @@
             return slackS + WORK_WEIGHT * workS;
         }
 
-        private long readyAt() {
-            return waiting.spec().readyAt();
+        private long readyAtMs() {
+            return waiting.spec().readyAtMs();
         }
 
         private String id() {
@@ -92,12 +92,12 @@
                 waiting,
                 spec.priority(),
                 objectives.slackS(spec, spec.ageS(wallTimeMs), waiting.runS()),
-                waiting.remainingS() / Math.max(cores, 1));
+                waiting.remainingCoreS() / Math.max(cores, 1));
     }
 
     private static <J> Comparator<RankedJob<J>> byDueTime() {
         return Comparator.<RankedJob<J>>comparingDouble(RankedJob::dueS)
-                .thenComparingLong(RankedJob::readyAt)
+                .thenComparingLong(RankedJob::readyAtMs)
                 .thenComparing(RankedJob::id);
     }
 
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -16,9 +16,9 @@
  * @param estimateS the user's estimate of one task's run time; 0 if there is none
  * @param checkpointIntervalS 0 if the tasks write no checkpoints
  * @param deadlineS the time from submission to completion that the user asks for, or null
- * @param submittedAt wall-clock time of the acceptance, in milliseconds since the epoch
+ * @param submittedAtMs wall-clock time of the acceptance, in milliseconds since the epoch
  * @param dependencies the jobs that must be complete before any task of this one starts
- * @param readyAt since when it waits for resources alone: its submission, or the end of its last dependency
+ * @param readyAtMs since when it waits for resources alone: its submission, or the end of its last dependency
  */
 public record JobSpec(
         String id,
@@ -39,9 +39,9 @@
         double checkpointIntervalS,
         double checkpointWriteS,
         Double deadlineS,
-        long submittedAt,
+        long submittedAtMs,
         List<String> dependencies,
-        long readyAt) {
+        long readyAtMs) {
 
     /** Begins a specification of a job without demand, constraints, deadline and dependencies. */
     public static Builder builder(String id) {
@@ -68,9 +68,9 @@
         builder.checkpointIntervalS = checkpointIntervalS;
         builder.checkpointWriteS = checkpointWriteS;
         builder.deadlineS = deadlineS;
-        builder.submittedAt = submittedAt;
+        builder.submittedAtMs = submittedAtMs;
         builder.dependencies = dependencies;
-        builder.readyAt = readyAt;
+        builder.readyAtMs = readyAtMs;
         return builder;
     }
 
@@ -94,9 +94,9 @@
         private double checkpointIntervalS;
         private double checkpointWriteS;
         private Double deadlineS;
-        private long submittedAt;
+        private long submittedAtMs;
         private List<String> dependencies = List.of();
-        private Long readyAt;
+        private Long readyAtMs;
 
         private Builder(String id) {
             this.id = id;
@@ -205,8 +205,8 @@
         }
 
         /** Sets the wall-clock time of the acceptance, in milliseconds since the epoch. */
-        public Builder submittedAt(long value) {
-            submittedAt = value;
+        public Builder submittedAtMs(long value) {
+            submittedAtMs = value;
             return this;
         }
 
@@ -217,8 +217,8 @@
         }
 
         /** Sets since when the job waits for resources alone; by default its submission. */
-        public Builder readyAt(long value) {
-            readyAt = value;
+        public Builder readyAtMs(long value) {
+            readyAtMs = value;
             return this;
         }
 
@@ -243,9 +243,9 @@
                     checkpointIntervalS,
                     checkpointWriteS,
                     deadlineS,
-                    submittedAt,
+                    submittedAtMs,
                     dependencies,
-                    readyAt == null ? submittedAt : readyAt);
+                    readyAtMs == null ? submittedAtMs : readyAtMs);
         }
     }
 
@@ -255,8 +255,8 @@
     }
 
     /** The same job, blocked by its dependencies until this time. */
-    public JobSpec withReadyAt(long readyAtMs) {
-        return toBuilder().readyAt(readyAtMs).build();
+    public JobSpec withReadyAtMs(long newReadyAtMs) {
+        return toBuilder().readyAtMs(newReadyAtMs).build();
     }
 
     /**
@@ -265,12 +265,12 @@
      * @param wallTimeMs the time of day, in milliseconds since the epoch
      */
     public double ageS(long wallTimeMs) {
-        return (wallTimeMs - readyAt) / Milliseconds.PER_SECOND;
+        return (wallTimeMs - readyAtMs) / Milliseconds.PER_SECOND;
     }
 
     /** How long its dependencies blocked it, a time that counts towards its deadline. */
     public double blockedS() {
-        return (readyAt - submittedAt) / Milliseconds.PER_SECOND;
+        return (readyAtMs - submittedAtMs) / Milliseconds.PER_SECOND;
     }
 
     /** How the tasks of a job relate. */
--- a/src/main/java/notchpick/storage/JobSpecCodec.java
+++ b/src/main/java/notchpick/storage/JobSpecCodec.java
@@ -35,7 +35,7 @@
                 .put("checkpointS", spec.checkpointIntervalS())
                 .put("saveS", spec.checkpointWriteS())
                 .put("deadlineS", spec.deadlineS())
-                .put("submittedAt", spec.submittedAt());
+                .put("submittedAt", spec.submittedAtMs());
         if (spec.types() != null) {
             ArrayNode types = node.putArray("types");
             spec.types().forEach(types::add);
@@ -70,7 +70,7 @@
                 .checkpointIntervalS(node.path("checkpointS").asDouble())
                 .checkpointWriteS(node.path("saveS").asDouble())
                 .deadlineS(deadline.isNumber() ? deadline.asDouble() : null)
-                .submittedAt(node.path("submittedAt").asLong())
+                .submittedAtMs(node.path("submittedAt").asLong())
                 .dependencies(RecordFields.texts(node.path("needs")))
                 .build();
     }
--- a/src/main/java/notchpick/transport/CallbackExecutor.java
+++ b/src/main/java/notchpick/transport/CallbackExecutor.java
@@ -6,5 +6,5 @@
 @FunctionalInterface
 public interface CallbackExecutor {
     /** A callback that runs the given one in the actor's turn. */
-    <T> Consumer<T> inTurn(Consumer<T> callback);
+    <T> Consumer<T> onLoop(Consumer<T> callback);
 }
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -24,7 +24,7 @@
                 .priority(priority)
                 .estimateS(20)
                 .deadlineS(deadlineS)
-                .submittedAt(1000)
+                .submittedAtMs(1000)
                 .dependencies(List.of(dependencies))
                 .build();
         jobs.put(id, spec);
--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -21,7 +21,7 @@
                 .priority(priority)
                 .tasks(4)
                 .estimateS(20)
-                .submittedAt(-ageS * 1000)
+                .submittedAtMs(-ageS * 1000)
                 .build();
         return new WaitingJob<>(id, spec, coreS, 20);
     }
--- a/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
@@ -59,9 +59,9 @@
 
     @Test
     void agesBeginWhenTheJobIsReadyAndDeadlinesAtSubmission() {
-        JobSpec blocked = job("credit", 100.0).withReadyAt(30_000);
+        JobSpec blocked = job("credit", 100.0).withReadyAtMs(30_000);
         assertEquals(30, OBJECTIVES.slackS(blocked, blocked.ageS(30_000), 40));
-        JobSpec waiting = job("import", null).withReadyAt(30_000);
+        JobSpec waiting = job("import", null).withReadyAtMs(30_000);
         assertEquals(60, OBJECTIVES.slackS(waiting, waiting.ageS(130_000), 40));
     }
 
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -68,7 +68,7 @@
                 .types(List.of("m8"))
                 .zone("east")
                 .deadlineS(60.0)
-                .submittedAt(5)
+                .submittedAtMs(5)
                 .dependencies(List.of("run-000001"))
                 .build();
     }
@@ -78,8 +78,8 @@
         JobSpec spec = JobSpecCodec.decode("run-000006", stored().get("open/run-000006"));
         assertEquals(2, spec.tasks());
         assertEquals(List.of(), spec.dependencies());
-        assertEquals(spec.submittedAt(), spec.readyAt());
-        assertEquals(1700000059904L, spec.submittedAt());
+        assertEquals(spec.submittedAtMs(), spec.readyAtMs());
+        assertEquals(1700000059904L, spec.submittedAtMs());
     }
 
     @Test
