--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -88,8 +88,8 @@
         for (String ready : graph.applyOutcome(id, record)) {
             Job job = cluster.job(ready);
             job.setBlocked(false);
-            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAtMs(ready));
-            cluster.replaceSpec(job, job.spec().withReadyAt(readyAt));
+            long readyAt = Math.max(job.spec().submittedAtMs(), graph.lastEndedAtMs(ready));
+            cluster.replaceSpec(job, job.spec().withReadyAtMs(readyAt));
             LOG.info("dependencies satisfied: job={} last={}", ready, id);
             anyReady = true;
         }
