--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -58,7 +58,7 @@
     private boolean isReady() {
         return userRequests.isReady()
                 && !election.isFormatIncompatible()
-                && (stateStore.reachable() || peers.peerReachingStateStore().isEmpty());
+                && (stateStore.isReachable() || peers.peerReachingStateStore().isEmpty());
     }
 
     private void routeUserRequest(Request request, Consumer<Response> reply) {
@@ -66,7 +66,7 @@
             reply.accept(ControllerReplies.unavailable("records of another version"));
             return;
         }
-        Optional<String> peer = stateStore.reachable() ? Optional.empty() : peers.peerReachingStateStore();
+        Optional<String> peer = stateStore.isReachable() ? Optional.empty() : peers.peerReachingStateStore();
         if (peer.isPresent()) {
             // Cut off from the state store while a peer is not: the peer can reply.
             peerClient.relay(
--- a/src/main/java/notchpick/app/PeerAnnouncer.java
+++ b/src/main/java/notchpick/app/PeerAnnouncer.java
@@ -48,7 +48,7 @@
 
     private Pulse heartbeat(List<Progress> progress) {
         // Peers relay requests only through a controller that reaches the state store by its own link.
-        boolean reachesStateStore = stateStore.reachable() && !stateStoreTransport.isRelayed();
+        boolean reachesStateStore = stateStore.isReachable() && !stateStoreTransport.isRelayed();
         return new Pulse(
                 node, election.term(), election.leader(), reachesStateStore, heartbeatRouter.redirects(), progress);
     }
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -91,7 +91,7 @@
                 cache(job, outcome);
             }
         }
-        if (page.more()) {
+        if (page.hasMore()) {
             // Jobs that sort before the end of this page and are not in it have no record.
             String last = page.entries().isEmpty()
                     ? missing.first()
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -108,7 +108,7 @@
                 key,
                 result -> context.timer().schedule(0, () -> {
                     if (result instanceof Ok<Entry> ok) {
-                        writer.versionRead(key, ok.value().version());
+                        writer.recordVersion(key, ok.value().version());
                         then.accept(ok.value().value());
                     } else if (result instanceof Missing<Entry>) {
                         then.accept(Json.object());
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -81,7 +81,7 @@
     /** Takes in the launches of a former leader: these tasks are not launched anew, and count, until workers report. */
     public void load(Listing listing) {
         for (Entry entry : listing.entries()) {
-            writer.versionRead(entry.key(), entry.version());
+            writer.recordVersion(entry.key(), entry.version());
             Set<TaskAssignment> loaded = new LinkedHashSet<>();
             for (LaunchRecord launch : LaunchRecordCodec.decode(entry.value())) {
                 Machine machine = cluster.machineOrAdd(launch.machine(), name -> readyMachine(launch));
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -119,7 +119,7 @@
     /** Takes in the completions that a former leader recorded. */
     public void loadCompletions(Listing listing) {
         for (Entry entry : listing.entries()) {
-            writer.versionRead(entry.key(), entry.version());
+            writer.recordVersion(entry.key(), entry.version());
             completions.load(entry.key(), entry.value());
         }
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -44,7 +44,7 @@
     private void pageRead(Page page) {
         List<ListedMachine> machines = page.machines();
         machines.forEach(this::listed);
-        if (page.more() && !machines.isEmpty()) {
+        if (page.hasMore() && !machines.isEmpty()) {
             readPage(machines.get(machines.size() - 1).machine());
         } else {
             complete = true;
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -103,7 +103,7 @@
         }
         List<String> names = cluster.machines().stream()
                 .filter(Machine::isReleaseDurable)
-                .limit(CloudClient.MAX_RELEASE)
+                .limit(CloudClient.MAX_MACHINES_PER_RELEASE)
                 .map(Machine::name)
                 .toList();
         if (names.isEmpty()) {
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -57,7 +57,7 @@
     }
 
     private void rent(String request, NodePool pool, int count, int tries) {
-        int batch = Math.min(count, CloudClient.MAX_RENT);
+        int batch = Math.min(count, CloudClient.MAX_MACHINES_PER_RENT);
         cloud.rent(
                 request,
                 pool.type(),
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -275,8 +275,8 @@
     /** Writes the leader key if nobody else has, and no election has taken place since the term was read. */
     private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAt) {
         Transaction transaction = new Transaction()
-                .guard(StateKeys.LEADER, 0)
-                .guard(StateKeys.TERM, termVersion)
+                .requireVersion(StateKeys.LEADER, 0)
+                .requireVersion(StateKeys.TERM, termVersion)
                 .put(StateKeys.LEADER, Json.object().put(NODE_FIELD, node).put(TERM_FIELD, newTerm), newLease)
                 .put(StateKeys.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, StateKeys.FORMAT));
         stateStore.commit(transaction, onLoop(result -> {
--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -76,7 +76,7 @@
     private void store(String id, Found found, Consumer<Response> reply, int attemptsLeft) {
         JobRecord cancelled = found.record().cancelled(loop.wallTimeMs());
         Transaction transaction = new Transaction()
-                .guard(StateKeys.OPEN_JOBS + id, found.version())
+                .requireVersion(StateKeys.OPEN_JOBS + id, found.version())
                 .put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(cancelled))
                 .delete(StateKeys.OPEN_JOBS + id);
         stateStore.commit(
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -96,8 +96,8 @@
         for (Submission submission : batch) {
             // One write for each job: the rate of writes is scarce, while guards are free.
             transaction
-                    .guard(StateKeys.JOB_RECORDS + submission.id(), 0)
-                    .guard(StateKeys.OPEN_JOBS + submission.id(), 0)
+                    .requireVersion(StateKeys.JOB_RECORDS + submission.id(), 0)
+                    .requireVersion(StateKeys.OPEN_JOBS + submission.id(), 0)
                     .put(StateKeys.OPEN_JOBS + submission.id(), JobSpecCodec.encode(submission.spec()));
         }
         stateStore.commit(transaction, result -> timer.schedule(0, () -> committed(batch, result)));
--- a/src/main/java/notchpick/protocol/CloudClient.java
+++ b/src/main/java/notchpick/protocol/CloudClient.java
@@ -17,9 +17,9 @@
 /** A client of the cloud. What it returns is empty, or unknown, where the cloud gave no response that can be used. */
 public final class CloudClient {
     /** One request may rent this many machines. */
-    public static final int MAX_RENT = 50;
+    public static final int MAX_MACHINES_PER_RENT = 50;
     /** One request may release this many machines. */
-    public static final int MAX_RELEASE = 100;
+    public static final int MAX_MACHINES_PER_RELEASE = 100;
 
     public static final int LIST_PAGE = 500;
 
@@ -48,7 +48,7 @@
             String machine, String address, String type, String zone, boolean spot, MachineState state, double ageS) {}
 
     /** One page of the cloud's list. */
-    public record Page(List<ListedMachine> machines, boolean more) {}
+    public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
     /** Requests the machine types. */
     public void types(Consumer<Optional<List<MachineType>>> then) {
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -47,7 +47,7 @@
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
     /** Part of the keys with a prefix, as of a revision. */
-    public record Listing(List<Entry> entries, boolean more, long revision) {}
+    public record Listing(List<Entry> entries, boolean hasMore, long revision) {}
 
     /**
      * A change of a key.
@@ -60,7 +60,7 @@
     public record Changes(List<Change> log, long revision) {}
 
     /** Whether the state store answers, as far as this controller can tell. */
-    public boolean reachable() {
+    public boolean isReachable() {
         return everAnswered && consecutiveFailures < FAILURES_TO_UNREACHABLE;
     }
 
@@ -109,7 +109,7 @@
     private void listRest(
             String prefix, Listing page, List<Entry> entries, long revision, Consumer<StateStoreResult<Listing>> then) {
         entries.addAll(page.entries());
-        if (!page.more() || page.entries().isEmpty()) {
+        if (!page.hasMore() || page.entries().isEmpty()) {
             then.accept(new Ok<>(new Listing(entries, false, revision)));
             return;
         }
--- a/src/main/java/notchpick/protocol/Transaction.java
+++ b/src/main/java/notchpick/protocol/Transaction.java
@@ -12,7 +12,7 @@
     private final ArrayNode writes = Json.object().putArray("writes");
 
     /** Requires that the key has this version; 0: that it does not exist. */
-    public Transaction guard(String key, long version) {
+    public Transaction requireVersion(String key, long version) {
         conditions.put(key, version);
         return this;
     }
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -78,7 +78,7 @@
     }
 
     /** Notes the version of a key that has been read. */
-    public void versionRead(String key, long version) {
+    public void recordVersion(String key, long version) {
         versions.seen(key, version);
     }
 
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -45,20 +45,20 @@
 
     /** The transaction of all writes, on condition that the leader key still has the version of this term. */
     Transaction transaction(long leaderVersion, KeyVersions versions) {
-        Transaction transaction = new Transaction().guard(StateKeys.LEADER, leaderVersion);
+        Transaction transaction = new Transaction().requireVersion(StateKeys.LEADER, leaderVersion);
         for (Member member : members) {
             member.prepared().writes().forEach(write -> add(transaction, write, versions));
         }
         members.stream()
                 .flatMap(member -> member.prepared().preconditions().versions().entrySet().stream())
                 .limit(CONDITIONS_PER_WRITE * maxWrites - 1 - writes)
-                .forEach(condition -> transaction.guard(condition.getKey(), condition.getValue()));
+                .forEach(condition -> transaction.requireVersion(condition.getKey(), condition.getValue()));
         return transaction;
     }
 
     private static void add(Transaction transaction, KeyWrite write, KeyVersions versions) {
         if (write.precondition() != KeyWrite.Precondition.NONE) {
-            transaction.guard(write.key(), versions.expected(write));
+            transaction.requireVersion(write.key(), versions.expected(write));
         }
         if (write.isDelete()) {
             transaction.delete(write.key());
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -232,7 +232,7 @@
         FencedWriter small = new FencedWriter(api, loop, loop, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = shortValues(small);
         values.load(StateKeys.LAUNCHES + 0, left);
-        small.versionRead(StateKeys.LAUNCHES + 0, 1);
+        small.recordVersion(StateKeys.LAUNCHES + 0, 1);
         // At each moment all are there that are not over, in whatever value.
         List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
         over.forEach(values::remove);
