--- a/src/main/java/notchpick/protocol/CloudClient.java
+++ b/src/main/java/notchpick/protocol/CloudClient.java
@@ -14,14 +14,15 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** A client of the cloud. What it returns is empty, or unknown, where the cloud gave no response that can be used. */
+/** A client of the cloud. Results are empty or {@link RentResult.Unknown} if the cloud sent no usable response. */
 public final class CloudClient {
-    /** One request may rent this many machines. */
+    /** The maximum number of machines that one request may rent. */
     public static final int MAX_MACHINES_PER_RENT = 50;
-    /** One request may release this many machines. */
+    /** The maximum number of machines that one request may release. */
     public static final int MAX_MACHINES_PER_RELEASE = 100;
 
-    public static final int LIST_PAGE = 500;
+    /** The maximum number of machines in one page of the list. */
+    public static final int LIST_PAGE_SIZE = 500;
 
     private static final String RENTALS = "/rentals";
     private static final String MACHINES = "boxes";
@@ -36,14 +37,14 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** The state of a machine as the cloud sees it. */
+    /** The state of a machine as the cloud reports it. */
     public enum MachineState {
         STARTING,
         RUNNING,
         FAILED
     }
 
-    /** A machine in the cloud's list, and its age as of that list. */
+    /** A machine in the cloud's list; its age is as of the time of the list. */
     public record ListedMachine(
             String machine, String address, String type, String zone, boolean spot, MachineState state, double ageS) {}
 
@@ -58,7 +59,11 @@
                 response -> then.accept(body(response).flatMap(MachineTypesCodec::decode)));
     }
 
-    /** Rents machines under a request name that is never used for anything else: repeated, it rents no more. */
+    /**
+     * Rents machines.
+     *
+     * @param request a name unique to this rental; a repeated request with the same name rents no more machines
+     */
     public void rent(String request, String type, String zone, boolean spot, int count, Consumer<RentResult> then) {
         ObjectNode body = Json.object()
                 .put("hireSlip", request)
@@ -88,7 +93,7 @@
                 : new RentResult.Unknown();
     }
 
-    /** Releases machines; returns true once they and all that was on them are surely gone. */
+    /** Releases machines; passes true once it is certain that they and everything on them have been deleted. */
     public void release(Collection<String> machines, Consumer<Boolean> then) {
         ObjectNode body = Json.object();
         ArrayNode names = body.putArray(MACHINES);
@@ -99,9 +104,13 @@
                 response -> then.accept(response.status() == HttpStatus.OK));
     }
 
-    /** Requests one page of the list of machines, after the one of this name; null: the first page. */
+    /**
+     * Requests one page of the list of machines.
+     *
+     * @param after the name of the last machine on the previous page; null for the first page
+     */
     public void list(String after, Consumer<Optional<Page>> then) {
-        String path = RENTALS + "?limit=" + LIST_PAGE + (after == null ? "" : "&since=" + after);
+        String path = RENTALS + "?limit=" + LIST_PAGE_SIZE + (after == null ? "" : "&since=" + after);
         caller.call(
                 new Request(target, "GET", path, null),
                 timeoutMs,
--- a/src/main/java/notchpick/protocol/InvalidMessageException.java
+++ b/src/main/java/notchpick/protocol/InvalidMessageException.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A message of another party does not follow the protocol. */
+/** Thrown when a received message does not follow the protocol. */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,9 +11,10 @@
     private final String requirement;
 
     /**
-     * @param field the field that is at fault
+     * @param field the invalid field
      * @param value its value; null if it is missing
-     * @param requirement what the value must be, as the end of a sentence that begins with the field
+     * @param requirement what the value must be, as a predicate such as "must be a number"; the message is the name of
+     *     the field followed by this predicate
      */
     public InvalidMessageException(String field, JsonNode value, String requirement) {
         super(field + " " + requirement, null, false, false);
@@ -22,7 +23,7 @@
         this.requirement = requirement;
     }
 
-    /** The whole body is at fault. */
+    /** Creates an exception for a body that is not a JSON object. */
     public static InvalidMessageException notAnObject() {
         return new InvalidMessageException("the body", null, "must be a JSON object");
     }
--- a/src/main/java/notchpick/protocol/Json.java
+++ b/src/main/java/notchpick/protocol/Json.java
@@ -11,19 +11,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reading and writing JSON trees; the mapper is immutable once made. */
+/** Parses and serializes JSON trees. Thread-safe: the mapper is not reconfigured after its creation. */
 public final class Json {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private static final String LIST_OF_NAMES = "must be a list of names";
-    private static final int QUOTES_BYTES = 2;
-    private static final int ESCAPE_BYTES = 6;
+    private static final String LIST_OF_STRINGS = "must be a list of strings";
+    private static final int QUOTE_BYTES = 2;
+    private static final int MAX_ESCAPE_BYTES = 6;
     private static final char LAST_PRINTABLE_ASCII = '~';
 
     private Json() {}
 
-    /** The object in these bytes, or null if they hold anything else. */
+    /** Parses an object; returns null if the bytes are null or hold anything but one JSON object. */
     public static ObjectNode object(byte[] body) {
         if (body == null || body.length == 0) {
             return null;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** A new object without fields. */
+    /** Creates an object without fields. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -49,27 +49,27 @@
         }
     }
 
-    /** An upper bound of the bytes that a text takes, its quotes included. */
-    public static int textBytes(String text) {
-        int bytes = QUOTES_BYTES;
+    /** Returns an upper bound of the bytes that a string takes when serialized, including its quotes. */
+    public static int maxTextBytes(String text) {
+        int bytes = QUOTE_BYTES;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             boolean isPlain = c >= ' ' && c <= LAST_PRINTABLE_ASCII && c != '"' && c != '\\';
-            bytes += isPlain ? 1 : ESCAPE_BYTES;
+            bytes += isPlain ? 1 : MAX_ESCAPE_BYTES;
         }
         return bytes;
     }
 
-    /** Reads a text that is not empty. */
+    /** Reads a non-empty string. */
     static String text(JsonNode object, String field) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isTextual() || node.textValue().isEmpty()) {
-            throw new InvalidMessageException(field, node, "must be text");
+            throw new InvalidMessageException(field, node, "must be a non-empty string");
         }
         return node.textValue();
     }
 
-    /** Reads a decimal number within bounds. */
+    /** Reads a number between min and max, both inclusive. */
     static double number(JsonNode object, String field, double min, double max) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isNumber()) {
@@ -77,12 +77,13 @@
         }
         double value = node.doubleValue();
         if (!(value >= min && value <= max)) {
-            throw new InvalidMessageException(field, node, "is out of range");
+            throw new InvalidMessageException(
+                    field, node, "must be between " + min + " and " + max + ", but is " + value);
         }
         return value;
     }
 
-    /** Reads an integer within bounds. */
+    /** Reads an integer between min and max, both inclusive. */
     static long integer(JsonNode object, String field, long min, long max) throws InvalidMessageException {
         JsonNode node = object.get(field);
         if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
@@ -90,7 +91,8 @@
         }
         long value = node.longValue();
         if (value < min || value > max) {
-            throw new InvalidMessageException(field, node, "is out of range");
+            throw new InvalidMessageException(
+                    field, node, "must be between " + min + " and " + max + ", but is " + value);
         }
         return value;
     }
@@ -110,19 +112,19 @@
         return node == null || node.isNull();
     }
 
-    /** Reads a list of texts, which may be empty; nothing if the field is absent. */
+    /** Reads a list of strings, which may be empty; returns empty if the field is missing or null. */
     static Optional<List<String>> texts(JsonNode object, String field) throws InvalidMessageException {
         if (isAbsent(object, field)) {
             return Optional.empty();
         }
         JsonNode node = object.get(field);
         if (!node.isArray()) {
-            throw new InvalidMessageException(field, node, LIST_OF_NAMES);
+            throw new InvalidMessageException(field, node, LIST_OF_STRINGS);
         }
         List<String> texts = new ArrayList<>();
         for (JsonNode item : node) {
             if (!item.isTextual()) {
-                throw new InvalidMessageException(field, node, LIST_OF_NAMES);
+                throw new InvalidMessageException(field, node, LIST_OF_STRINGS);
             }
             texts.add(item.textValue());
         }
--- a/src/main/java/notchpick/protocol/MachineTypesCodec.java
+++ b/src/main/java/notchpick/protocol/MachineTypesCodec.java
@@ -10,7 +10,7 @@
 import notchpick.scheduling.MachineType;
 import notchpick.scheduling.Resources;
 
-/** Encodes the machine types that the cloud offers, in the cloud's form; the state store keeps them in the same one. */
+/** Encodes machine types in the format of the cloud's replies, which is also the format in the state store. */
 public final class MachineTypesCodec {
     private static final String NAME = "label";
     private static final String CACHE_GB = "cacheGb";
@@ -21,7 +21,7 @@
 
     private MachineTypesCodec() {}
 
-    /** Decodes machine types; empty if there are none, or one of them is malformed. */
+    /** Decodes machine types; returns empty if there are none or one of them is malformed. */
     public static Optional<List<MachineType>> decode(JsonNode body) {
         List<MachineType> types = new ArrayList<>();
         try {
--- a/src/main/java/notchpick/protocol/PeerProtocol.java
+++ b/src/main/java/notchpick/protocol/PeerProtocol.java
@@ -9,9 +9,9 @@
 import org.apache.avro.specific.SpecificDatumReader;
 import org.apache.avro.specific.SpecificDatumWriter;
 
-/** The messages between controllers, in Avro's binary encoding. */
+/** Encodes and decodes the messages between controllers in Avro's binary encoding. */
 public final class PeerProtocol {
-    /** All messages are posted to this path. */
+    /** The path to which all messages are posted. */
     public static final String PATH = "/peer";
 
     private PeerProtocol() {}
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The bytes that a relayed request or its outcome carries; null if it carries none. */
+    /** Returns the content of a relayed request or of its outcome; null if there is none. */
     public static byte[] toBytes(ByteBuffer buffer) {
         if (buffer == null) {
             return null;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Decodes a message; null if the bytes hold none, as of an unknown type from a later version. Each message is
-     * dispatched by {@code instanceof}, which null never matches.
+     * Decodes a message; returns null if the bytes are not a valid message, for example because a later version sent a
+     * type that this one does not have. Callers dispatch by {@code instanceof}, which null never matches.
      */
     public static Object decode(byte[] bytes) {
         if (bytes.length == 0) {
--- a/src/main/java/notchpick/protocol/RequestBudget.java
+++ b/src/main/java/notchpick/protocol/RequestBudget.java
@@ -3,9 +3,9 @@
 import notchpick.transport.EventLoop;
 import notchpick.transport.TokenBucket;
 
-/** This controller's part of the request rate that the state store serves; a second's requests may come at once. */
+/** This controller's share of the state store's request rate; one second's worth of requests may be sent at once. */
 final class RequestBudget {
-    /** This part of a second's requests is reserved for what can't wait. */
+    /** The share of one second's requests that is reserved for requests that can't wait. */
     private static final double RESERVED_RATIO = 0.3;
 
     private final TokenBucket requests;
@@ -16,12 +16,12 @@
         this.reserved = requestsPerS * RESERVED_RATIO;
     }
 
-    /** Whether more is left than is reserved for submissions and the leader's writes. */
-    boolean exceedsReserve() {
+    /** Whether there is budget beyond the share reserved for submissions and the leader's writes. */
+    boolean hasUnreserved() {
         return requests.available() >= reserved;
     }
 
-    /** Takes one request from the budget; returns whether it may be sent. */
+    /** Takes one request from the budget if there is one left; returns whether the request may be sent. */
     boolean tryTake() {
         boolean isAvailable = requests.available() >= 1;
         if (isAvailable) {
@@ -30,7 +30,7 @@
         return isAvailable;
     }
 
-    /** Takes what there is of one request that is sent in any case. */
+    /** Takes one request, or what is left of the budget, for a request that is sent in any case. */
     void takeUrgent() {
         requests.take(Math.min(1, requests.available()));
     }
--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -11,11 +11,12 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** A client of the state store, which keeps within this controller's part of the request rate. */
+/** A client of the state store that stays within this controller's share of the store's request rate. */
 public final class StateStoreClient {
-    public static final int LIST_PAGE = 1000;
-    /** One lost packet must not make the state store pass for unreachable. */
-    private static final int FAILURES_TO_UNREACHABLE = 3;
+    /** The maximum number of keys in one page of a list. */
+    public static final int LIST_PAGE_SIZE = 1000;
+    /** The store counts as unreachable after this many consecutive failures; a single one may be a lost packet. */
+    private static final int UNREACHABLE_FAILURES = 3;
 
     private static final String GET = "GET";
     private static final String POST = "POST";
@@ -29,7 +30,7 @@
     private boolean everAnswered;
     private int consecutiveFailures;
 
-    /** @param requestsPerS this controller's part of the rate that the state store serves */
+    /** @param requestsPerS this controller's share of the request rate that the state store serves */
     public StateStoreClient(
             StateStoreTransport transport, EventLoop loop, String target, long timeoutMs, double requestsPerS) {
         this.transport = transport;
@@ -39,14 +40,14 @@
     }
 
     /**
-     * A key.
+     * A key and its value.
      *
-     * @param version the revision of its last change
-     * @param lease the lease that the key is attached to; 0: none
+     * @param version the store revision of the key's last change; used to make writes conditional
+     * @param lease the lease to which the key is attached; 0 if none
      */
     public record Entry(String key, JsonNode value, long version, long lease) {}
 
-    /** Part of the keys with a prefix, as of a revision. */
+    /** One page of the keys with a prefix, as of a revision. */
     public record Listing(List<Entry> entries, boolean hasMore, long revision) {}
 
     /**
@@ -56,38 +57,40 @@
      */
     public record Change(String key, JsonNode value, long version) {}
 
-    /** The changes below a prefix, up to a revision. */
+    /** The changes of keys with a prefix, up to a revision. */
     public record Changes(List<Change> log, long revision) {}
 
-    /** Whether the state store answers, as far as this controller can tell. */
+    /** Returns false until the store first answers, and after {@link #UNREACHABLE_FAILURES} consecutive failures. */
     public boolean isReachable() {
-        return everAnswered && consecutiveFailures < FAILURES_TO_UNREACHABLE;
+        return everAnswered && consecutiveFailures < UNREACHABLE_FAILURES;
     }
 
-    /** Whether a request that can wait may be sent without taking what is reserved for those that can't. */
+    /** Whether a request that can wait may be sent without using the budget reserved for requests that can't. */
     public boolean hasUnreservedBudget() {
-        return budget.exceedsReserve();
+        return budget.hasUnreserved();
     }
 
-    // ---- keys ----------------------------------------------------------------------------------
-
     /** Reads a key. */
     public void get(String key, Consumer<StateStoreResult<Entry>> then) {
-        send(readOf(key), response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::entry)));
+        send(readCall(key), response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::entry)));
     }
 
-    /** Reads a key by a hedged request: its newest version is needed soon. */
+    /** Reads a key with a hedged request; for a key whose latest version is needed soon. */
     public void getHedged(String key, Consumer<StateStoreResult<Entry>> then) {
         send(
-                readOf(key).hedge(),
+                readCall(key).asHedged(),
                 response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::entry)));
     }
 
-    private Call readOf(String key) {
+    private Call readCall(String key) {
         return call(GET, "/keys/" + key, null);
     }
 
-    /** Reads one page of the keys with a prefix, after a key if one is given. */
+    /**
+     * Reads one page of the keys with a prefix.
+     *
+     * @param after the last key of the previous page; null for the first page
+     */
     public void list(String prefix, String after, int limit, Consumer<StateStoreResult<Listing>> then) {
         String path = "/keys?prefix=" + prefix + "&limit=" + limit + (after == null ? "" : "&since=" + after);
         send(
@@ -95,18 +98,18 @@
                 response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::listing)));
     }
 
-    /** Reads all pages of a prefix; the revision is that of the first page. */
+    /** Reads all keys with a prefix, page by page. The result has the revision of the first page. */
     public void listAll(String prefix, Consumer<StateStoreResult<Listing>> then) {
-        list(prefix, null, LIST_PAGE, result -> {
+        list(prefix, null, LIST_PAGE_SIZE, result -> {
             if (result instanceof Ok<Listing> ok) {
-                listRest(prefix, ok.value(), new ArrayList<>(), ok.value().revision(), then);
+                listRemaining(prefix, ok.value(), new ArrayList<>(), ok.value().revision(), then);
             } else {
                 then.accept(result);
             }
         });
     }
 
-    private void listRest(
+    private void listRemaining(
             String prefix, Listing page, List<Entry> entries, long revision, Consumer<StateStoreResult<Listing>> then) {
         entries.addAll(page.entries());
         if (!page.hasMore() || page.entries().isEmpty()) {
@@ -114,26 +117,31 @@
             return;
         }
         String last = entries.get(entries.size() - 1).key();
-        list(prefix, last, LIST_PAGE, result -> {
+        list(prefix, last, LIST_PAGE_SIZE, result -> {
             if (result instanceof Ok<Listing> ok) {
-                listRest(prefix, ok.value(), entries, revision, then);
+                listRemaining(prefix, ok.value(), entries, revision, then);
             } else {
                 then.accept(result);
             }
         });
     }
 
-    /** Commits a transaction; returns the revision of its changes. */
+    /** Commits a transaction; the result is the revision of its changes. */
     public void commit(Transaction transaction, Consumer<StateStoreResult<Long>> then) {
         send(
                 call(POST, "/commit", transaction.body()),
-                response -> then.accept(StateStoreResponses.committed(response)));
+                response -> then.accept(StateStoreResponses.commitResult(response)));
     }
 
-    /** Waits for changes since a revision; {@link Missing} if the changes since then are not kept any more. */
+    /**
+     * Waits for changes after a revision. The result is {@link Missing} if the store no longer keeps the changes since
+     * then.
+     *
+     * @param waitMs how long the store may hold the request while there are no changes
+     */
     public void changes(String prefix, long since, long waitMs, Consumer<StateStoreResult<Changes>> then) {
         String path = "/changes?prefix=" + prefix + "&since=" + since + "&holdMs=" + waitMs;
-        send(call(GET, path, null).within(waitMs + timeoutMs), response -> {
+        send(call(GET, path, null).withTimeout(waitMs + timeoutMs), response -> {
             if (response.status() == HttpStatus.GONE) {
                 then.accept(new Missing<>());
             } else {
@@ -142,20 +150,18 @@
         });
     }
 
-    // ---- leases --------------------------------------------------------------------------------
-
-    /** Requests a lease of this length. */
-    public void grantLease(long lifeMs, Consumer<StateStoreResult<Long>> then) {
-        byte[] body = Json.bytes(Json.object().put("lifeMs", lifeMs));
+    /** Requests a lease with this time to live. */
+    public void grantLease(long ttlMs, Consumer<StateStoreResult<Long>> then) {
+        byte[] body = Json.bytes(Json.object().put("lifeMs", ttlMs));
         send(
-                call(POST, LEASES, body).urgently(),
+                call(POST, LEASES, body).asUrgent(),
                 response -> then.accept(StateStoreResponses.result(response, StateStoreResponses::lease)));
     }
 
-    /** Renews a lease by a hedged request; {@link Missing} if it has ended. */
+    /** Renews a lease with a hedged request. The result is {@link Missing} if the lease has ended. */
     public void renewLease(long lease, Consumer<StateStoreResult<Boolean>> then) {
         byte[] body = Json.bytes(Json.object());
-        send(call(POST, LEASES + "/" + lease + "/touch", body).urgently().hedge(), response -> {
+        send(call(POST, LEASES + "/" + lease + "/touch", body).asUrgent().asHedged(), response -> {
             if (HttpStatus.isSuccess(response.status())) {
                 then.accept(new Ok<>(true));
             } else {
@@ -164,33 +170,31 @@
         });
     }
 
-    /** Ends a lease, and deletes the keys attached to it; returns whether it surely has ended. */
+    /** Ends a lease and deletes the keys attached to it; passes whether the lease has certainly ended. */
     public void endLease(long lease, Consumer<Boolean> then) {
         send(
-                call(DELETE, LEASES + "/" + lease, null).urgently(),
+                call(DELETE, LEASES + "/" + lease, null).asUrgent(),
                 response -> then.accept(
                         HttpStatus.isSuccess(response.status()) || response.status() == HttpStatus.NOT_FOUND));
     }
 
-    // ---- sending -------------------------------------------------------------------------------
-
     /**
      * A request to be sent.
      *
-     * @param urgent whether it is sent even if the budget is used up
+     * @param urgent whether the request is sent even if the budget is used up
      */
     private record Call(Request request, long timeoutMs, boolean urgent, boolean hedged) {
-        /** Leases must not lapse because other requests have used up the budget. */
-        Call urgently() {
+        /** Returns this call as urgent; for leases, which must not expire because other requests used up the budget. */
+        Call asUrgent() {
             return new Call(request, timeoutMs, true, hedged);
         }
 
-        Call hedge() {
+        Call asHedged() {
             return new Call(request, timeoutMs, urgent, true);
         }
 
-        Call within(long ms) {
-            return new Call(request, ms, urgent, hedged);
+        Call withTimeout(long newTimeoutMs) {
+            return new Call(request, newTimeoutMs, urgent, hedged);
         }
     }
 
@@ -214,7 +218,7 @@
         });
     }
 
-    /** Sends a request of a peer that can't reach the state store itself; it counts against this budget. */
+    /** Sends a request for a peer that can't reach the state store itself; it counts against this client's budget. */
     public void sendForPeer(String method, String path, byte[] body, long peerTimeoutMs, Consumer<Response> then) {
         if (takeFromBudget(path.startsWith(LEASES))) {
             transport.sendDirect(new Request(target, method, path, body), peerTimeoutMs, then);
--- a/src/main/java/notchpick/protocol/StateStoreResponses.java
+++ b/src/main/java/notchpick/protocol/StateStoreResponses.java
@@ -16,16 +16,16 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** Reads the state store's responses. */
+/** Parses the state store's responses. */
 final class StateStoreResponses {
-    /** Reads the body of a response of success. */
+    /** Parses the body of a successful response. */
     interface BodyReader<T> {
         T read(ObjectNode body);
     }
 
     private StateStoreResponses() {}
 
-    /** Classifies a response by its status. */
+    /** Maps the status of a response to a result, and parses the body of a successful one. */
     static <T> StateStoreResult<T> result(Response response, BodyReader<T> reader) {
         switch (response.status()) {
             case HttpStatus.OK, HttpStatus.CREATED -> {
@@ -44,8 +44,8 @@
         }
     }
 
-    /** The outcome of a transaction: its revision, or the keys whose conditions failed. */
-    static StateStoreResult<Long> committed(Response response) {
+    /** Parses the response to a transaction: its revision, or the keys whose conditions failed. */
+    static StateStoreResult<Long> commitResult(Response response) {
         if (response.status() != HttpStatus.CONFLICT) {
             return result(response, StateStoreResponses::revision);
         }
@@ -61,12 +61,12 @@
         return body.path(StateStoreFields.REVISION).asLong();
     }
 
-    /** Reads the number of a lease. */
+    /** Parses the id of a lease. */
     static long lease(JsonNode body) {
         return body.path(StateStoreFields.LEASE).asLong();
     }
 
-    /** Reads a key. */
+    /** Parses a key with its value and version. */
     static Entry entry(JsonNode node) {
         return new Entry(
                 node.path(StateStoreFields.KEY).asText(),
@@ -75,14 +75,14 @@
                 node.path(StateStoreFields.LEASE).asLong());
     }
 
-    /** Reads a page of keys. */
+    /** Parses a page of keys. */
     static Listing listing(JsonNode body) {
         List<Entry> entries = new ArrayList<>();
         body.path("items").forEach(item -> entries.add(entry(item)));
         return new Listing(entries, body.path("truncated").asBoolean(), revision(body));
     }
 
-    /** Reads the changes of keys. */
+    /** Parses the changes of keys. */
     static Changes changes(JsonNode body) {
         List<Change> log = new ArrayList<>();
         for (JsonNode item : body.path("log")) {
--- a/src/main/java/notchpick/protocol/StateStoreTransport.java
+++ b/src/main/java/notchpick/protocol/StateStoreTransport.java
@@ -5,22 +5,22 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** How requests reach the state store. */
+/** Delivers requests to the state store, directly or through a peer. */
 public interface StateStoreTransport {
     /**
-     * Sends a request and calls back exactly once, as a {@link HttpCaller} does.
+     * Sends a request and calls back exactly once, like {@link HttpCaller}.
      *
-     * @param hedged whether the request may be sent again by another route while it is unanswered, as its response is
-     *     needed soon
+     * @param hedged whether the request may be sent again by another route while it is unanswered; for requests whose
+     *     response is needed soon
      */
     void send(Request request, long timeoutMs, boolean hedged, Consumer<Response> then);
 
-    /** Sends a request over this controller's own link, never by way of a peer. */
+    /** Sends a request over this controller's own connection, never through a peer. */
     default void sendDirect(Request request, long timeoutMs, Consumer<Response> then) {
         send(request, timeoutMs, false, then);
     }
 
-    /** A transport that knows one route only. */
+    /** Creates a transport that always sends requests directly. */
     static StateStoreTransport direct(HttpCaller caller) {
         return (request, timeoutMs, hedged, then) -> caller.call(request, timeoutMs, then);
     }
--- a/src/main/java/notchpick/protocol/Transaction.java
+++ b/src/main/java/notchpick/protocol/Transaction.java
@@ -6,24 +6,24 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A conditional transaction of the state store: all writes are made if all conditions hold, otherwise none. */
+/** A conditional transaction of the state store: it makes all its writes if all conditions hold, otherwise none. */
 public final class Transaction {
     private final Map<String, Long> conditions = new LinkedHashMap<>();
     private final ArrayNode writes = Json.object().putArray("writes");
 
-    /** Requires that the key has this version; 0: that it does not exist. */
+    /** Adds the condition that the key has this version; 0 requires that the key does not exist. */
     public Transaction requireVersion(String key, long version) {
         conditions.put(key, version);
         return this;
     }
 
-    /** Writes a key. */
+    /** Adds a write of a key. */
     public Transaction put(String key, JsonNode value) {
         writes.addObject().put(StateStoreFields.PUT, key).set(StateStoreFields.VALUE, value);
         return this;
     }
 
-    /** Writes a key that the state store deletes when the lease ends. */
+    /** Adds a write of a key that the state store deletes when the lease ends. */
     public Transaction put(String key, JsonNode value, long lease) {
         writes.addObject()
                 .put(StateStoreFields.PUT, key)
@@ -32,13 +32,13 @@
         return this;
     }
 
-    /** Deletes a key. */
+    /** Adds a deletion of a key. */
     public Transaction delete(String key) {
         writes.addObject().put(StateStoreFields.DELETE, key);
         return this;
     }
 
-    /** The body of the request that commits the transaction. */
+    /** Serializes the body of the request that commits the transaction. */
     byte[] body() {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("guards");
--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -10,7 +10,7 @@
 import notchpick.scheduling.JobSpec.Priority;
 import notchpick.scheduling.Resources;
 
-/** The messages of users, and the replies to them. */
+/** Parses the requests of users and builds the replies to them. */
 public final class UserProtocol {
     private static final Pattern JOB_ID = Pattern.compile("run-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
@@ -27,14 +27,14 @@
     }
 
     /**
-     * Reads a submission.
+     * Parses a submission.
      *
-     * @param body null if the message holds no JSON object
-     * @param receivedAtMs wall-clock time
+     * @param body null if the request body is not a JSON object
+     * @param receivedAtMs the wall-clock time at which the submission was received
      */
     public static JobSpec submission(ObjectNode body, long receivedAtMs) throws InvalidMessageException {
         String id = jobId(body);
-        // The first fault in this order is the one that the user is told.
+        // The reply names only the first invalid field, so the order of these checks is visible to users.
         Form form = form(body);
         Priority priority = priority(body);
         Resources demand = demand(body);
@@ -65,7 +65,7 @@
         return switch (Json.text(body, FORM)) {
             case "sweep" -> Form.ARRAY;
             case "service" -> Form.SERVICE;
-            default -> throw new InvalidMessageException(FORM, body.get(FORM), "is none of sweep, service");
+            default -> throw new InvalidMessageException(FORM, body.get(FORM), "must be sweep or service");
         };
     }
 
@@ -76,7 +76,7 @@
             case "normal" -> Priority.NORMAL;
             case "idle" -> Priority.LOW;
             default ->
-                throw new InvalidMessageException(PRIORITY, body.get(PRIORITY), "is none of prod, high, normal, idle");
+                throw new InvalidMessageException(PRIORITY, body.get(PRIORITY), "must be prod, high, normal or idle");
         };
     }
 
@@ -93,27 +93,29 @@
         Optional<List<String>> types = Json.texts(body, WireFields.MACHINE_TYPES);
         if (types.isPresent() && types.get().isEmpty()) {
             throw new InvalidMessageException(
-                    WireFields.MACHINE_TYPES, body.get(WireFields.MACHINE_TYPES), "must name a machine type");
+                    WireFields.MACHINE_TYPES,
+                    body.get(WireFields.MACHINE_TYPES),
+                    "must name at least one machine type");
         }
         return types;
     }
 
-    /** Each job once, however often it is named. */
+    /** Parses the ids of the jobs that must be done first, without duplicates. */
     private static List<String> dependencies(ObjectNode body) throws InvalidMessageException {
         List<String> ids = Json.texts(body, DEPENDENCIES).orElse(List.of());
         for (String id : ids) {
             if (!isJobId(id)) {
                 throw new InvalidMessageException(
-                        DEPENDENCIES, body.get(DEPENDENCIES), "must be a list of ids of the form run-000412");
+                        DEPENDENCIES, body.get(DEPENDENCIES), "must be a list of job ids of the form run-000412");
             }
         }
         return ids.stream().distinct().toList();
     }
 
     /**
-     * Reads the id alone: the retry of a submission that was accepted is answered whatever else it holds.
+     * Parses only the job id. The retry of an accepted submission is answered by its id, whatever its other fields hold.
      *
-     * @param body null if the message holds no JSON object
+     * @param body null if the request body is not a JSON object
      */
     public static String jobId(ObjectNode body) throws InvalidMessageException {
         if (body == null) {
@@ -127,17 +129,17 @@
         return id;
     }
 
-    /** The body of a reply that gives a job's status. */
+    /** Builds the body of a reply with a job's status. */
     public static ObjectNode status(String job, String status) {
         return Json.object().put(WireFields.REFERENCE, job).put(WireFields.STATUS, status);
     }
 
-    /** The body of a reply that gives a job's status, and how many of its tasks are done or running. */
+    /** Builds the body of a reply with a job's status and the numbers of its tasks that are done and running. */
     public static ObjectNode status(String job, String status, int done, int running) {
         return status(job, status).put("done", done).put("running", running);
     }
 
-    /** The body of a reply that refuses a request. */
+    /** Builds the body of a reply that rejects a request. */
     public static JsonNode error(String message) {
         return Json.object().put(WireFields.ERROR, message);
     }
--- a/src/main/java/notchpick/protocol/WireFields.java
+++ b/src/main/java/notchpick/protocol/WireFields.java
@@ -1,6 +1,6 @@
 package notchpick.protocol;
 
-/** Fields that occur in several messages of users, workers and the cloud. */
+/** Names of fields that occur in several messages of users, workers and the cloud. */
 final class WireFields {
     /** The id of a job, or the name of a machine in the cloud's list. */
     static final String REFERENCE = "ref";
@@ -20,7 +20,7 @@
     static final String STATUS = "status";
     static final String ERROR = "error";
 
-    /** An upper bound of all amounts, in the unit of their field. */
+    /** The maximum of every amount, in the unit of its field. */
     static final double MAX_AMOUNT = 1e9;
 
     private WireFields() {}
--- a/src/main/java/notchpick/protocol/WorkerProtocol.java
+++ b/src/main/java/notchpick/protocol/WorkerProtocol.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The heartbeats of workers, and the commands in the replies to them. */
+/** Parses the heartbeats of workers and builds the replies to them, which carry commands. */
 public final class WorkerProtocol {
-    /** A worker waits this long for the reply to its heartbeat. */
+    /** How long a worker waits for the reply to its heartbeat. */
     public static final long REPLY_TIMEOUT_MS = 4000;
 
     private static final String RECLAIM_NOTICE_S = "recallS";
@@ -17,7 +17,7 @@
 
     private WorkerProtocol() {}
 
-    /** The state of a task on its worker. */
+    /** The state of a task on its worker, as the worker reports it. */
     public enum TaskPhase {
         FETCHING,
         RUNNING,
@@ -36,18 +36,19 @@
     }
 
     /**
-     * A task as its worker sees it.
+     * The status of a task in a heartbeat.
      *
      * @param exit null until the task has exited
      */
     public record TaskStatus(String name, String job, int task, long attempt, TaskPhase phase, ExitReason exit) {}
 
     /**
-     * What a worker reports.
+     * A heartbeat of a worker.
      *
-     * @param sequence counts the heartbeats of an incarnation
-     * @param fencingToken the highest token that the worker has seen
-     * @param reclaimNoticeS seconds until the cloud reclaims the spot machine; null: no notice was given
+     * @param incarnation increases each time the worker's lease expires
+     * @param sequence the number of the heartbeat within the incarnation
+     * @param fencingToken the highest fencing token that the worker has received
+     * @param reclaimNoticeS seconds until the cloud reclaims the spot machine; null if no notice was given
      */
     public record Heartbeat(
             String machine,
@@ -63,32 +64,32 @@
 
     /** A command to a worker. */
     public sealed interface TaskCommand {
-        /** The task's name. */
+        /** The name of the task: its job id and its index, separated by a slash. */
         String task();
 
-        /** The attempt that the command is about. */
+        /** The attempt that the command applies to. */
         long attempt();
     }
 
     /** Starts an attempt of the task. */
     public record StartTask(String task, long attempt) implements TaskCommand {}
 
-    /** Stops the attempt; a checkpoint is written first if the grace period suffices. */
+    /** Stops the attempt after writing a checkpoint if the grace period is long enough. */
     public record StopTask(String task, long attempt, double graceS) implements TaskCommand {}
 
-    /** Drops the exited attempt from the heartbeats. */
+    /** Stops reporting the exited attempt in heartbeats. */
     public record ForgetTask(String task, long attempt) implements TaskCommand {}
 
     /**
-     * Reads a heartbeat.
+     * Parses a heartbeat.
      *
-     * @param body null if the message holds no JSON object
+     * @param body null if the request body is not a JSON object
      */
     public static Heartbeat heartbeat(ObjectNode body) throws InvalidMessageException {
         if (body == null) {
             throw InvalidMessageException.notAnObject();
         }
-        // Before the other fields: the first fault in this order is the one that the worker is told.
+        // Parsed before the other fields: the reply names only the first invalid field in this order.
         List<TaskStatus> tasks = tasks(body.get(WireFields.TASKS));
         return new Heartbeat(
                 Json.text(body, "box"),
@@ -144,7 +145,7 @@
             case "fetching" -> TaskPhase.FETCHING;
             case "saving" -> TaskPhase.CHECKPOINTING;
             case "exited" -> TaskPhase.EXITED;
-            // A phase that later workers may add holds its resources like a running task.
+            // Later workers may report other phases; such a task counts as running, since it holds its resources.
             default -> TaskPhase.RUNNING;
         };
     }
@@ -160,7 +161,7 @@
         };
     }
 
-    /** The body of a reply that gives a worker commands under the leader's fencing token. */
+    /** Builds the body of a reply with commands under the leader's fencing token. */
     public static ObjectNode commands(long fencingToken, List<TaskCommand> commands) {
         ObjectNode reply = Json.object().put(WireFields.FENCING_TOKEN, fencingToken);
         ArrayNode list = reply.putArray("orders");
@@ -179,14 +180,14 @@
     }
 
     /**
-     * The body of a reply that redirects a worker to another controller.
+     * Builds the body of a reply that redirects a worker to another controller.
      *
-     * @param leader null if none is known to lead
+     * @param controller null if none is known; the worker then tries the next one of its list
      */
-    public static ObjectNode redirect(String leader) {
+    public static ObjectNode redirect(String controller) {
         ObjectNode reply = Json.object();
-        if (leader != null) {
-            reply.put("foreman", leader);
+        if (controller != null) {
+            reply.put("foreman", controller);
         }
         return reply;
     }
--- a/src/main/java/notchpick/storage/CommitmentsCodec.java
+++ b/src/main/java/notchpick/storage/CommitmentsCodec.java
@@ -11,14 +11,17 @@
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
 
-/** Encodes the commitments of the teams. */
+/** Encodes the commitments of all teams as one value. */
 public final class CommitmentsCodec {
-    /** Field names and numbers of one commitment take at most this many bytes. */
-    private static final int COMMITMENT_BYTES = 112;
+    /** Upper bound of the bytes that the field names and numbers of one commitment take. */
+    private static final int MAX_COMMITMENT_FIELD_BYTES = 112;
 
     private CommitmentsCodec() {}
 
-    /** Encodes as many commitments as the value may hold, the largest first, as the others weigh least. */
+    /**
+     * Encodes as many commitments as fit into the value, those with the largest dominant share first: the ones that
+     * are left out affect scheduling least.
+     */
     public static ObjectNode encode(Map<String, Resources> commitments, int maxBytes) {
         List<String> teams = new ArrayList<>(commitments.keySet());
         teams.sort(Comparator.comparingDouble(team -> -StatefulDrf.dominant(commitments.get(team))));
@@ -26,7 +29,7 @@
         int bytesLeft = maxBytes - 2;
         for (String team : teams) {
             Resources amounts = commitments.get(team);
-            bytesLeft -= Json.textBytes(team) + COMMITMENT_BYTES;
+            bytesLeft -= Json.maxTextBytes(team) + MAX_COMMITMENT_FIELD_BYTES;
             if (bytesLeft < 0) {
                 break;
             }
@@ -38,7 +41,7 @@
         return node;
     }
 
-    /** Decodes the commitments by team; empty where none were saved. */
+    /** Decodes the commitments by team; empty if none were saved. */
     public static Map<String, Resources> decode(JsonNode node) {
         Map<String, Resources> commitments = new HashMap<>();
         node.fields()
--- a/src/main/java/notchpick/storage/CompletionCodec.java
+++ b/src/main/java/notchpick/storage/CompletionCodec.java
@@ -11,14 +11,14 @@
 import notchpick.model.CompletionRange;
 import notchpick.protocol.Json;
 
-/** Encodes which tasks of open jobs have completed: a bit set for each range of tasks. */
+/** Encodes which tasks of open jobs have completed, as one bit set for each range of tasks. */
 public final class CompletionCodec {
     private static final int BASE64_GROUP_BYTES = 3;
     private static final int BASE64_GROUP_CHARACTERS = 4;
 
     private CompletionCodec() {}
 
-    /** Encodes the completions of these ranges, as they are now, as one value. */
+    /** Encodes the current completions of these ranges as one value. */
     public static ObjectNode encode(Collection<CompletionRange> ranges) {
         ObjectNode node = Json.object();
         ArrayNode list = node.putArray("jobs");
@@ -31,7 +31,7 @@
         return node;
     }
 
-    /** Decodes the completions that a value holds, in its order. */
+    /** Decodes the completions in the order in which the value lists them. */
     public static List<RecordedCompletions> decode(JsonNode node) {
         List<RecordedCompletions> completions = new ArrayList<>();
         for (JsonNode range : node.path("jobs")) {
@@ -43,12 +43,12 @@
         return completions;
     }
 
-    /** An upper bound of the bytes that a range adds to a value. */
+    /** Returns an upper bound of the bytes that a range adds to a value. */
     public static int maxBytes(CompletionRange range) {
         int groups = (range.count() / Byte.SIZE + BASE64_GROUP_BYTES) / BASE64_GROUP_BYTES;
-        return Json.textBytes(range.job().id())
+        return Json.maxTextBytes(range.job().id())
                 + Integer.toString(range.first()).length()
-                + RecordFields.PUNCTUATION_BYTES
+                + RecordFields.MAX_PUNCTUATION_BYTES
                 + groups * BASE64_GROUP_CHARACTERS;
     }
 }
--- a/src/main/java/notchpick/storage/FencedWriter.java
+++ b/src/main/java/notchpick/storage/FencedWriter.java
@@ -27,15 +27,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's writes. Every transaction is conditional on the version of the leader key, so that a former leader can
- * write nothing, and on the version of each key that it writes, so that a transaction whose reply was lost can't undo a
- * later one when it is executed after all. One transaction is in flight at a time; changes gather meanwhile.
+ * Writes the leader's changes to the state store. Every transaction is conditional on the version of the leader key, so
+ * that a former leader can't write anything. Unless a write asks for no condition, the transaction also depends on the
+ * version of each key that it writes, so that a transaction whose reply was lost can't undo a later one if the state
+ * store executes it late. One transaction is in flight at a time; changes submitted meanwhile share the next one.
  */
 public final class FencedWriter {
-    /** Is notified that the leader key has changed, so that this leader may not write any more. */
+    /** Is notified when this controller has lost the leadership and may not write any more. */
     @FunctionalInterface
     public interface LeadershipListener {
-        /** Another term has begun, or this one has ended; the writer sends nothing more. */
+        /** The leader key has changed: another term has begun, or this one has ended. The writer sends nothing more. */
         void leadershipLost();
     }
 
@@ -51,15 +52,15 @@
     private final TokenBucket writeBudget;
     private final KeyVersions versions = new KeyVersions();
     private final Map<String, PendingChange> pending = new LinkedHashMap<>();
-    /** Changes of a rejected batch: each has a transaction of its own until the one at fault is found. */
+    /** Names of changes from a rejected batch; each is sent alone until the invalid one is found. */
     private final Set<String> isolated = new HashSet<>();
 
     private boolean busy;
 
     /**
-     * @param timer runs work in the owner's turn
-     * @param leaderVersion the version of the leader key with which the term began
-     * @param maxWrites how many keys a transaction may write
+     * @param timer runs tasks on the owner's event loop
+     * @param leaderVersion the version of the leader key when the term began
+     * @param maxWrites the maximum number of keys that one transaction may write
      */
     public FencedWriter(
             StateStoreClient state,
@@ -77,17 +78,17 @@
         this.writeBudget = new TokenBucket(loop, writesPerS, 2.0 * maxWrites, maxWrites);
     }
 
-    /** Notes the version of a key that has been read. */
+    /** Records the version of a key that has been read, as the expected version of its next write. */
     public void recordVersion(String key, long version) {
-        versions.seen(key, version);
+        versions.setLatest(key, version);
     }
 
-    /** Makes a change with the next transaction; it replaces a pending one of the same name. */
+    /** Adds a change to the next transaction; it replaces a pending change of the same name. */
     public void write(String name, PendingChange change) {
         pending.put(name, change);
         if (!busy) {
             busy = true;
-            // Whatever else the current message changes shares the transaction.
+            // Deferred, so that all changes made by the current message share one transaction.
             timer.schedule(0, this::flush);
         }
     }
@@ -107,11 +108,11 @@
             busy = false;
             return;
         }
-        writeBudget.take(batch.writes());
-        state.commit(batch.transaction(leaderVersion, versions), inTurn(result -> completed(batch, result)));
+        writeBudget.take(batch.writeCount());
+        state.commit(batch.transaction(leaderVersion, versions), onEventLoop(result -> handleResult(batch, result)));
     }
 
-    /** Takes pending changes in their order until the next one does not fit. */
+    /** Takes pending changes in the order of submission until the next one does not fit. */
     private WriteBatch nextBatch() {
         WriteBatch batch = new WriteBatch(maxWrites);
         Iterator<Map.Entry<String, PendingChange>> changes = pending.entrySet().iterator();
@@ -125,7 +126,7 @@
                 continue;
             }
             boolean isIsolated = isolated.contains(name);
-            if (batch.writes() > 0 && (isIsolated || !batch.hasRoomFor(prepared.get()))) {
+            if (batch.writeCount() > 0 && (isIsolated || !batch.hasRoomFor(prepared.get()))) {
                 break;
             }
             changes.remove();
@@ -137,26 +138,26 @@
         return batch;
     }
 
-    private <T> Consumer<T> inTurn(Consumer<T> then) {
+    private <T> Consumer<T> onEventLoop(Consumer<T> then) {
         return value -> timer.schedule(0, () -> then.accept(value));
     }
 
-    private void completed(WriteBatch batch, StateStoreResult<Long> result) {
+    private void handleResult(WriteBatch batch, StateStoreResult<Long> result) {
         if (result instanceof Ok<Long> ok) {
-            committed(batch, ok.value());
+            handleCommit(batch, ok.value());
         } else if (result instanceof Conflict<Long> conflict) {
-            conflicted(batch, conflict.keys());
+            handleConflict(batch, conflict.keys());
         } else if (result instanceof Refused<Long> refused && refused.status() == HttpStatus.BAD_REQUEST) {
-            rejected(batch);
+            handleRejection(batch);
         } else {
             batch.members().forEach(this::requeue);
             timer.schedule(RETRY_MS, this::flush);
         }
     }
 
-    private void committed(WriteBatch batch, long version) {
+    private void handleCommit(WriteBatch batch, long version) {
         for (Member member : batch.members()) {
-            member.prepared().writes().forEach(write -> versions.committed(write, version));
+            member.prepared().writes().forEach(write -> versions.setCommitted(write, version));
         }
         for (Member member : batch.members()) {
             isolated.remove(member.name());
@@ -165,8 +166,8 @@
         flush();
     }
 
-    /** Nothing was written as these keys have other versions than were expected. */
-    private void conflicted(WriteBatch batch, List<String> conflictingKeys) {
+    /** Handles a transaction that wrote nothing because these keys did not have the expected versions. */
+    private void handleConflict(WriteBatch batch, List<String> conflictingKeys) {
         if (conflictingKeys.contains(StateKeys.LEADER)) {
             listener.leadershipLost();
             return;
@@ -175,17 +176,17 @@
         for (Member member : batch.members()) {
             PreparedChange change = member.prepared();
             change.preconditions().reportConflicts(conflictingKeys);
-            boolean givenUp = false;
+            boolean isAbandoned = false;
             for (KeyWrite write : change.writes()) {
                 if (conflictingKeys.contains(write.key())) {
                     if (write.precondition() == Precondition.VERSION) {
-                        givenUp = true;
+                        isAbandoned = true;
                     } else {
                         outdated.add(write.key());
                     }
                 }
             }
-            if (givenUp) {
+            if (isAbandoned) {
                 change.listener().conflicted();
             } else {
                 requeue(member);
@@ -199,10 +200,11 @@
     }
 
     /**
-     * The state store would reject the same transaction again and again, and hold up all other changes: each change is
-     * sent by itself, until the one at fault is found, which is tried again only now and then.
+     * Handles a transaction that the state store rejected as invalid. Retried unchanged, it would be rejected each time
+     * and block all other changes. Therefore each change of the batch is sent alone until the invalid one is found,
+     * which is then retried every {@link #REJECTED_RETRY_MS}.
      */
-    private void rejected(WriteBatch batch) {
+    private void handleRejection(WriteBatch batch) {
         if (batch.members().size() == 1) {
             Member member = batch.members().get(0);
             isolated.remove(member.name());
@@ -225,18 +227,18 @@
         timer.schedule(RETRY_MS, this::flush);
     }
 
-    /** Reads the versions of these keys, one after the other, and goes on writing. */
+    /** Reads the versions of these keys one after the other, then resumes writing. */
     private void reread(Deque<String> keys) {
         if (keys.isEmpty()) {
             flush();
             return;
         }
         String key = keys.peek();
-        state.get(key, inTurn(result -> {
+        state.get(key, onEventLoop(result -> {
             if (result instanceof Ok<Entry> ok) {
-                versions.seen(key, ok.value().version());
+                versions.setLatest(key, ok.value().version());
             } else if (result instanceof Missing<Entry>) {
-                versions.seenMissing(key);
+                versions.setMissing(key);
             } else {
                 timer.schedule(RETRY_MS, () -> reread(keys));
                 return;
--- a/src/main/java/notchpick/storage/JobRecordCodec.java
+++ b/src/main/java/notchpick/storage/JobRecordCodec.java
@@ -7,7 +7,7 @@
 import notchpick.model.JobStatus;
 import notchpick.protocol.Json;
 
-/** Encodes how a job ended. */
+/** Encodes the outcome of a job. */
 public final class JobRecordCodec {
     private static final String DONE = JobStatus.DONE.name().toLowerCase(Locale.ROOT);
 
@@ -23,7 +23,7 @@
         return record.service() ? node.put("service", true) : node;
     }
 
-    /** Decodes a record; what an earlier version did not write is 0 or false. */
+    /** Decodes a record; a field that an earlier version did not write is 0 or false. */
     public static JobRecord decode(JsonNode value) {
         JobStatus status = value.path("state").asText().equals(DONE) ? JobStatus.DONE : JobStatus.CANCELLED;
         return new JobRecord(
--- a/src/main/java/notchpick/storage/JobSpecCodec.java
+++ b/src/main/java/notchpick/storage/JobSpecCodec.java
@@ -9,12 +9,12 @@
 
 /** Encodes the description of an open job. */
 public final class JobSpecCodec {
-    /** Field names, numbers and flags take at most this many bytes. */
-    private static final int FRAME_BYTES = 600;
+    /** Upper bound of the bytes that field names, numbers and flags take. */
+    private static final int MAX_FIXED_BYTES = 600;
 
     private JobSpecCodec() {}
 
-    /** Encodes a description; the job's id is in its key. */
+    /** Encodes a description without the job's id, which is part of the key. */
     public static ObjectNode encode(JobSpec spec) {
         ObjectNode node = Json.object()
                 .put("class", spec.jobClass())
@@ -75,22 +75,22 @@
                 .build();
     }
 
-    /** An upper bound of the bytes that the encoded description takes. */
+    /** Returns an upper bound of the bytes that the encoded description takes. */
     public static int maxBytes(JobSpec spec) {
-        int text = Json.textBytes(spec.jobClass())
-                + Json.textBytes(spec.team())
-                + Json.textBytes(spec.image())
-                + (spec.zone() == null ? 0 : Json.textBytes(spec.zone()));
-        return text
+        int textBytes = Json.maxTextBytes(spec.jobClass())
+                + Json.maxTextBytes(spec.team())
+                + Json.maxTextBytes(spec.image())
+                + (spec.zone() == null ? 0 : Json.maxTextBytes(spec.zone()));
+        return textBytes
                 + listBytes(spec.types() == null ? List.of() : spec.types())
                 + listBytes(spec.dependencies())
-                + FRAME_BYTES;
+                + MAX_FIXED_BYTES;
     }
 
     private static int listBytes(List<String> texts) {
         int bytes = 0;
         for (String text : texts) {
-            bytes += Json.textBytes(text) + 1;
+            bytes += Json.maxTextBytes(text) + 1;
         }
         return bytes;
     }
--- a/src/main/java/notchpick/storage/KeyWrite.java
+++ b/src/main/java/notchpick/storage/KeyWrite.java
@@ -3,27 +3,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The write of one key.
+ * A write of one key: a new value or a deletion.
  *
  * @param value null deletes the key
- * @param precondition what the version of the key must be for the write to be made
- * @param version the version, where the precondition is {@link Precondition#VERSION}
+ * @param precondition the condition on the key's version under which the write is made
+ * @param version the required version if the precondition is {@link Precondition#VERSION}, otherwise ignored
  * @param maxBytes an upper bound of the bytes that the value takes
  */
 public record KeyWrite(String key, JsonNode value, Precondition precondition, long version, int maxBytes) {
     private static final int DEFAULT_MAX_BYTES = 1 << 10;
 
-    /** What must hold of the key's version. */
+    /** The condition on the key's version. */
     public enum Precondition {
-        /** Any version will do. */
+        /** The write is made whatever the version. */
         NONE,
-        /** The version that the writer has seen last. If it is outdated, it is read anew and the change repeated. */
+        /** The latest version that the writer knows. On a conflict it is read again and the change is repeated. */
         LAST_SEEN,
-        /** A certain version. If the key has another, the change is given up. */
+        /** The version given with the write. On a conflict the change is abandoned. */
         VERSION
     }
 
-    /** Writes a value where the version is the one seen last. */
+    /** Writes a value if the key still has the latest version that the writer knows. */
     public static KeyWrite put(String key, JsonNode value) {
         return new KeyWrite(key, value, Precondition.LAST_SEEN, 0, DEFAULT_MAX_BYTES);
     }
@@ -33,17 +33,17 @@
         return new KeyWrite(key, null, Precondition.NONE, 0, 0);
     }
 
-    /** The same write, given up if the key has another version than this. */
+    /** Returns this write with the condition that the key has this version; otherwise the change is abandoned. */
     public KeyWrite ifVersion(long expected) {
         return new KeyWrite(key, value, Precondition.VERSION, expected, maxBytes);
     }
 
-    /** The same write, whatever the version. */
+    /** Returns this write without a condition on the version. */
     public KeyWrite unconditional() {
         return new KeyWrite(key, value, Precondition.NONE, 0, maxBytes);
     }
 
-    /** The same write of a value that may be this long. */
+    /** Returns this write with another upper bound of the bytes of its value. */
     public KeyWrite withMaxBytes(int bytes) {
         return new KeyWrite(key, value, precondition, version, bytes);
     }
--- a/src/main/java/notchpick/storage/LaunchRecordCodec.java
+++ b/src/main/java/notchpick/storage/LaunchRecordCodec.java
@@ -16,11 +16,11 @@
 import notchpick.scheduling.Resources;
 
 /**
- * Encodes launches, grouped by machine. Of each task's job a value holds what counts against its team's limit: the job
- * may have ended, and its description be gone, when a new leader reads the value.
+ * Encodes launches, grouped by machine. A value also holds, for each task's job, the fields that count against the
+ * team's limit: by the time a new leader reads the value, the job may have ended and its description been deleted.
  */
 public final class LaunchRecordCodec {
-    /** The tasks of a machine are one flat list of job, task and attempt. */
+    /** The tasks of a machine are encoded as one flat array of job id, task index and attempt. */
     private static final int FIELDS_PER_TASK = 3;
 
     // Positions in the array of a job.
@@ -33,7 +33,7 @@
     private static final int MACHINE_ZONE = 1;
     private static final int MACHINE_SPOT = 2;
     private static final int MACHINE_TASKS = 3;
-    // Positions among the fields of a task.
+    // Offsets of the fields of one task in the flat array.
     private static final int TASK_JOB = 0;
     private static final int TASK_INDEX = 1;
     private static final int TASK_ATTEMPT = 2;
@@ -67,7 +67,7 @@
                 .add(spec.demand().ram());
     }
 
-    /** Returns the list of the machine's tasks, still empty. */
+    /** Adds a machine and returns the array of its tasks, which is still empty. */
     private static ArrayNode addMachine(ObjectNode machines, Machine machine) {
         return machines.putArray(machine.name())
                 .add(machine.type())
@@ -76,7 +76,7 @@
                 .addArray();
     }
 
-    /** Decodes the launches that a value holds, in its order. */
+    /** Decodes the launches in the order in which the value lists them. */
     public static List<LaunchRecord> decode(JsonNode node) {
         Map<String, JobSpec> jobs = new HashMap<>();
         node.path("jobs").fields().forEachRemaining(field -> {
@@ -117,16 +117,18 @@
         }
     }
 
-    /** An upper bound of the bytes that one launch adds to a value. */
+    /** Returns an upper bound of the bytes that one launch adds to a value. */
     public static int maxBytes(TaskAssignment assignment) {
         JobSpec spec = assignment.spec();
         Resources demand = spec.demand();
-        int job = Json.textBytes(spec.id()) * 2
-                + Json.textBytes(spec.team())
+        int jobBytes = Json.maxTextBytes(spec.id()) * 2
+                + Json.maxTextBytes(spec.team())
                 + (demand.cores() + "" + demand.gpus() + demand.ram()).length();
         Machine machine = assignment.machine();
-        int place = Json.textBytes(machine.name()) + Json.textBytes(machine.type()) + Json.textBytes(machine.zone());
-        int numbers = (Integer.toString(assignment.task()) + assignment.attempt()).length();
-        return job + place + numbers + RecordFields.PUNCTUATION_BYTES;
+        int machineBytes = Json.maxTextBytes(machine.name())
+                + Json.maxTextBytes(machine.type())
+                + Json.maxTextBytes(machine.zone());
+        int numberBytes = (Integer.toString(assignment.task()) + assignment.attempt()).length();
+        return jobBytes + machineBytes + numberBytes + RecordFields.MAX_PUNCTUATION_BYTES;
     }
 }
--- a/src/main/java/notchpick/storage/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -15,18 +15,19 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Packs many small records into few values of the state store, the pages, so that one write covers many records: the
- * service's write rate is far below the rate at which tasks start and end.
+ * Packs many small records into a few values of the state store, called pages, so that one write covers many records:
+ * the store's write rate is far below the rate at which tasks start and end.
  *
- * <p>A record that is removed leaves its value at the page's next write; until then a reader finds more than there is,
- * never less. The same holds of an oversized page, which another version wrote, or which was written before the limit
- * fell: it is not rewritten until enough of its records are removed, or durable on other pages.
+ * <p>A removed record stays in the durable value until the page's next write. Until then a reader may find records that
+ * have been removed, but never misses one that still exists. The same is true of an oversized page, which was written
+ * by another version or before the limit was lowered: it is not rewritten until enough of its records have been removed
+ * or are durable on other pages.
  *
- * @param <R> the records
+ * @param <R> the type of the records
  */
 public final class PackedRecords<R> {
     /**
-     * The durable form of records.
+     * Defines how records are encoded.
      *
      * @param maxBytes an upper bound of the bytes that one record adds to a value
      * @param encode encodes the records of one page
@@ -35,23 +36,23 @@
 
     /** How the page of a new record is selected. */
     public enum Packing {
-        /** The page with the most free bytes: for records that are written once, many at a time. */
+        /** The page with the most free bytes; for records that are written once, many at a time. */
         WORST_FIT,
-        /** The fullest page that has enough free bytes: for records that are written again and again. */
+        /** The fullest page that has enough free bytes; for records that are written repeatedly. */
         BEST_FIT
     }
 
     /** Is notified of records that have become durable. */
     @FunctionalInterface
     public interface Listener<R> {
-        /** The state store has these records, as they were when the write was prepared. */
+        /** The state store holds these records in the state that they had when the write was prepared. */
         void recorded(List<R> records);
     }
 
-    /** What surrounds the records in a value takes at most this many bytes. */
-    private static final int FRAME_BYTES = 64;
-    /** The pages of one transaction take at most this many bytes; conditions and keys need some of the rest. */
-    private static final int TRANSACTION_BYTES = 48 << 10;
+    /** Upper bound of the bytes that surround the records in a value. */
+    private static final int MAX_OVERHEAD_BYTES = 64;
+    /** Upper bound of the bytes of the pages in one transaction; leaves space for conditions and keys. */
+    private static final int MAX_TRANSACTION_BYTES = 48 << 10;
 
     private final FencedWriter writer;
     private final String prefix;
@@ -63,15 +64,15 @@
     private Function<List<R>, Preconditions> preconditions = records -> Preconditions.NONE;
     private final Map<Integer, Page<R>> pages = new TreeMap<>();
     private final Map<R, Page<R>> pageOf = new HashMap<>();
-    /** Of records that are not durable on their page yet: the pages whose values hold them too. */
+    /** For each record that is not durable on its page yet: the other pages whose durable values hold it. */
     private final Map<R, Set<Page<R>>> formerPages = new HashMap<>();
-    /** After a rejected write: the next transactions, of this number, hold one page each, to find the one at fault. */
+    /** After a rejected write: how many of the next transactions hold one page each, to find the rejected one. */
     private int isolatedWrites;
 
     /**
-     * @param prefix of the keys; the number of the page follows
-     * @param maxValueBytes the most that one value may take
-     * @param maxWrites the most keys that one transaction may write
+     * @param prefix the prefix of the keys; the page number follows it
+     * @param maxValueBytes the maximum number of bytes of one value
+     * @param maxWrites the maximum number of keys that one transaction may write
      */
     public PackedRecords(
             FencedWriter writer,
@@ -85,18 +86,22 @@
         this.prefix = prefix;
         this.encoding = encoding;
         this.packing = packing;
-        this.maxPageBytes = Math.min(maxValueBytes, TRANSACTION_BYTES) - FRAME_BYTES;
-        // The other half of a transaction is for other changes.
+        this.maxPageBytes = Math.min(maxValueBytes, MAX_TRANSACTION_BYTES) - MAX_OVERHEAD_BYTES;
+        // The other half of a transaction is left to other changes.
         this.maxWrites = Math.max(1, maxWrites / 2);
         this.listener = listener;
     }
 
-    /** From now on, records are written only if the preconditions hold that they have when the write is prepared. */
+    /**
+     * Makes all later writes conditional.
+     *
+     * @param ofRecords returns the preconditions of the records in a write; called when the write is prepared
+     */
     public void setPreconditions(Function<List<R>, Preconditions> ofRecords) {
         preconditions = ofRecords;
     }
 
-    /** Takes in a value that was read, with those of its records that still matter. */
+    /** Adds the page of a value that was read, with those of its records that are still needed. */
     public void load(String key, Collection<R> records) {
         int number = Integer.parseInt(key.substring(prefix.length()));
         Page<R> page = pages.computeIfAbsent(number, n -> new Page<>(key, maxPageBytes));
@@ -106,7 +111,8 @@
             if (other == null) {
                 page.add(record, bytes);
             } else if (other != page) {
-                // Either value may hold the newer state.
+                // Either value may hold the newer state. The record is written again, and this page keeps it in its
+                // durable value until then.
                 page.addObsolete(bytes);
                 beginMove(record, page);
                 save(record);
@@ -114,7 +120,7 @@
         }
     }
 
-    /** Makes the record durable, in the state that it has when the write is prepared. */
+    /** Schedules a write of the record, in the state that it has when the write is prepared. */
     public void save(R record) {
         Page<R> page = pageOf.get(record);
         if (page != null && page.isOversized()) {
@@ -127,11 +133,11 @@
             page.add(record, bytes(record));
             pageOf.put(record, page);
         }
-        page.modified();
+        page.markModified();
         requestWrite();
     }
 
-    /** Removes a record; the space that it takes is regained when its page is written next. */
+    /** Removes a record; its space in the durable value is freed by the next write of its page. */
     public void remove(R record) {
         Page<R> page = pageOf.remove(record);
         if (page != null) {
@@ -140,18 +146,18 @@
         endMove(record);
     }
 
-    /** Rewrites the page that holds most of what has been removed. */
+    /** Rewrites the page whose durable value holds the most bytes of removed records. */
     public void compact() {
         Page<R> selected = null;
         for (Page<R> page : pages.values()) {
             if (page.obsoleteBytes() > 0
-                    && page.mayBeRewritten()
+                    && page.canBeRewritten()
                     && (selected == null || page.obsoleteBytes() > selected.obsoleteBytes())) {
                 selected = page;
             }
         }
         if (selected != null) {
-            selected.modified();
+            selected.markModified();
             requestWrite();
         }
     }
@@ -161,19 +167,17 @@
     }
 
     private void beginMove(R record, Page<R> from) {
-        from.moveBegan(record);
+        from.beginMove(record);
         formerPages.computeIfAbsent(record, r -> new HashSet<>()).add(from);
     }
 
     private void endMove(R record) {
         Set<Page<R>> former = formerPages.remove(record);
         if (former != null) {
-            former.forEach(page -> page.moveEnded(record));
+            former.forEach(page -> page.endMove(record));
         }
     }
 
-    // ---- bin packing ---------------------------------------------------------------------------
-
     private Page<R> selectPage(int bytes) {
         Page<R> best = null;
         for (Page<R> page : pages.values()) {
@@ -192,7 +196,7 @@
         if (packing == Packing.BEST_FIT) {
             return page.bytes() > than.bytes();
         }
-        // A page that is written anyway takes more records at no cost.
+        // A page that is due to be written anyway takes more records without an additional write.
         return page.isWriteDue() != than.isWriteDue() ? page.isWriteDue() : page.bytes() < than.bytes();
     }
 
@@ -206,8 +210,6 @@
         return page;
     }
 
-    // ---- writing -------------------------------------------------------------------------------
-
     private void requestWrite() {
         writer.write(prefix, this::prepare);
     }
@@ -221,12 +223,14 @@
                 continue;
             }
             if (!writes.isEmpty()
-                    && (isolatedWrites > 0 || writes.size() == maxWrites || bytes + page.bytes() > TRANSACTION_BYTES)) {
+                    && (isolatedWrites > 0
+                            || writes.size() == maxWrites
+                            || bytes + page.bytes() > MAX_TRANSACTION_BYTES)) {
                 break;
             }
             bytes += page.bytes();
             writes.add(KeyWrite.put(page.key(), encoding.encode().apply(page.records()))
-                    .withMaxBytes(page.bytes() + FRAME_BYTES));
+                    .withMaxBytes(page.bytes() + MAX_OVERHEAD_BYTES));
             write.add(page);
         }
         if (writes.isEmpty()) {
@@ -236,7 +240,7 @@
         return Optional.of(new PreparedChange(writes, preconditions.apply(write.records), write));
     }
 
-    /** The pages of one transaction, with their records as they were when it was prepared. */
+    /** The pages of one transaction, with the records that they held when it was prepared. */
     private final class PageWrite implements PreparedChange.Listener {
         private final Map<Page<R>, Long> modifications = new LinkedHashMap<>();
         private final List<R> records = new ArrayList<>();
@@ -244,12 +248,12 @@
         void add(Page<R> page) {
             records.addAll(page.records());
             modifications.put(page, page.modifications());
-            page.writePrepared();
+            page.markWritePrepared();
         }
 
         @Override
         public void committed() {
-            modifications.forEach(Page::written);
+            modifications.forEach(Page::markWritten);
             records.forEach(PackedRecords.this::endMove);
             listener.recorded(records);
             if (pages.values().stream().anyMatch(Page::isWriteDue)) {
@@ -268,15 +272,18 @@
         }
     }
 
-    /** The state store accepts less than the settings say: half of the page's records move to other pages. */
+    /**
+     * Moves half of the page's records to other pages. The page was rejected because the state store accepts only
+     * smaller values than the settings say.
+     */
     private void splitRejected(Page<R> page) {
         List<R> records = new ArrayList<>(page.records());
-        // Oversized, the page lets its records go.
+        // An oversized page gives up each record that is saved.
         page.setMaxBytes(0);
         for (R record : records.subList((records.size() + 1) / 2, records.size())) {
             save(record);
         }
-        // A record that is rejected even by itself is not tried again.
+        // A record that is rejected even when it is alone on its page is not retried.
         page.setMaxBytes(records.size() > 1 ? page.bytes() : 0);
     }
 }
--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -8,12 +8,15 @@
 /**
  * One value of the state store and the records that are packed into it.
  *
- * @param <R> the records
+ * @param <R> the type of the records
  */
 final class Page<R> {
     private final String key;
     private final Set<R> records = new LinkedHashSet<>();
-    /** Records that have moved to another page: until they are durable there, they must not vanish here. */
+    /**
+     * Records that are moving to another page. Until they are durable there, this page is not rewritten, so that its
+     * durable value still holds them.
+     */
     private final Set<R> movesInProgress = new HashSet<>();
 
     private int maxBytes;
@@ -22,7 +25,7 @@
     private long modifications;
     private long writtenModifications;
 
-    /** @param maxBytes how many bytes the records of the page may take */
+    /** @param maxBytes the maximum number of bytes that the records of the page may take */
     Page(String key, int maxBytes) {
         this.key = key;
         this.maxBytes = maxBytes;
@@ -36,63 +39,66 @@
         return records;
     }
 
-    /** An upper bound of the bytes that the records take. */
+    /** Returns an upper bound of the bytes that the records take. */
     int bytes() {
         return bytes;
     }
 
-    /** The bytes that the durable value holds of records that are not on the page any more. */
+    /** Returns the bytes in the durable value that belong to records no longer on the page. */
     int obsoleteBytes() {
         return obsoleteBytes;
     }
 
-    /** How many modifications the page has seen. */
+    /** Returns the number of modifications so far. */
     long modifications() {
         return modifications;
     }
 
-    void setMaxBytes(int most) {
-        maxBytes = most;
+    void setMaxBytes(int newMaxBytes) {
+        maxBytes = newMaxBytes;
     }
 
-    /** Adds a record. */
     void add(R record, int size) {
         records.add(record);
         bytes += size;
     }
 
-    /** Removes a record; the durable value holds it until it is written anew. */
+    /** Removes a record; the durable value still holds it until the next write. */
     void remove(R record, int size) {
         records.remove(record);
         bytes -= size;
         obsoleteBytes += size;
     }
 
-    /** The durable value holds a record that this page does not. */
+    /** Counts a record that is in the durable value but not on this page. */
     void addObsolete(int size) {
         obsoleteBytes += size;
     }
 
-    void moveBegan(R record) {
+    void beginMove(R record) {
         movesInProgress.add(record);
     }
 
-    void moveEnded(R record) {
+    void endMove(R record) {
         movesInProgress.remove(record);
     }
 
-    /** The records have changed, or shall be written anew. */
-    void modified() {
+    /** Marks the page as modified, so that it is written again. */
+    void markModified() {
         modifications++;
     }
 
-    /** A write of the records as they are now has been prepared. */
-    void writePrepared() {
+    /** Marks that a write of the current records has been prepared. */
+    void markWritePrepared() {
         obsoleteBytes = 0;
     }
 
-    /** A write has become durable that was prepared after so many modifications. */
-    void written(long modificationsIncluded) {
+    /**
+     * Marks a write as durable.
+     *
+     * @param modificationsIncluded the value of {@link #modifications} when the write was prepared
+     */
+    void markWritten(long modificationsIncluded) {
         writtenModifications = modificationsIncluded;
     }
 
@@ -100,7 +106,7 @@
         return bytes > maxBytes;
     }
 
-    /** Whether the page has to be written, and may be. */
+    /** Whether the page has unwritten modifications and may be written. */
     boolean isWriteDue() {
         return modifications > writtenModifications && !isOversized() && movesInProgress.isEmpty();
     }
@@ -109,7 +115,7 @@
         return movesInProgress.isEmpty() && bytes + size <= maxBytes;
     }
 
-    boolean mayBeRewritten() {
+    boolean canBeRewritten() {
         return hasRoomFor(0);
     }
 }
--- a/src/main/java/notchpick/storage/PreparedChange.java
+++ b/src/main/java/notchpick/storage/PreparedChange.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The writes of a change, all of which become durable in one transaction. */
+/** The writes of a change, which become durable together in one transaction. */
 public record PreparedChange(List<KeyWrite> writes, Preconditions preconditions, Listener listener) {
     /** Is notified of the outcome of a change. */
     @FunctionalInterface
@@ -10,14 +10,14 @@
         /** The change is durable. */
         void committed();
 
-        /** A key that must have a certain version has another: the change is not made, and not tried again. */
+        /** A key did not have the exact version required; the change was not made and is not retried. */
         default void conflicted() {}
 
-        /** The state store does not accept the change as it is; it is tried again later, prepared anew. */
+        /** The state store rejected the change as invalid; it is prepared again and retried later. */
         default void rejected() {}
     }
 
-    /** A change that depends on nothing but what it writes. */
+    /** Creates a change that depends only on the keys that it writes. */
     public PreparedChange(List<KeyWrite> writes, Listener listener) {
         this(writes, Preconditions.NONE, listener);
     }
--- a/src/main/java/notchpick/storage/ReleasedMachinesCodec.java
+++ b/src/main/java/notchpick/storage/ReleasedMachinesCodec.java
@@ -8,7 +8,7 @@
 import notchpick.model.Machine;
 import notchpick.protocol.Json;
 
-/** Encodes the machines whose release may have been requested and is not confirmed. */
+/** Encodes the machines whose release may have been requested but is not confirmed yet. */
 public final class ReleasedMachinesCodec {
     private ReleasedMachinesCodec() {}
 
@@ -25,8 +25,8 @@
         return RecordFields.texts(node.path("machines"));
     }
 
-    /** An upper bound of the bytes that a machine adds to the value. */
+    /** Returns an upper bound of the bytes that a machine adds to the value. */
     public static int maxBytes(Machine machine) {
-        return Json.textBytes(machine.name()) + 1;
+        return Json.maxTextBytes(machine.name()) + 1;
     }
 }
--- a/src/main/java/notchpick/storage/StateKeys.java
+++ b/src/main/java/notchpick/storage/StateKeys.java
@@ -1,37 +1,37 @@
 package notchpick.storage;
 
-/** The keys of the state store; a name that ends in a slash is a prefix. */
+/** The keys in the state store. A key that ends in a slash is a prefix of many keys. */
 public final class StateKeys {
-    /** The leader key; it is attached to the leader's lease, and its version guards every write of the leader. */
+    /** The leader key. It is attached to the leader's lease, and every write of the leader requires its version. */
     public static final String LEADER = "leader";
-    /** The number of the newest term, and the {@link #FORMAT} of all records. */
+    /** The number of the latest term, and the {@link #FORMAT} of all records. */
     public static final String TERM = "term";
     /** The machine types that the cloud last listed. */
     public static final String MACHINE_TYPES = "types";
     /** The commitments of the teams; see {@link CommitmentsCodec}. */
     public static final String COMMITMENTS = "commitments";
-    /** How each job ended, kept for good; see {@link JobRecordCodec}. */
+    /** The outcome of each job, which is never deleted; see {@link JobRecordCodec}. */
     public static final String JOB_RECORDS = "job/";
-    /** The description of each open job, so that a new leader reads open work only; see {@link JobSpecCodec}. */
+    /** The description of each open job, apart so that a new leader reads only these; see {@link JobSpecCodec}. */
     public static final String OPEN_JOBS = "open/";
-    /** Completed tasks of open jobs; many jobs share a value. See {@link CompletionCodec}. */
+    /** The completed tasks of open jobs; many jobs share a value. See {@link CompletionCodec}. */
     public static final String COMPLETIONS = "done/";
-    /** Tasks that may be on machines; many machines share a value. See {@link LaunchRecordCodec}. */
+    /** The tasks that may be running; many machines share a value. See {@link LaunchRecordCodec}. */
     public static final String LAUNCHES = "start/";
-    /** Machines whose release may have been requested and is not confirmed; see {@link ReleasedMachinesCodec}. */
+    /** Machines whose release may have been requested but is not confirmed; see {@link ReleasedMachinesCodec}. */
     public static final String RELEASED_MACHINES = "released";
 
-    /** The format of the records, kept with the term. The first had no number, and a record for each machine. */
+    /** The record format, stored with the term. Format 1 stored no number and had one record for each machine. */
     public static final int FORMAT = 2;
 
     private StateKeys() {}
 
-    /** The id of the job that the key of an open job belongs to. */
+    /** Returns the job id in the key of an open job. */
     public static String openJobId(String key) {
         return key.substring(OPEN_JOBS.length());
     }
 
-    /** The id of the job that the key of a job record belongs to. */
+    /** Returns the job id in the key of a job record. */
     public static String jobRecordId(String key) {
         return key.substring(JOB_RECORDS.length());
     }
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import notchpick.protocol.Transaction;
 
-/** Changes that share a transaction. */
+/** The changes that share one transaction. */
 final class WriteBatch {
-    /** The state store takes this many conditions in a transaction for each write that it takes. */
-    private static final int CONDITIONS_PER_WRITE = 4;
-    /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
+    /** A transaction may hold this many times as many conditions as writes. */
+    private static final int MAX_CONDITIONS_PER_WRITE = 4;
+    /** Upper bound of the bytes of all values: a transaction may hold 64 KiB, part of it for keys and conditions. */
     private static final int MAX_BYTES = 58 << 10;
 
-    /** A change of the batch under the name by which it was submitted. */
+    /** A change in the batch, with the name under which it was submitted. */
     record Member(String name, PendingChange change, PreparedChange prepared) {}
 
     private final int maxWrites;
     private final List<Member> members = new ArrayList<>();
-    private int writes;
+    private int writeCount;
     private int bytes;
 
     WriteBatch(int maxWrites) {
@@ -27,23 +27,26 @@
         return members;
     }
 
-    /** The number of keys that the batch writes. */
-    int writes() {
-        return writes;
+    /** Returns the number of keys that the batch writes. */
+    int writeCount() {
+        return writeCount;
     }
 
     boolean hasRoomFor(PreparedChange change) {
-        return writes + change.writes().size() <= maxWrites && bytes + change.maxBytes() <= MAX_BYTES;
+        return writeCount + change.writes().size() <= maxWrites && bytes + change.maxBytes() <= MAX_BYTES;
     }
 
-    /** Adds a change, even if it does not fit. */
+    /** Adds a change without checking that it fits. */
     void add(Member member) {
         members.add(member);
-        writes += member.prepared().writes().size();
+        writeCount += member.prepared().writes().size();
         bytes += member.prepared().maxBytes();
     }
 
-    /** The transaction of all writes, on condition that the leader key still has the version of this term. */
+    /**
+     * Builds the transaction of all writes, on condition that the leader key still has the version of this term.
+     * Preconditions beyond the maximum number of conditions are left out.
+     */
     Transaction transaction(long leaderVersion, KeyVersions versions) {
         Transaction transaction = new Transaction().requireVersion(StateKeys.LEADER, leaderVersion);
         for (Member member : members) {
@@ -51,7 +54,7 @@
         }
         members.stream()
                 .flatMap(member -> member.prepared().preconditions().versions().entrySet().stream())
-                .limit(CONDITIONS_PER_WRITE * maxWrites - 1 - writes)
+                .limit(MAX_CONDITIONS_PER_WRITE * maxWrites - 1 - writeCount)
                 .forEach(condition -> transaction.requireVersion(condition.getKey(), condition.getValue()));
         return transaction;
     }
--- a/src/test/java/notchpick/protocol/UserProtocolTest.java
+++ b/src/test/java/notchpick/protocol/UserProtocolTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What submissions are taken, and which are malformed. */
+/** Tests which submissions are accepted and which are malformed. */
 class UserProtocolTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             {"ref":"run-000412","workclass":"train","ownerDesk":"vision","jobForm":"sweep","urgency":"high","pieces":16,
              "cores":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","sizeGb":6.2,"boxKinds":["g8"],"site":null,
              "oneZone":true,"apart":false,"borrowed":true,"expectedS":240.0,"bookmarkS":30.0,"bookmarkWriteS":4.0,
@@ -27,8 +27,8 @@
     }
 
     @Test
-    void readsAndKeepsASubmission() throws InvalidMessageException {
-        JobSpec spec = UserProtocol.submission(json(GOOD), 5);
+    void submissionSurvivesEncodingAndDecoding() throws InvalidMessageException {
+        JobSpec spec = UserProtocol.submission(json(VALID), 5);
         assertEquals(16, spec.tasks());
         assertEquals(900.0, spec.deadlineS());
         assertEquals(
@@ -37,8 +37,8 @@
     }
 
     @Test
-    void jobsThatItWaitsOnCountOnce() throws InvalidMessageException {
-        ObjectNode body = json(GOOD);
+    void duplicateDependenciesAreRemoved() throws InvalidMessageException {
+        ObjectNode body = json(VALID);
         assertEquals(List.of(), UserProtocol.submission(body, 0).dependencies());
         body.putNull("waitsOn");
         assertEquals(List.of(), UserProtocol.submission(body, 0).dependencies());
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void nullMayBeLeftOut() throws InvalidMessageException {
-        ObjectNode body = json(GOOD);
+    void optionalFieldsMayBeNullOrMissing() throws InvalidMessageException {
+        ObjectNode body = json(VALID);
         body.remove("site");
         body.remove("dueS");
         body.putNull("boxKinds");
@@ -85,8 +85,8 @@
                 "\"dueS\":\"soon\"",
                 "\"ownerDesk\":null"
             })
-    void refusesWhatIsMissingOrOutOfRange(String wrong) {
-        ObjectNode body = json(GOOD);
+    void rejectsMissingOrInvalidFields(String wrong) {
+        ObjectNode body = json(VALID);
         ObjectNode patch = json("{" + wrong + "}");
         body.setAll(patch);
         assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(body, 0));
@@ -96,40 +96,40 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "{\"ref\":7}|ref|ref must be text",
+                "{\"ref\":7}|ref|ref must be a non-empty string",
                 "{\"ref\":\"job-1\"}|ref|ref must have the form run-000412",
-                "{\"jobForm\":\"gang\"}|jobForm|jobForm is none of sweep, service",
-                "{\"urgency\":\"asap\"}|urgency|urgency is none of prod, high, normal, idle",
+                "{\"jobForm\":\"gang\"}|jobForm|jobForm must be sweep or service",
+                "{\"urgency\":\"asap\"}|urgency|urgency must be prod, high, normal or idle",
                 "{\"cores\":null}|cores|cores must be a number",
-                "{\"cores\":-1}|cores|cores is out of range",
+                "{\"cores\":-1}|cores|cores must be between 0.0 and 1.0E9, but is -1.0",
                 "{\"pieces\":1.5}|pieces|pieces must be an integer",
-                "{\"pieces\":0}|pieces|pieces is out of range",
+                "{\"pieces\":0}|pieces|pieces must be between 1 and 100000, but is 0",
                 "{\"oneZone\":1}|oneZone|oneZone must be true or false",
-                "{\"boxKinds\":[]}|boxKinds|boxKinds must name a machine type",
-                "{\"boxKinds\":[3]}|boxKinds|boxKinds must be a list of names",
-                "{\"waitsOn\":[\"job-1\"]}|waitsOn|waitsOn must be a list of ids of the form run-000412"
+                "{\"boxKinds\":[]}|boxKinds|boxKinds must name at least one machine type",
+                "{\"boxKinds\":[3]}|boxKinds|boxKinds must be a list of strings",
+                "{\"waitsOn\":[\"job-1\"]}|waitsOn|waitsOn must be a list of job ids of the form run-000412"
             })
-    void tellsWhichFieldIsWrongAndWhatItMustBe(String wrong, String field, String message) {
-        ObjectNode body = json(GOOD);
+    void errorNamesTheFieldAndItsRequirement(String wrong, String field, String message) {
+        ObjectNode body = json(VALID);
         ObjectNode patch = json(wrong);
         body.setAll(patch);
-        InvalidMessageException refusal =
+        InvalidMessageException exception =
                 assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(body, 0));
-        assertEquals(message, refusal.getMessage());
-        assertEquals(field, refusal.field());
-        assertEquals(patch.get(field), refusal.value());
+        assertEquals(message, exception.getMessage());
+        assertEquals(field, exception.field());
+        assertEquals(patch.get(field), exception.value());
     }
 
     @Test
-    void tellsThatTheBodyIsNoObject() {
-        InvalidMessageException refusal =
+    void rejectsBodyThatIsNotAnObject() {
+        InvalidMessageException exception =
                 assertThrows(InvalidMessageException.class, () -> UserProtocol.submission(null, 0));
-        assertEquals("the body must be a JSON object", refusal.getMessage());
+        assertEquals("the body must be a JSON object", exception.getMessage());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}"})
-    void onlyObjectsAreRead(String text) {
+    void bytesWithoutASingleObjectParseAsNull(String text) {
         assertNull(json(text));
     }
 
@@ -142,7 +142,7 @@
                 "{\"box\":\"m\",\"boxKind\":\"t\",\"site\":\"a\",\"borrowed\":true,\"shift\":1,\"tally\":1,\"mandate\":1,"
                         + "\"pieces\":[{\"piece\":\"x\",\"tryNo\":1,\"status\":\"running\"}]}"
             })
-    void refusesMalformedReports(String text) {
+    void rejectsMalformedHeartbeats(String text) {
         assertThrows(InvalidMessageException.class, () -> WorkerProtocol.heartbeat(json(text)));
     }
 }
--- a/src/test/java/notchpick/storage/FencedWriterTest.java
+++ b/src/test/java/notchpick/storage/FencedWriterTest.java
@@ -18,7 +18,7 @@
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a leader's changes: committed, repeated after a conflict, given up, or rejected. */
+/** Tests the outcomes of a leader's change: committed, repeated after a conflict, abandoned or rejected. */
 class FencedWriterTest {
     private static final int MAX_WRITES = 4;
     private static final String KEY = "open/run-000001";
@@ -41,8 +41,8 @@
         return Json.object().put("text", text);
     }
 
-    /** A change that notes what becomes of it. */
-    private PreparedChange noted(String name, List<KeyWrite> writes, Preconditions preconditions) {
+    /** A change that records its outcome in {@link #events}. */
+    private PreparedChange recordingChange(String name, List<KeyWrite> writes, Preconditions preconditions) {
         return new PreparedChange(writes, preconditions, new PreparedChange.Listener() {
             @Override
             public void committed() {
@@ -62,11 +62,11 @@
     }
 
     private void write(String name, KeyWrite write) {
-        writer.write(name, () -> Optional.of(noted(name, List.of(write), Preconditions.NONE)));
+        writer.write(name, () -> Optional.of(recordingChange(name, List.of(write), Preconditions.NONE)));
     }
 
     @Test
-    void changesOfOneTurnAreCommittedInTheirOrder() {
+    void changesOfOneTurnAreCommittedInOrder() {
         write("first", KeyWrite.put("a", value("1")));
         write("second", KeyWrite.put("b", value("2")));
         simulation.runUntil(1000);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aLaterChangeReplacesAPendingOneOfTheSameName() {
+    void laterChangeReplacesPendingChangeOfSameName() {
         write("change", KeyWrite.put("a", value("old")));
         write("change", KeyWrite.put("a", value("new")));
         simulation.runUntil(1000);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aChangeIsGivenUpIfAKeyHasAnotherVersionThanItMustHave() {
+    void changeIsAbandonedIfAKeyDoesNotHaveTheRequiredVersion() {
         state.preload(KEY, value("description"));
         write("end", KeyWrite.delete(KEY).ifVersion(7));
         write("other", KeyWrite.put("a", value("1")));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aChangeIsRepeatedWithTheVersionReadAfterAConflict() {
+    void changeIsRepeatedWithTheVersionReadAfterAConflict() {
         state.preload("a", value("of a former leader"));
         write("change", KeyWrite.put("a", value("new")));
         simulation.runUntil(1000);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void failedPreconditionsAreReportedBeforeTheChangeIsTriedAgain() {
+    void failedPreconditionsAreReportedBeforeTheRetry() {
         state.preload(KEY, value("description"));
         boolean[] failed = {false};
         Preconditions open = new Preconditions(Map.of(KEY, 7L), keys -> {
@@ -114,14 +114,14 @@
         });
         writer.write(
                 "launch",
-                () -> Optional.of(noted(
+                () -> Optional.of(recordingChange(
                         "launch", List.of(KeyWrite.put("a", value("1"))), failed[0] ? Preconditions.NONE : open)));
         simulation.runUntil(1000);
         assertEquals(List.of("failed [" + KEY + "]", "launch committed"), events);
     }
 
     @Test
-    void nothingIsWrittenOnceAnotherTermHasBegun() {
+    void nothingIsWrittenAfterAnotherTermHasBegun() {
         state.preload(StateKeys.LEADER, value("another"));
         write("change", KeyWrite.put("a", value("1")).unconditional());
         simulation.runUntil(1000);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRejectedChangeDoesNotHoldUpTheOthers() {
+    void rejectedChangeDoesNotBlockOthers() {
         state.limits(new StateStoreLimits(100, MAX_WRITES, 60));
         write("first", KeyWrite.put("a", value("1")));
         write("too long", KeyWrite.put("b", value("x".repeat(200))));
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -32,7 +32,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** Starts and done marks share values: few writes, none too large, and nothing lost on the way. */
+/** Tests that launches and completions are packed into few writes within the size limits, and that none is lost. */
 class PackedRecordsTest {
     private static final int VALUE_BYTES = SimulatedStateStore.MAX_VALUE_BYTES;
     private static final int MAX_WRITES = 12;
@@ -41,11 +41,11 @@
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
     private final SimulatedStateStore state =
             new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
-    private final StateStoreClient api =
+    private final StateStoreClient client =
             new StateStoreClient(StateStoreTransport.direct(this::call), loop, "s:1", 1500, 250);
-    private final FencedWriter writer = new FencedWriter(api, loop, loop, 0, MAX_WRITES, 42, () -> {});
+    private final FencedWriter writer = new FencedWriter(client, loop, loop, 0, MAX_WRITES, 42, () -> {});
     private final Set<TaskAssignment> durable = new HashSet<>();
-    private final PackedRecords<TaskAssignment> starts = new PackedRecords<>(
+    private final PackedRecords<TaskAssignment> launches = new PackedRecords<>(
             writer,
             StateKeys.LAUNCHES,
             new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
@@ -55,10 +55,10 @@
             durable::addAll);
 
     private void call(Request call, long timeoutMs, Consumer<Response> then) {
-        AtomicBoolean answered = new AtomicBoolean();
-        Consumer<Response> once = answer -> {
-            if (!answered.getAndSet(true)) {
-                then.accept(answer);
+        AtomicBoolean isAnswered = new AtomicBoolean();
+        Consumer<Response> once = response -> {
+            if (!isAnswered.getAndSet(true)) {
+                then.accept(response);
             }
         };
         simulation.after(6, () -> state.handle(call, once));
@@ -73,7 +73,7 @@
                 .build();
     }
 
-    private static TaskAssignment start(int number) {
+    private static TaskAssignment assignment(int number) {
         Machine machine = new Machine(
                 "m-" + (100_000 + number % 1125),
                 new NodePool("kind-8", "zone-east", true),
@@ -86,32 +86,32 @@
     private Set<String> stored() {
         Set<String> tasks = new HashSet<>();
         for (int i = 0; state.value(StateKeys.LAUNCHES + i) != null; i++) {
-            for (LaunchRecord hint : LaunchRecordCodec.decode(state.value(StateKeys.LAUNCHES + i))) {
-                tasks.add(hint.machine() + " " + JobSpec.taskName(hint.job().id(), hint.task()));
+            for (LaunchRecord launch : LaunchRecordCodec.decode(state.value(StateKeys.LAUNCHES + i))) {
+                tasks.add(launch.machine() + " " + JobSpec.taskName(launch.job().id(), launch.task()));
             }
         }
         return tasks;
     }
 
     @Test
-    void manyStartsTakeFewWritesAndAllAreThere() {
+    void manyLaunchesTakeFewWritesAndNoneIsLost() {
         List<TaskAssignment> all = new ArrayList<>();
-        // 75 a second for a minute, each over after 20 s.
+        // 75 launches per second for a minute; each task ends after 20 s.
         for (int i = 0; i < 4500; i++) {
-            TaskAssignment assignment = start(i);
+            TaskAssignment assignment = assignment(i);
             all.add(assignment);
-            starts.save(assignment);
+            launches.save(assignment);
             if (i >= 1500) {
-                starts.remove(all.get(i - 1500));
+                launches.remove(all.get(i - 1500));
             }
-            // A round every 50 ms or so.
+            // About 50 ms between batches of launches.
             if (i % 4 == 3) {
                 simulation.runUntil(simulation.now() + 53);
             }
         }
         simulation.runUntil(simulation.now() + 2000);
-        assertTrue(durable.containsAll(all), "every start has become durable");
-        assertTrue(state.writes() < 4500 / 3, state.writes() + " writes for 4500 starts");
+        assertTrue(durable.containsAll(all), "all launches are durable");
+        assertTrue(state.writes() < 4500 / 3, state.writes() + " writes for 4500 launches");
         Set<String> stored = stored();
         for (TaskAssignment assignment : all.subList(3000, 4500)) {
             assertTrue(
@@ -121,12 +121,12 @@
     }
 
     @Test
-    void aBurstOfStartsTakesNoMoreThanItsBytesNeed() {
+    void burstOfLaunchesTakesFewWrites() {
         int count = 3000;
         int bytes = 0;
         for (int i = 0; i < count; i++) {
-            bytes += LaunchRecordCodec.maxBytes(start(i));
-            starts.save(start(i));
+            bytes += LaunchRecordCodec.maxBytes(assignment(i));
+            launches.save(assignment(i));
         }
         simulation.runUntil(10_000);
         assertEquals(count, durable.size());
@@ -134,55 +134,56 @@
     }
 
     @Test
-    void aWriteWithoutAnAnswerIsMadeAgain() {
+    void unansweredWriteIsRepeated() {
         state.loseCommits(2, 4000);
-        TaskAssignment first = start(1);
-        starts.save(first);
+        TaskAssignment first = assignment(1);
+        launches.save(first);
         simulation.runUntil(1000);
         assertFalse(durable.contains(first));
-        TaskAssignment second = start(2);
-        starts.save(second);
+        TaskAssignment second = assignment(2);
+        launches.save(second);
         simulation.runUntil(20_000);
         assertTrue(durable.containsAll(List.of(first, second)));
         assertEquals(2, stored().size());
     }
 
     @Test
-    void whatIsOverIsSweptAway() {
-        TaskAssignment over = start(1);
-        starts.save(over);
+    void compactDeletesRemovedRecords() {
+        TaskAssignment ended = assignment(1);
+        launches.save(ended);
         simulation.runUntil(1000);
-        starts.remove(over);
+        launches.remove(ended);
         assertEquals(1, stored().size());
-        starts.compact();
+        launches.compact();
         simulation.runUntil(2000);
         assertEquals(0, stored().size());
     }
 
     @Test
-    void theLargestJobsMarksFitIntoValues() {
+    void completionsOfTheLargestJobFitIntoValues() {
         Job job = new Job(spec("run-000001", 100_000), 1);
         int length = VALUE_BYTES * 3;
         for (int first = 0; first < 100_000; first += length) {
-            CompletionRange run = new CompletionRange(job, first, Math.min(length, 100_000 - first));
-            for (int task = first; task < first + run.count(); task++) {
+            CompletionRange range = new CompletionRange(job, first, Math.min(length, 100_000 - first));
+            for (int task = first; task < first + range.count(); task++) {
                 job.complete(task);
             }
-            JsonNode value = CompletionCodec.encode(List.of(run));
-            assertTrue(Json.bytes(value).length <= CompletionCodec.maxBytes(run) + 64, "no larger than reckoned");
-            assertTrue(CompletionCodec.maxBytes(run) + 64 <= VALUE_BYTES);
-            run.recorded();
+            JsonNode value = CompletionCodec.encode(List.of(range));
+            assertTrue(
+                    Json.bytes(value).length <= CompletionCodec.maxBytes(range) + 64, "no larger than the upper bound");
+            assertTrue(CompletionCodec.maxBytes(range) + 64 <= VALUE_BYTES);
+            range.recorded();
             RecordedCompletions read = CompletionCodec.decode(value).get(0);
             assertEquals(first, read.firstTask());
-            assertEquals(run.count(), read.completed().cardinality());
+            assertEquals(range.count(), read.completed().cardinality());
         }
         assertEquals(100_000, job.durablyDoneTasks());
     }
 
     @Test
-    void startsTakeNoMoreBytesThanReckoned() {
+    void launchesTakeNoMoreBytesThanTheUpperBound() {
         for (int number : new int[] {0, 9, 1799, 99_999}) {
-            TaskAssignment assignment = start(number);
+            TaskAssignment assignment = assignment(number);
             TaskAssignment odd = new TaskAssignment(
                     TestJobs.job("run-1")
                             .team("d\u00e9sk \"1\"\n")
@@ -200,49 +201,49 @@
         }
     }
 
-    /** A value as another version left it, longer than this one may write, with its units as they are loaded. */
-    private List<TaskAssignment> leftLong(int key, int count) {
-        List<TaskAssignment> left = new ArrayList<>();
+    /** Stores a value that is larger than this version may write, as another version left it; returns its records. */
+    private List<TaskAssignment> preloadLargeValue(int page, int count) {
+        List<TaskAssignment> records = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            left.add(start(key * 10_000 + i));
+            records.add(assignment(page * 10_000 + i));
         }
-        JsonNode value = LaunchRecordCodec.encode(left);
-        assertTrue(Json.bytes(value).length > SHORT_BYTES);
-        state.preload(StateKeys.LAUNCHES + key, value);
-        return left;
+        JsonNode value = LaunchRecordCodec.encode(records);
+        assertTrue(Json.bytes(value).length > SMALL_VALUE_BYTES);
+        state.preload(StateKeys.LAUNCHES + page, value);
+        return records;
     }
 
-    private static final int SHORT_BYTES = 2048;
+    private static final int SMALL_VALUE_BYTES = 2048;
 
-    private PackedRecords<TaskAssignment> shortValues(FencedWriter writer) {
+    private PackedRecords<TaskAssignment> smallValues(FencedWriter writer) {
         return new PackedRecords<>(
                 writer,
                 StateKeys.LAUNCHES,
                 new PackedRecords.Encoding<>(LaunchRecordCodec::maxBytes, LaunchRecordCodec::encode),
                 PackedRecords.Packing.WORST_FIT,
-                SHORT_BYTES,
+                SMALL_VALUE_BYTES,
                 4,
                 durable::addAll);
     }
 
     @Test
-    void aValueThatIsTooLongStaysUntilItsUnitsStandElsewhere() {
-        List<TaskAssignment> left = leftLong(0, 200);
-        state.limits(new StateStoreLimits(SHORT_BYTES, 4, 42));
-        FencedWriter small = new FencedWriter(api, loop, loop, 0, 4, 29, () -> {});
-        PackedRecords<TaskAssignment> values = shortValues(small);
-        values.load(StateKeys.LAUNCHES + 0, left);
-        small.recordVersion(StateKeys.LAUNCHES + 0, 1);
-        // At each moment all are there that are not over, in whatever value.
-        List<TaskAssignment> over = new ArrayList<>(left.subList(0, 60));
-        over.forEach(values::remove);
-        List<TaskAssignment> changed = left.subList(60, 190);
+    void oversizedValueIsKeptUntilItsRecordsAreDurableElsewhere() {
+        List<TaskAssignment> records = preloadLargeValue(0, 200);
+        state.limits(new StateStoreLimits(SMALL_VALUE_BYTES, 4, 42));
+        FencedWriter smallWriter = new FencedWriter(client, loop, loop, 0, 4, 29, () -> {});
+        PackedRecords<TaskAssignment> values = smallValues(smallWriter);
+        values.load(StateKeys.LAUNCHES + 0, records);
+        smallWriter.recordVersion(StateKeys.LAUNCHES + 0, 1);
+        // At any time, each record that has not been removed is in at least one value.
+        List<TaskAssignment> removed = new ArrayList<>(records.subList(0, 60));
+        removed.forEach(values::remove);
+        List<TaskAssignment> changed = records.subList(60, 190);
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
             values.compact();
             simulation.runUntil(simulation.now() + 7);
             Set<String> stored = stored();
-            for (TaskAssignment assignment : left.subList(60, 200)) {
+            for (TaskAssignment assignment : records.subList(60, 200)) {
                 assertTrue(
                         stored.contains(assignment.machine().name() + " " + assignment.taskName()),
                         assignment.taskName());
@@ -251,16 +252,17 @@
         assertTrue(durable.containsAll(changed));
         assertEquals(140, stored().size());
         assertTrue(
-                Json.bytes(state.value(StateKeys.LAUNCHES + 0)).length <= SHORT_BYTES, "the long one has been written");
+                Json.bytes(state.value(StateKeys.LAUNCHES + 0)).length <= SMALL_VALUE_BYTES,
+                "the oversized value has been rewritten");
         assertEquals(0, state.transactionsTooLarge());
     }
 
     @Test
-    void aValueThatIsNotTakenIsHalvedAndHoldsNothingUp() {
-        state.limits(new StateStoreLimits(SHORT_BYTES, 12, 42));
-        // These values are longer than the service takes, whatever the settings say.
+    void rejectedValueIsSplitAndDoesNotBlockOtherWrites() {
+        state.limits(new StateStoreLimits(SMALL_VALUE_BYTES, 12, 42));
+        // The values that the settings allow are larger than the state store accepts.
         for (int i = 0; i < 150; i++) {
-            starts.save(start(i));
+            launches.save(assignment(i));
         }
         boolean[] other = {false};
         writer.write(
@@ -269,7 +271,7 @@
                         List.of(KeyWrite.put("types", Json.object().put("a", 1)).unconditional()),
                         () -> other[0] = true)));
         simulation.runUntil(3000);
-        assertTrue(other[0], "what is beside it goes on");
+        assertTrue(other[0], "other writes are not blocked");
         simulation.runUntil(120_000);
         assertEquals(150, durable.size());
     }
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -50,9 +50,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The version in production and this one work on each other's data: what that version wrote and sent (kept under
- * src/test/resources/production as it did) is read here, and what is written here has the form that it reads. When
- * a new version has replaced it everywhere, that one's records take their place.
+ * Tests that this version and the version in production can read each other's stored data and messages, as both run
+ * during an upgrade. The files under src/test/resources/production hold data exactly as the production version wrote and
+ * sent it. Replace them with data of a newer version only when that version runs everywhere.
  */
 class ProductionFormsTest {
     private static final Path FOLDER = Path.of("src/test/resources/production");
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void descriptionsAreReadAsJobsThatNeedNothing() throws IOException {
+    void jobDescriptionsWithoutDependenciesAreReadable() throws IOException {
         JobSpec spec = JobSpecCodec.decode("run-000006", stored().get("open/run-000006"));
         assertEquals(2, spec.tasks());
         assertEquals(List.of(), spec.dependencies());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void endsAreReadWithoutATime() throws IOException {
+    void jobRecordsWithoutAnEndTimeAreReadable() throws IOException {
         assertEquals(
                 new JobRecord(JobStatus.DONE, 60, 60, 0, false), JobRecordCodec.decode(stored().get("job/run-000002")));
         assertEquals(
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void sharedValuesAreRead() throws IOException {
+    void packedAndSharedValuesAreReadable() throws IOException {
         assertEquals(8, LaunchRecordCodec.decode(stored().get("start/0")).size());
         assertEquals(4, ReleasedMachinesCodec.decode(stored().get("released")).size());
         assertEquals(
@@ -109,14 +109,14 @@
         assertEquals(List.of(0, 1, 6143, 6144, 12288, 19998), done);
     }
 
-    /** Field by field, of the same type: a value of the old form's fields only, but for those it is known to ignore. */
+    /** Asserts that the fields and their types are those of the old value, except for fields that readers ignore. */
     private static void assertReadable(String key, JsonNode value, JsonNode old, List<String> ignored) {
         TreeSet<String> fields = new TreeSet<>();
         value.fieldNames().forEachRemaining(fields::add);
         fields.removeAll(ignored);
         TreeSet<String> known = new TreeSet<>();
         old.fieldNames().forEachRemaining(known::add);
-        // Machine types are the one field that it leaves out where there are none.
+        // The old value has no machine types; this field is omitted if a job allows all types.
         fields.remove("types");
         assertEquals(known, fields, key);
         for (String field : known) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void whatIsWrittenHasTheFormThatIsRead() throws IOException {
+    void writtenValuesHaveTheProductionFormat() throws IOException {
         ObjectNode old = stored();
         assertEquals(2, StateKeys.FORMAT);
         assertReadable("open/", JobSpecCodec.encode(spec(4)), old.get("open/run-000006"), List.of("needs"));
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void onlyKeysAreWrittenThatItKnows() throws IOException {
+    void keysAreThoseOfProduction() throws IOException {
         TreeSet<String> prefixes = new TreeSet<>();
         stored().fieldNames().forEachRemaining(key -> prefixes.add(key.replaceFirst("/.*", "/")));
         assertEquals(
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void messagesBetweenControllersAreTheSame() throws IOException {
+    void peerMessagesAndTheirSchemasAreUnchanged() throws IOException {
         Map<String, Class<?>> kinds = Map.of(
                 "Grant",
                 Grant.class,
@@ -224,9 +224,12 @@
         return new Schema.Parser().parse(new File(FOLDER.resolve("peer.avsc").toString()));
     }
 
-    /** Kinds that came later stand at the union's end; the version in production takes none of them for another. */
+    /**
+     * Message types added later are at the end of the union, so that the production version fails to decode them instead of
+     * taking them for another type.
+     */
     @Test
-    void laterMessagesAreRefusedByIt() throws IOException {
+    void productionFailsToDecodeLaterMessageTypes() throws IOException {
         ByteBuffer content = ByteBuffer.wrap(new byte[] {1, 2, 3});
         List<Object> later = List.of(
                 new ReportBatch(4000L, List.of(content)),
