--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -51,8 +51,8 @@
 
 /**
  * Tests that this version and the version in production can read each other's stored data and messages, as both run
- * during an upgrade. The files under src/test/resources/production hold data exactly as the production version wrote and
- * sent it. Replace them with data of a newer version only when that version runs everywhere.
+ * during an upgrade. The files under src/test/resources/production hold data exactly as the production version wrote
+ * and sent it. Replace them with data of a newer version only when that version runs everywhere.
  */
 class ProductionFormsTest {
     private static final Path FOLDER = Path.of("src/test/resources/production");
@@ -225,8 +225,8 @@
     }
 
     /**
-     * Message types added later are at the end of the union, so that the production version fails to decode them instead of
-     * taking them for another type.
+     * Message types added later are at the end of the union, so that the production version fails to decode them instead
+     * of taking them for another type.
      */
     @Test
     void productionFailsToDecodeLaterMessageTypes() throws IOException {
