--- a/src/main/java/notchpick/protocol/UserProtocol.java
+++ b/src/main/java/notchpick/protocol/UserProtocol.java
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Parses only the job id. The retry of an accepted submission is answered by its id, whatever the other fields hold.
+     * Parses only the job id. The retry of an accepted submission is answered by its id, whatever other fields hold.
      *
      * @param body null if the request body is not a JSON object
      */
--- a/src/main/java/notchpick/storage/Page.java
+++ b/src/main/java/notchpick/storage/Page.java
@@ -58,6 +58,11 @@
         maxBytes = newMaxBytes;
     }
 
+    /**
+     * Adds a record.
+     *
+     * @param size an upper bound of the bytes that the record adds to the value
+     */
     void add(R record, int size) {
         records.add(record);
         bytes += size;
--- a/src/test/java/notchpick/storage/ProductionFormsTest.java
+++ b/src/test/java/notchpick/storage/ProductionFormsTest.java
@@ -225,8 +225,8 @@
     }
 
     /**
-     * Message types added later are at the end of the union, so that the production version fails to decode them instead
-     * of taking them for another type.
+     * Message types added later are at the end of the union. The production version must fail to decode them instead of
+     * taking them for another type.
      */
     @Test
     void productionFailsToDecodeLaterMessageTypes() throws IOException {
