--- a/src/main/java/notchpick/storage/KeyWrite.java
+++ b/src/main/java/notchpick/storage/KeyWrite.java
@@ -23,12 +23,12 @@
         VERSION
     }
 
-    /** Writes a value if the key still has the latest version that the writer knows. */
+    /** Creates a write of a value, on condition that the key still has the latest version that the writer knows. */
     public static KeyWrite put(String key, JsonNode value) {
         return new KeyWrite(key, value, Precondition.LAST_SEEN, 0, DEFAULT_MAX_BYTES);
     }
 
-    /** Deletes a key, whatever its version. */
+    /** Creates a deletion without a condition on the version. */
     public static KeyWrite delete(String key) {
         return new KeyWrite(key, null, Precondition.NONE, 0, 0);
     }
--- a/src/main/java/notchpick/storage/PackedRecords.java
+++ b/src/main/java/notchpick/storage/PackedRecords.java
@@ -278,7 +278,7 @@
      */
     private void splitRejected(Page<R> page) {
         List<R> records = new ArrayList<>(page.records());
-        // An oversized page gives up each record that is saved.
+        // Saving a record moves it off an oversized page.
         page.setMaxBytes(0);
         for (R record : records.subList((records.size() + 1) / 2, records.size())) {
             save(record);
--- a/src/main/java/notchpick/storage/StateKeys.java
+++ b/src/main/java/notchpick/storage/StateKeys.java
@@ -12,11 +12,11 @@
     public static final String COMMITMENTS = "commitments";
     /** The outcome of each job, which is never deleted; see {@link JobRecordCodec}. */
     public static final String JOB_RECORDS = "job/";
-    /** The description of each open job, apart so that a new leader reads only these; see {@link JobSpecCodec}. */
+    /** The description of each open job. A new leader reads only open jobs by this prefix; see {@link JobSpecCodec}. */
     public static final String OPEN_JOBS = "open/";
     /** The completed tasks of open jobs; many jobs share a value. See {@link CompletionCodec}. */
     public static final String COMPLETIONS = "done/";
-    /** The tasks that may be running; many machines share a value. See {@link LaunchRecordCodec}. */
+    /** The tasks that may be on a machine; many machines share a value. See {@link LaunchRecordCodec}. */
     public static final String LAUNCHES = "start/";
     /** Machines whose release may have been requested but is not confirmed; see {@link ReleasedMachinesCodec}. */
     public static final String RELEASED_MACHINES = "released";
--- a/src/main/java/notchpick/storage/WriteBatch.java
+++ b/src/main/java/notchpick/storage/WriteBatch.java
@@ -6,7 +6,7 @@
 
 /** The changes that share one transaction. */
 final class WriteBatch {
-    /** A transaction may hold this many times as many conditions as writes. */
+    /** The store's limit on conditions in a transaction is this multiple of its limit on writes. */
     private static final int MAX_CONDITIONS_PER_WRITE = 4;
     /** Upper bound of the bytes of all values: a transaction may hold 64 KiB, part of it for keys and conditions. */
     private static final int MAX_BYTES = 58 << 10;
