--- a/src/main/java/notchpick/storage/LaunchRecord.java
+++ b/src/main/java/notchpick/storage/LaunchRecord.java
@@ -4,7 +4,7 @@
 import notchpick.scheduling.NodePool;
 
 /**
- * A recorded launch: this attempt of the task may be running on the machine.
+ * A recorded launch: this attempt of the task may be on the machine.
  *
  * @param job holds only the recorded id, team and demand; null if the stored value does not describe the job
  */
