--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -72,9 +72,9 @@
     /** The end of a job takes two writes in one transaction. */
     private static final int JOB_END_WRITES = 2;
     /** One transaction takes no more than this part of the writes that the state store takes in a second. */
-    private static final int TRANSACTIONS_PER_S = 5;
+    private static final int TRANSACTION_WRITE_RATE_DIVISOR = 5;
     /** One connection in so many is reserved for this controller's own calls. */
-    private static final int RESERVED_CONNECTIONS_PART = 8;
+    private static final int RESERVED_CONNECTIONS_DIVISOR = 8;
     /** A lease expires elsewhere no later than this after its time, besides clock drift. */
     private static final long EXPIRY_MARGIN_MS = 100;
     /** Steady clocks differ by at most a twentieth of a percent each; this covers two of them with a margin. */
@@ -85,13 +85,13 @@
      * writes: it would refuse a larger transaction forever.
      */
     public int maxTransactionWrites() {
-        int writesPerTransaction = (int) (stateStoreLimits.writesPerS() / TRANSACTIONS_PER_S);
+        int writesPerTransaction = (int) (stateStoreLimits.writesPerS() / TRANSACTION_WRITE_RATE_DIVISOR);
         return Math.min(stateStoreLimits.transactionWrites(), Math.max(JOB_END_WRITES, writesPerTransaction));
     }
 
     /** The most connections that clients may open: without some of its own a controller could call nobody. */
     public int maxClientConnections() {
-        return socketLimit - socketLimit / RESERVED_CONNECTIONS_PART;
+        return socketLimit - socketLimit / RESERVED_CONNECTIONS_DIVISOR;
     }
 
     /** The number of controllers in the deployment. */
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -71,10 +71,10 @@
             then.accept(Optional.of(found));
             return;
         }
-        String first = StateKeys.JOB_RECORDS + missing.first();
-        stateStore.list(StateKeys.JOB_RECORDS, keyBefore(first), missing.size() == 1 ? 1 : PAGE_SIZE, result -> {
+        String firstKey = StateKeys.JOB_RECORDS + missing.first();
+        stateStore.list(StateKeys.JOB_RECORDS, keyBefore(firstKey), missing.size() == 1 ? 1 : PAGE_SIZE, result -> {
             if (result instanceof Ok<Listing> ok) {
-                takePage(ok.value(), missing, found);
+                addPage(ok.value(), missing, found);
                 readPages(missing, found, then);
             } else {
                 then.accept(Optional.empty());
@@ -82,9 +82,9 @@
         });
     }
 
-    private void takePage(Listing page, NavigableSet<String> missing, Map<String, JobRecord> found) {
+    private void addPage(Listing page, NavigableSet<String> missing, Map<String, JobRecord> found) {
         for (Entry entry : page.entries()) {
-            String job = jobOf(entry);
+            String job = jobIdOf(entry);
             if (missing.remove(job)) {
                 JobRecord outcome = JobRecordCodec.decode(entry.value());
                 found.put(job, outcome);
@@ -93,22 +93,22 @@
         }
         if (page.more()) {
             // Jobs that sort before the end of this page and are not in it have no record.
-            String last = page.entries().isEmpty()
+            String lastJobId = page.entries().isEmpty()
                     ? missing.first()
-                    : jobOf(page.entries().get(page.entries().size() - 1));
-            missing.headSet(last, true).clear();
+                    : jobIdOf(page.entries().get(page.entries().size() - 1));
+            missing.headSet(lastJobId, true).clear();
         } else {
             missing.clear();
         }
     }
 
-    private static String jobOf(Entry entry) {
+    private static String jobIdOf(Entry entry) {
         return StateKeys.jobRecordId(entry.key());
     }
 
     /** A text that sorts before the key and after all keys before it. */
     private static String keyBefore(String key) {
-        char last = key.charAt(key.length() - 1);
-        return key.substring(0, key.length() - 1) + (char) (last - 1) + '~';
+        char lastChar = key.charAt(key.length() - 1);
+        return key.substring(0, key.length() - 1) + (char) (lastChar - 1) + '~';
     }
 }
--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -10,7 +10,7 @@
     /** What changes within this part of a heartbeat period is handled in one round. */
     private static final double DELAY_RATIO = 0.01;
     /** Rounds take no more than one part in so many of the time, however long one takes. */
-    private static final int MAX_TIME_SHARE = 10;
+    private static final int DELAY_PER_ROUND_TIME = 10;
 
     private final TermContext context;
     private final LeaderAuthority authority;
@@ -18,7 +18,7 @@
     private final Runnable roundEnded;
     private final long minDelayMs;
     private boolean scheduled;
-    private long begun;
+    private long startedRounds;
     private long lastRoundMs;
 
     /** @param roundEnded is run after each round */
@@ -35,23 +35,23 @@
     public void request() {
         if (!scheduled && authority.hasRecovered()) {
             scheduled = true;
-            context.timer().schedule(Math.max(minDelayMs, MAX_TIME_SHARE * lastRoundMs), this::run);
+            context.timer().schedule(Math.max(minDelayMs, DELAY_PER_ROUND_TIME * lastRoundMs), this::run);
         }
     }
 
     @Override
-    public long begun() {
-        return begun;
+    public long startedRounds() {
+        return startedRounds;
     }
 
     private void run() {
         scheduled = false;
-        begun++;
-        if (authority.holdsLease()) {
-            long begunAt = context.nowMs();
+        startedRounds++;
+        if (authority.hasLease()) {
+            long startedAtMs = context.nowMs();
             allocator.runRound();
             // A round in which this process stood still tells nothing of how long one takes.
-            lastRoundMs = Math.min(context.nowMs() - begunAt, minDelayMs);
+            lastRoundMs = Math.min(context.nowMs() - startedAtMs, minDelayMs);
         }
         roundEnded.run();
     }
--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -20,7 +20,7 @@
 final class Defragmenter {
     private static final Logger LOG = LoggerFactory.getLogger(Defragmenter.class);
     /** A task is moved only if it has so many times the time to write a checkpoint still to run. */
-    private static final int MIN_REMAINING_CHECKPOINTS = 10;
+    private static final int MIN_REMAINING_CHECKPOINT_WRITES = 10;
 
     private final TermContext context;
     private final ClusterState cluster;
@@ -35,27 +35,27 @@
     }
 
     /** Drains as many machines as may be drained at a time. */
-    void run(long now) {
+    void run(long nowMs) {
         if (leases.isAnyHeld() || autoscaler.isProvisioningLate() || isWorkWaiting()) {
             return;
         }
         List<Candidate<Machine>> candidates = new ArrayList<>();
-        List<JobSpec> moving = new ArrayList<>();
+        List<JobSpec> movingTasks = new ArrayList<>();
         int draining = 0;
         double freeCores = 0;
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.DRAINING
                     && !machine.assignments().isEmpty()) {
                 draining++;
-                machine.assignments().forEach(assignment -> moving.add(assignment.spec()));
-            } else if (machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                machine.assignments().forEach(assignment -> movingTasks.add(assignment.spec()));
+            } else if (machine.isSchedulable(nowMs, context.heartbeatPeriodMs())) {
                 freeCores += machine.freeResources().cores();
-                candidates.add(new Candidate<>(machine, movableTasks(machine, now)));
+                candidates.add(new Candidate<>(machine, movableTasks(machine, nowMs)));
             }
         }
         double usedRatio = 1 - freeCores / Math.max(1, cluster.capacity().cores());
         int maxDraining = Consolidation.maxDraining(candidates.size(), usedRatio);
-        Consolidation.selectForDraining(candidates, moving, maxDraining - draining)
+        Consolidation.selectForDraining(candidates, movingTasks, maxDraining - draining)
                 .forEach(Defragmenter::drain);
     }
 
@@ -73,14 +73,15 @@
     }
 
     /** The machine's tasks; empty if one of them can't be moved now, or moving it would not pay. */
-    private Optional<List<JobSpec>> movableTasks(Machine machine, long now) {
+    private Optional<List<JobSpec>> movableTasks(Machine machine, long nowMs) {
         List<JobSpec> tasks = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments()) {
             JobSpec spec = assignment.spec();
-            double ranS = (now - assignment.runningSince()) / Milliseconds.PER_SECOND;
+            double ranS = (nowMs - assignment.runningSince()) / Milliseconds.PER_SECOND;
             double remainingS = context.runtimes().runS(spec) - ranS;
-            boolean pays = remainingS > MIN_REMAINING_CHECKPOINTS * spec.checkpointWriteS() || remainingS < 0;
-            if (!assignment.mayBePreempted(now) || !pays || spec.hasZoneConstraint()) {
+            boolean isWorthMoving =
+                    remainingS > MIN_REMAINING_CHECKPOINT_WRITES * spec.checkpointWriteS() || remainingS < 0;
+            if (!assignment.mayBePreempted(nowMs) || !isWorthMoving || spec.hasZoneConstraint()) {
                 return Optional.empty();
             }
             tasks.add(spec);
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -69,7 +69,7 @@
     /** The parts are reviewed so many times in a heartbeat period. */
     private static final int TICKS_PER_HEARTBEAT = 3;
     /** Cancellations are read as often as the leader lease is renewed, lest their age shorten the grace period. */
-    private static final int WATCHES_PER_LEASE = 5;
+    private static final int CANCELLATION_READS_PER_LEASE = 5;
     /** The leader's writes take this part of the rate; users' submissions and cancellations have the rest. */
     private static final double WRITE_RATE_RATIO = 0.7;
 
@@ -94,7 +94,7 @@
     private final ReclaimCheckpointer reclaims;
     private final Defragmenter defragmenter;
     private final StepDownPolicy stepDownPolicy;
-    private boolean recoveryBegun;
+    private boolean recoveryStarted;
 
     public Leader(LeaderEnvironment environment, ElectedTerm term, StepDownHandler stepDownHandler) {
         super(environment.loop());
@@ -116,7 +116,7 @@
                 new ResourceLeaseListener());
         this.allocator = new ResourceAllocator(context, environment.tuning(), leases);
         this.rounds = new AllocationScheduler(context, authority, allocator, this::replyToHeartbeats);
-        this.jobs = jobTracker(environment, leaderLeaseMs / WATCHES_PER_LEASE);
+        this.jobs = jobTracker(environment, leaderLeaseMs / CANCELLATION_READS_PER_LEASE);
         this.launches = new TaskLaunchLog(context, writer, new LaunchListener());
         this.machineHealth = new MachineHealthMonitor(context);
         this.heartbeats = new HeartbeatHandler(context, authority, machineHealth, new Journal(), rounds);
@@ -129,7 +129,7 @@
         this.stepDownPolicy = new StepDownPolicy(
                 context, authority, environment.peers(), environment.links(), environment.stateStoreTransport());
         scheduleRepeatedly(
-                stepDownPolicy.maxUnreadMs(),
+                stepDownPolicy.maxCancellationReadAgeMs(),
                 () -> stepDownPolicy.reasonBeforeRecovery().ifPresent(stepDownHandler::stepDown));
     }
 
@@ -166,9 +166,9 @@
             authority.extendLease(renewed.untilMs());
         } else if (message instanceof MachineTypesUpdated updated) {
             context.machineTypes().update(updated.types());
-            if (!recoveryBegun) {
-                recoveryBegun = true;
-                recovery.begin(this::recovered);
+            if (!recoveryStarted) {
+                recoveryStarted = true;
+                recovery.start(this::recovered);
             }
         } else if (message instanceof HeartbeatReceived received) {
             stepDownPolicy.heartbeatReceived(received.heartbeat(), received.relayed());
@@ -189,7 +189,7 @@
         jobs.watch(openJobsRevision);
         autoscaler.refreshInventory();
         scheduleRepeatedly(context.heartbeatPeriodMs(), autoscaler::refreshInventory);
-        pauses.ticked();
+        pauses.recordTick();
         scheduleRepeatedly(tickMs(), this::tick);
         scheduleRepeatedly(commitmentSaveMs, this::saveCommitments);
         tick();
@@ -202,28 +202,28 @@
     }
 
     private void tick() {
-        long now = context.nowMs();
-        pauses.check();
-        pauses.ticked();
+        long nowMs = context.nowMs();
+        pauses.detectPause();
+        pauses.recordTick();
         for (Machine machine : cluster.copyOfMachines()) {
-            workerLeases.review(machine, now);
-            reclaims.review(machine);
-            machineHealth.review(machine, now);
+            workerLeases.unassignIfExpired(machine, nowMs);
+            reclaims.requestDueCheckpoints(machine);
+            machineHealth.reviewSuspicion(machine, nowMs);
         }
-        stepDownPolicy.reason(pauses.awakeSince()).ifPresent(stepDownHandler::stepDown);
-        if (authority.holdsLease()) {
+        stepDownPolicy.reason(pauses.runningSinceMs()).ifPresent(stepDownHandler::stepDown);
+        if (authority.hasLease()) {
             launches.compact();
             jobs.compact();
             reviewScaling();
-            defragmenter.run(now);
+            defragmenter.run(nowMs);
             rounds.request();
         }
     }
 
     private void reviewScaling() {
-        if (authority.holdsLease()) {
-            pauses.check();
-            autoscaler.review(pauses.awakeSince());
+        if (authority.hasLease()) {
+            pauses.detectPause();
+            autoscaler.review(pauses.runningSinceMs());
         }
     }
 
@@ -295,12 +295,12 @@
 
     private final class Journal implements TaskJournal {
         @Override
-        public void taskCompleted(Job job, int task) {
+        public void recordCompletion(Job job, int task) {
             jobs.taskCompleted(job, task);
         }
 
         @Override
-        public void taskAdopted(TaskAssignment assignment) {
+        public void recordAdoption(TaskAssignment assignment) {
             launches.record(assignment);
         }
     }
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -53,22 +53,22 @@
     }
 
     /** @param recovered is given the revision from which changes of open jobs must be watched, once all is read */
-    void begin(LongConsumer recovered) {
-        list(StateKeys.OPEN_JOBS, (open, sentAt) -> {
-            jobs.loadOpenJobs(open, sentAt);
+    void start(LongConsumer recovered) {
+        list(StateKeys.OPEN_JOBS, (open, sentAtMs) -> {
+            jobs.loadOpenJobs(open, sentAtMs);
             loadCompletions(() -> recovered.accept(open.revision()));
         });
     }
 
     private void loadCompletions(Runnable then) {
-        list(StateKeys.COMPLETIONS, (completions, sentAt) -> {
+        list(StateKeys.COMPLETIONS, (completions, sentAtMs) -> {
             jobs.loadCompletions(completions);
             loadLaunches(then);
         });
     }
 
     private void loadLaunches(Runnable then) {
-        list(StateKeys.LAUNCHES, (recorded, sentAt) -> {
+        list(StateKeys.LAUNCHES, (recorded, sentAtMs) -> {
             launches.load(recorded);
             loadReleased(then);
         });
@@ -90,12 +90,12 @@
 
     /** @param then is given the entries, and when they were requested */
     private void list(String prefix, ObjLongConsumer<Listing> then) {
-        long sentAt = context.nowMs();
+        long sentAtMs = context.nowMs();
         stateStore.listAll(
                 prefix,
                 result -> context.timer().schedule(0, () -> {
                     if (result instanceof Ok<Listing> ok) {
-                        then.accept(ok.value(), sentAt);
+                        then.accept(ok.value(), sentAtMs);
                     } else {
                         context.timer().schedule(RETRY_MS, () -> list(prefix, then));
                     }
--- a/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
+++ b/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
@@ -11,37 +11,37 @@
 final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
     /** A tick that comes later than so many of its periods shows a pause. */
-    private static final int LATE_TICKS = 2;
+    private static final int PAUSE_THRESHOLD_TICKS = 2;
 
     private final TermContext context;
     private final long tickMs;
-    private long tickedAt;
-    private long awakeSince;
+    private long lastTickAtMs;
+    private long runningSinceMs;
 
-    /** @param tickMs the period in which {@link #ticked} is called */
+    /** @param tickMs the period in which {@link #recordTick} is called */
     ProcessPauseDetector(TermContext context, long tickMs) {
         this.context = context;
         this.tickMs = tickMs;
-        this.awakeSince = context.nowMs();
+        this.runningSinceMs = context.nowMs();
     }
 
     /** The period begins anew. */
-    void ticked() {
-        tickedAt = context.nowMs();
+    void recordTick() {
+        lastTickAtMs = context.nowMs();
     }
 
     /** Looks whether the process has stood still since the last tick. */
-    void check() {
-        long now = context.nowMs();
-        long sinceTickMs = now - tickedAt;
-        if (sinceTickMs > tickMs * LATE_TICKS) {
+    void detectPause() {
+        long nowMs = context.nowMs();
+        long sinceTickMs = nowMs - lastTickAtMs;
+        if (sinceTickMs > tickMs * PAUSE_THRESHOLD_TICKS) {
             LOG.warn("process pause detected: term={} pausedMs={}", context.term(), sinceTickMs);
-            awakeSince = now;
+            runningSinceMs = nowMs;
         }
     }
 
     /** The end of the last pause; silence of others from before does not count. */
-    long awakeSince() {
-        return awakeSince;
+    long runningSinceMs() {
+        return runningSinceMs;
     }
 }
--- a/src/main/java/notchpick/coordination/leader/ReclaimCheckpointer.java
+++ b/src/main/java/notchpick/coordination/leader/ReclaimCheckpointer.java
@@ -7,16 +7,16 @@
 /** Has tasks write a checkpoint before the cloud reclaims their spot machine. */
 final class ReclaimCheckpointer {
     /** The command reaches the worker within so many heartbeat periods. */
-    private static final int MARGIN_PERIODS = 2;
+    private static final int COMMAND_DELIVERY_PERIODS = 2;
 
     private final double marginS;
 
     ReclaimCheckpointer(TermContext context) {
-        this.marginS = MARGIN_PERIODS * context.deployment().heartbeatPeriodS();
+        this.marginS = COMMAND_DELIVERY_PERIODS * context.deployment().heartbeatPeriodS();
     }
 
     /** Stops the machine's tasks with a checkpoint, each as late as it has time for. */
-    void review(Machine machine) {
+    void requestDueCheckpoints(Machine machine) {
         if (machine.reclaimNoticeS() == null) {
             return;
         }
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -15,7 +15,7 @@
  */
 final class StepDownPolicy {
     /** A leader that has not read users' cancellations for this part of the cancellation timeout steps down. */
-    private static final double MAX_UNREAD_CANCEL_RATIO = 0.25;
+    private static final double MAX_CANCELLATION_READ_AGE_RATIO = 0.25;
     /** A leader that workers bypass for this part of their lease steps down. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
     /** A leader that needs relays for so many worker leases steps down in favour of one that does not. */
@@ -28,10 +28,10 @@
     private final FailoverStateStoreTransport stateStoreTransport;
     private final double maxBypassedMs;
     private final double maxRelayedMs;
-    private long lastHeartbeatAt;
-    private long bypassedSince;
+    private long lastHeartbeatAtMs;
+    private long bypassedSinceMs;
     /** Since when heartbeats have come through other controllers only; 0: some worker gets its replies from here. */
-    private long relayedOnlySince;
+    private long relayedOnlySinceMs;
 
     StepDownPolicy(
             TermContext context,
@@ -47,13 +47,13 @@
         long workerLeaseMs = context.deployment().workerLeaseMs();
         this.maxBypassedMs = workerLeaseMs * MAX_BYPASSED_LEASE_RATIO;
         this.maxRelayedMs = (double) MAX_RELAYED_LEASES * workerLeaseMs;
-        this.lastHeartbeatAt = context.nowMs();
-        this.bypassedSince = context.nowMs();
+        this.lastHeartbeatAtMs = context.nowMs();
+        this.bypassedSinceMs = context.nowMs();
     }
 
     /** How long users' cancellations may be unread, in milliseconds. */
-    long maxUnreadMs() {
-        return (long) (context.deployment().cancelTimeoutMs() * MAX_UNREAD_CANCEL_RATIO);
+    long maxCancellationReadAgeMs() {
+        return (long) (context.deployment().cancelTimeoutMs() * MAX_CANCELLATION_READ_AGE_RATIO);
     }
 
     /**
@@ -63,16 +63,16 @@
      * @param relayed whether it has come through another controller
      */
     void heartbeatReceived(Heartbeat heartbeat, boolean relayed) {
-        lastHeartbeatAt = context.nowMs();
-        if (relayed && relayedOnlySince == 0) {
-            relayedOnlySince = context.nowMs();
+        lastHeartbeatAtMs = context.nowMs();
+        if (relayed && relayedOnlySinceMs == 0) {
+            relayedOnlySinceMs = context.nowMs();
         }
         Machine machine = context.cluster().machine(heartbeat.machine());
         if (machine == null) {
             return;
         }
         if (!relayed && machine.reportsDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
-            relayedOnlySince = 0;
+            relayedOnlySinceMs = 0;
             machine.health().replyReceived();
             links.workerReplyDelivered(heartbeat.zone());
         }
@@ -90,17 +90,18 @@
     /**
      * Why the leader must step down, if it must.
      *
-     * @param awakeSince silence from before then says nothing
+     * @param runningSinceMs silence from before then says nothing
      */
-    Optional<String> reason(long awakeSince) {
-        long now = context.nowMs();
-        if (now - Math.max(authority.lastCompleteReadSentAtMs(), awakeSince) > maxUnreadMs() && !isExcused()) {
+    Optional<String> reason(long runningSinceMs) {
+        long nowMs = context.nowMs();
+        if (nowMs - Math.max(authority.lastCompleteReadSentAtMs(), runningSinceMs) > maxCancellationReadAgeMs()
+                && !isStalenessTolerated()) {
             return Optional.of("cancellations can't be read");
         }
-        if (isBypassed(now, awakeSince)) {
+        if (isBypassed(nowMs, runningSinceMs)) {
             return Optional.of("workers do not reach it, but do reach others");
         }
-        if (relayedOnlySince != 0 && now - Math.max(relayedOnlySince, awakeSince) > maxRelayedMs) {
+        if (relayedOnlySinceMs != 0 && nowMs - Math.max(relayedOnlySinceMs, runningSinceMs) > maxRelayedMs) {
             return Optional.of("workers reach it only through others");
         }
         if (stateStoreTransport.relayedForMs() > maxRelayedMs) {
@@ -110,20 +111,20 @@
     }
 
     /** One worker that has just come up, and asks its way to the leader, is no sign of a partition. */
-    private boolean isBypassed(long now, long awakeSince) {
-        boolean hasLatelyHeard = now - Math.max(lastHeartbeatAt, awakeSince) < maxBypassedMs;
-        if (hasLatelyHeard || !othersMayBeBetterConnected()) {
-            bypassedSince = now;
+    private boolean isBypassed(long nowMs, long runningSinceMs) {
+        boolean hasRecentHeartbeat = nowMs - Math.max(lastHeartbeatAtMs, runningSinceMs) < maxBypassedMs;
+        if (hasRecentHeartbeat || !isLikelyCutOff()) {
+            bypassedSinceMs = nowMs;
             return false;
         }
-        return now - bypassedSince > maxBypassedMs;
+        return nowMs - bypassedSinceMs > maxBypassedMs;
     }
 
     /**
      * Whether others are known to be reached by workers, or nothing is known of any other controller while workers
      * should report: then it is more likely that this controller is cut off than that all of them are gone.
      */
-    private boolean othersMayBeBetterConnected() {
+    private boolean isLikelyCutOff() {
         return peers.redirects() > 0
                 || (!context.deployment().peers().isEmpty()
                         && peers.livePeers().isEmpty()
@@ -136,7 +137,7 @@
      * heartbeats are replied to. When the outage is over, the cancellations come within a heartbeat period, or another
      * controller shall read them.
      */
-    private boolean isExcused() {
+    private boolean isStalenessTolerated() {
         long heldMs = authority.leaseHeldMs();
         return heldMs < 0 ? authority.isInGracePeriod() : heldMs < context.heartbeatPeriodMs();
     }
--- a/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
@@ -21,10 +21,10 @@
     }
 
     /** Frees the machine's tasks if its worker has surely killed them. */
-    void review(Machine machine, long now) {
+    void unassignIfExpired(Machine machine, long nowMs) {
         // Until the machine is reconciled, a former leader may have renewed its lease during its grace period.
-        long renewedAt = machine.lastHeartbeatAt() + (machine.isReconciled() ? 0 : gracePeriodMs);
-        if (machine.state() == Machine.State.PROVISIONING || now - renewedAt <= leaseSafelyExpiredMs) {
+        long lastRenewedAtMs = machine.lastHeartbeatAt() + (machine.isReconciled() ? 0 : gracePeriodMs);
+        if (machine.state() == Machine.State.PROVISIONING || nowMs - lastRenewedAtMs <= leaseSafelyExpiredMs) {
             return;
         }
         machine.assignments()
--- a/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
@@ -16,7 +16,7 @@
 import notchpick.protocol.WorkerProtocol.TaskPhase;
 import notchpick.protocol.WorkerProtocol.TaskStatus;
 
-/** Decides which commands a worker gets with the reply to its heartbeat. */
+/** Decides which commands a worker receives in the reply to its heartbeat. */
 final class CommandPlanner {
     private final ClusterState cluster;
     private final LeaderAuthority authority;
@@ -26,23 +26,27 @@
         this.authority = authority;
     }
 
-    /** The commands that are due on the machine, whose heartbeat named these tasks. Launches count as sent. */
-    List<TaskCommand> commands(Machine machine, List<TaskStatus> reported) {
+    /**
+     * Returns the commands that are due on the machine, and marks the launches among them as sent.
+     *
+     * @param reported the tasks in the heartbeat that the reply belongs to
+     */
+    List<TaskCommand> planCommands(Machine machine, List<TaskStatus> reported) {
         List<TaskCommand> commands = new ArrayList<>();
-        // A leader lease that has expired permits nothing but keeping the worker alive.
-        if (!authority.holdsLease()) {
+        // With an expired leader lease the reply may only renew the worker's lease.
+        if (!authority.hasLease()) {
             return commands;
         }
         for (TaskStatus status : reported) {
             if (status.phase() == TaskPhase.EXITED) {
-                if (mayForget(status)) {
+                if (canForget(status)) {
                     commands.add(new ForgetTask(status.name(), status.attempt()));
                 }
             } else {
                 addStop(machine, status, commands);
             }
         }
-        if (authority.mayLaunchTasks()) {
+        if (authority.canLaunchTasks()) {
             addLaunches(machine, commands);
         }
         return commands;
@@ -52,7 +56,7 @@
         TaskAssignment assignment = machine.assignment(status.name());
         if (assignment == null
                 || assignment.attempt() != status.attempt()
-                // Cancelled while nobody led: its launch record was read, its job was not open any more.
+                // The job was cancelled while there was no leader: its launch record exists, but it is no longer open.
                 || !cluster.isOpen(status.job())) {
             commands.add(new StopTask(status.name(), status.attempt(), 0));
         } else if (assignment.isStopRequested() && !(assignment.isCheckpointing() && assignment.stopGraceS() > 0)) {
@@ -70,8 +74,8 @@
     }
 
     /**
-     * The stop commands for a worker whose heartbeat does not count yet. What must stop is told at once, lest leaders
-     * that change often never get to it.
+     * The stop commands for a worker whose heartbeat is not accepted yet. They don't wait for the next heartbeat, because
+     * with frequent leader changes no leader might receive one that it accepts.
      */
     List<TaskCommand> stopsOfEndedJobs(List<TaskStatus> reported) {
         List<TaskCommand> stops = new ArrayList<>();
@@ -83,18 +87,21 @@
         return stops;
     }
 
-    /** A completed task's worker may forget it only when the state store has the completion. */
-    boolean mayForget(TaskStatus status) {
+    /** Whether the worker may forget an exited task; a completed one only once the state store has its completion. */
+    boolean canForget(TaskStatus status) {
         Job job = cluster.job(status.job());
         return status.exit() != ExitReason.DONE || job == null || job.mayForgetCompletion(status.task());
     }
 
-    /** Whether a task's job ended so long ago that the worker's lease must not be renewed without a stop command. */
-    boolean mustExpire(Machine machine, List<TaskStatus> reported) {
+    /**
+     * Whether the worker's lease must not be renewed without a stop command, because the job of one of its live tasks
+     * ended too long ago.
+     */
+    boolean isRenewalForbidden(Machine machine, List<TaskStatus> reported) {
         for (TaskStatus status : reported) {
             TaskAssignment assignment = machine.assignment(status.name());
             if (isLiveTaskOfEndedJob(status)
-                    && (assignment == null || !authority.mayRenewDespiteEndedJob(assignment.jobOpenUntil()))) {
+                    && (assignment == null || !authority.canRenewDespiteEndedJob(assignment.jobOpenUntil()))) {
                 return true;
             }
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -23,21 +23,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives the heartbeats of workers and replies with commands. A reply may wait a short time for the allocation round
- * and the durable writes that the heartbeat made possible, so that their commands go out with it.
+ * Receives worker heartbeats and replies with commands. A reply may be delayed briefly until the allocation round and
+ * the durable writes that the heartbeat caused are complete, so that it can carry the resulting commands.
  */
 public final class HeartbeatHandler {
-    /** What the handler needs of the allocation of resources. */
+    /** The allocation rounds, as the handler uses them. */
     public interface AllocationRounds {
-        /** Resources may have become free, or work has come: a round is due soon. */
+        /** Requests a round soon, because resources may have become free or tasks may have become schedulable. */
         void request();
 
-        /** How many rounds have begun. */
-        long begun();
+        /** How many rounds have started in this term. */
+        long startedRounds();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
-    /** A reply waits for this part of the heartbeat period at the most. */
+    /** The longest delay of a reply, as a fraction of the heartbeat period. */
     private static final double MAX_WAIT_RATIO = 0.1;
 
     private final TermContext context;
@@ -49,16 +49,16 @@
     private final Map<Machine, PendingHeartbeat> pending = new LinkedHashMap<>();
     private Response emptyReply;
 
-    /** A heartbeat that has not been replied to, and how many rounds had begun when it came. */
+    /** A heartbeat without a reply yet, and how many allocation rounds had started when it arrived. */
     private static final class PendingHeartbeat {
         private final Consumer<Response> reply;
         private final List<TaskStatus> tasks;
-        private final long roundsBegun;
+        private final long roundsStarted;
 
-        PendingHeartbeat(Consumer<Response> reply, List<TaskStatus> tasks, long roundsBegun) {
+        PendingHeartbeat(Consumer<Response> reply, List<TaskStatus> tasks, long roundsStarted) {
             this.reply = reply;
             this.tasks = tasks;
-            this.roundsBegun = roundsBegun;
+            this.roundsStarted = roundsStarted;
         }
     }
 
@@ -76,18 +76,18 @@
         this.planner = new CommandPlanner(context.cluster(), authority);
     }
 
-    /** Takes a worker's heartbeat in and replies, at once or when what it waits for has come. */
+    /** Processes a worker's heartbeat; the reply is given immediately or after a delay. */
     public void receive(Heartbeat heartbeat, Consumer<Response> reply) {
         switch (validator.validate(heartbeat)) {
             case REFUSE -> reply.accept(refusal());
-            case INTRODUCE_TOKEN -> introduceToken(heartbeat, reply);
+            case SEND_TOKEN -> sendToken(heartbeat, reply);
             case ACCEPT -> accept(heartbeat, reply);
         }
     }
 
-    private void introduceToken(Heartbeat heartbeat, Consumer<Response> reply) {
+    private void sendToken(Heartbeat heartbeat, Consumer<Response> reply) {
         List<TaskCommand> stops = planner.stopsOfEndedJobs(heartbeat.tasks());
-        if (!stops.isEmpty() && !authority.holdsLease()) {
+        if (!stops.isEmpty() && !authority.hasLease()) {
             reply.accept(refusal());
             return;
         }
@@ -95,20 +95,20 @@
         if (machine != null) {
             machine.leaseMayBeRenewed(context.nowMs());
         }
-        reply.accept(reply(stops));
+        reply.accept(commandsResponse(stops));
     }
 
     private void accept(Heartbeat heartbeat, Consumer<Response> reply) {
-        long now = context.nowMs();
-        Machine machine = context.cluster().machineOrAdd(heartbeat.machine(), name -> unknownMachine(heartbeat, now));
-        // The worker has given up waiting for the reply to an earlier heartbeat.
+        long nowMs = context.nowMs();
+        Machine machine = context.cluster().machineOrAdd(heartbeat.machine(), name -> newMachine(heartbeat, nowMs));
+        // A worker sends its next heartbeat only after it stopped waiting for the reply to the previous one.
         refuse(machine);
         if (machine.state() == Machine.State.PROVISIONING) {
-            machine.markReady(now);
-            LOG.info("machine ready: machine={} bootMs={}", machine.name(), now - machine.provisionedAt());
+            machine.markReady(nowMs);
+            LOG.info("machine ready: machine={} bootMs={}", machine.name(), nowMs - machine.provisionedAt());
         }
-        boolean changed = reconciler.reconcile(machine, heartbeat, now);
-        PendingHeartbeat waiting = new PendingHeartbeat(reply, heartbeat.tasks(), rounds.begun());
+        boolean changed = reconciler.reconcile(machine, heartbeat, nowMs);
+        PendingHeartbeat waiting = new PendingHeartbeat(reply, heartbeat.tasks(), rounds.startedRounds());
         pending.put(machine, waiting);
         machine.setAwaitsReply(true);
         if (!changed) {
@@ -123,13 +123,13 @@
         });
     }
 
-    private Machine unknownMachine(Heartbeat heartbeat, long now) {
+    private Machine newMachine(Heartbeat heartbeat, long nowMs) {
         LOG.info("unknown worker registered: machine={}", heartbeat.machine());
         NodePool pool = new NodePool(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        return new Machine(heartbeat.machine(), pool, context.machineTypes().size(heartbeat.type()), now);
+        return new Machine(heartbeat.machine(), pool, context.machineTypes().size(heartbeat.type()), nowMs);
     }
 
-    /** The machine's pending heartbeat, if there is one, is refused: its worker turns to another controller. */
+    /** Refuses the machine's pending heartbeat, if any; its worker then tries another controller. */
     public void refuse(Machine machine) {
         PendingHeartbeat waiting = pending.remove(machine);
         machine.setAwaitsReply(false);
@@ -138,24 +138,24 @@
         }
     }
 
-    /** The term is over. */
+    /** Refuses every pending heartbeat, at the end of the term. */
     public void refuseAll() {
         List.copyOf(pending.keySet()).forEach(this::refuse);
     }
 
-    /** Replies to every heartbeat that has nothing more to wait for. */
+    /** Replies to every pending heartbeat whose allocation round and durable writes are complete. */
     public void replyToReady() {
         List<Machine> ready = new ArrayList<>();
         pending.forEach((machine, waiting) -> {
-            if (!mustWait(machine, waiting)) {
+            if (!hasPendingWork(machine, waiting)) {
                 ready.add(machine);
             }
         });
         ready.forEach(this::reply);
     }
 
-    private boolean mustWait(Machine machine, PendingHeartbeat waiting) {
-        if (machine.isLeased() || waiting.roundsBegun == rounds.begun()) {
+    private boolean hasPendingWork(Machine machine, PendingHeartbeat waiting) {
+        if (machine.isLeased() || waiting.roundsStarted == rounds.startedRounds()) {
             return true;
         }
         for (TaskAssignment assignment : machine.assignments()) {
@@ -164,42 +164,42 @@
             }
         }
         for (TaskStatus status : waiting.tasks) {
-            if (status.phase() == TaskPhase.EXITED && !planner.mayForget(status)) {
+            if (status.phase() == TaskPhase.EXITED && !planner.canForget(status)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Replies to the machine's pending heartbeat now, if there is one, with all commands that are due. */
+    /** Replies to the machine's pending heartbeat, if any, with all commands that are due. */
     public void reply(Machine machine) {
         PendingHeartbeat waiting = pending.remove(machine);
         machine.setAwaitsReply(false);
         if (waiting == null) {
             return;
         }
-        // Time may have passed since the heartbeat came.
-        if (!authority.mayRenewWorkerLease()
-                || (!authority.holdsLease() && planner.mustExpire(machine, waiting.tasks))) {
+        // The authority may have lapsed since the heartbeat was validated.
+        if (!authority.canRenewWorkerLease()
+                || (!authority.hasLease() && planner.isRenewalForbidden(machine, waiting.tasks))) {
             waiting.reply.accept(refusal());
             return;
         }
-        List<TaskCommand> commands = planner.commands(machine, waiting.tasks);
+        List<TaskCommand> commands = planner.planCommands(machine, waiting.tasks);
         if (!commands.isEmpty()) {
             LOG.debug("commands sent: machine={} count={}", machine.name(), commands.size());
         }
-        waiting.reply.accept(reply(commands));
+        waiting.reply.accept(commandsResponse(commands));
     }
 
     private static Response refusal() {
         return Response.of(HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(Json.object()));
     }
 
-    private Response reply(List<TaskCommand> commands) {
+    private Response commandsResponse(List<TaskCommand> commands) {
         if (!commands.isEmpty()) {
             return Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.term(), commands)));
         }
-        // Most replies carry no command: they are serialized once.
+        // Most replies carry no command, so this one is serialized only once.
         if (emptyReply == null) {
             emptyReply = Response.of(HttpStatus.OK, Json.bytes(WorkerProtocol.commands(context.term(), List.of())));
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings a machine's assignments in line with its heartbeat. */
+/** Updates a machine's assignments from its heartbeat. */
 final class HeartbeatReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
@@ -35,35 +35,38 @@
         this.journal = journal;
     }
 
-    /** Takes the heartbeat in; true if anything ended, is new, or may be scheduled now. */
-    boolean reconcile(Machine machine, Heartbeat heartbeat, long now) {
+    /** Applies the heartbeat; true if an allocation round may now do more: something ended, is new or is schedulable. */
+    boolean reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
         boolean changed = !machine.hasReported();
         changed |= endFormerIncarnation(machine, heartbeat);
-        machine.heartbeatAccepted(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.reclaimNoticeS(), now);
+        machine.heartbeatAccepted(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.reclaimNoticeS(), nowMs);
         Set<TaskAssignment> present = new HashSet<>();
         for (TaskStatus status : heartbeat.tasks()) {
             if (status.phase() == TaskPhase.EXITED) {
-                changed |= taskExited(machine, status, now);
+                changed |= handleExit(machine, status, nowMs);
             } else {
-                TaskAssignment assignment = confirm(machine, status);
+                TaskAssignment assignment = confirmLiveTask(machine, status);
                 if (assignment != null) {
                     present.add(assignment);
-                    updateProgress(assignment, status.phase(), now);
+                    updateProgress(assignment, status.phase(), nowMs);
                 }
             }
         }
-        changed |= dropAbsent(machine, present, now);
+        changed |= dropAbsent(machine, present, nowMs);
         if (!machine.isReconciled()) {
             machine.setReconciled(true);
             changed = true;
         }
         if (changed && machine.isIdle()) {
-            machine.becameIdle(now);
+            machine.becameIdle(nowMs);
         }
         return changed;
     }
 
-    /** A new incarnation begins when the worker's lease has expired: all that was there has been killed. */
+    /**
+     * Removes what ran under a former incarnation. A new incarnation starts when the worker's lease expires, at which
+     * point the worker has killed all its tasks.
+     */
     private boolean endFormerIncarnation(Machine machine, Heartbeat heartbeat) {
         if (!machine.hasReported() || heartbeat.incarnation() <= machine.incarnation()) {
             return false;
@@ -81,47 +84,47 @@
         return true;
     }
 
-    private boolean taskExited(Machine machine, TaskStatus status, long now) {
+    private boolean handleExit(Machine machine, TaskStatus status, long nowMs) {
         boolean changed = false;
         TaskAssignment assignment = machine.assignment(status.name());
         if (assignment != null && assignment.attempt() == status.attempt() && assignment.mayBeOnWorker()) {
-            attemptEnded(assignment, status.exit(), now);
+            endAttempt(assignment, status.exit(), nowMs);
             changed = true;
         }
         Job job = cluster.job(status.job());
         if (status.exit() == ExitReason.DONE && job != null && job.complete(status.task())) {
             machine.health().taskSucceeded();
-            journal.taskCompleted(job, status.task());
+            journal.recordCompletion(job, status.task());
             changed = true;
         }
         return changed;
     }
 
-    private void attemptEnded(TaskAssignment assignment, ExitReason exit, long now) {
+    private void endAttempt(TaskAssignment assignment, ExitReason exit, long nowMs) {
         cluster.unassign(assignment);
         switch (exit) {
             case DONE -> {
                 if (assignment.isRunning()) {
-                    runtimes.observe(assignment.spec(), (now - assignment.runningSince()) / Milliseconds.PER_SECOND);
+                    runtimes.observe(assignment.spec(), (nowMs - assignment.runningSince()) / Milliseconds.PER_SECOND);
                 }
             }
             case STOPPED -> {}
-            case ERROR -> health.taskFailed(assignment, now);
-            case FULL, IN_USE -> assignment.machine().health().quarantine(now + heartbeatPeriodMs);
+            case ERROR -> health.recordTaskFailure(assignment, nowMs);
+            case FULL, IN_USE -> assignment.machine().health().quarantine(nowMs + heartbeatPeriodMs);
             case UNKNOWN -> {
                 Job job = cluster.job(assignment.spec().id());
                 if (job != null) {
-                    job.backOffUntil(now + heartbeatPeriodMs);
+                    job.backOffUntil(nowMs + heartbeatPeriodMs);
                 }
             }
         }
     }
 
-    /** The assignment that a reported live task stands for, made if need be; null if the task must be stopped. */
-    private TaskAssignment confirm(Machine machine, TaskStatus status) {
+    /** The assignment of a reported live task, created if needed; null if the task must be stopped. */
+    private TaskAssignment confirmLiveTask(Machine machine, TaskStatus status) {
         TaskAssignment assignment = machine.assignment(status.name());
         if (assignment == null) {
-            return adopt(machine, status);
+            return adoptTask(machine, status);
         }
         boolean isOtherAttempt = assignment.attempt() != status.attempt();
         if ((isOtherAttempt && assignment.phase() != Phase.INHERITED) || !assignment.mayBeOnWorker()) {
@@ -134,35 +137,35 @@
         return assignment;
     }
 
-    private TaskAssignment adopt(Machine machine, TaskStatus status) {
+    private TaskAssignment adoptTask(Machine machine, TaskStatus status) {
         Job job = cluster.job(status.job());
         if (job == null || !job.mayAdopt(status.task())) {
             return null;
         }
         TaskAssignment adopted = cluster.assign(job.spec(), status.task(), machine, status.attempt(), Phase.REPORTED);
-        journal.taskAdopted(adopted);
+        journal.recordAdoption(adopted);
         return adopted;
     }
 
-    private void updateProgress(TaskAssignment assignment, TaskPhase phase, long now) {
+    private void updateProgress(TaskAssignment assignment, TaskPhase phase, long nowMs) {
         if (phase != TaskPhase.FETCHING && !assignment.isRunning()) {
-            cluster.startedRunning(assignment, now);
+            cluster.startedRunning(assignment, nowMs);
         }
         assignment.setCheckpointing(phase == TaskPhase.CHECKPOINTING);
     }
 
-    /** What the heartbeat does not name is gone, as far as this can be certain. */
-    private boolean dropAbsent(Machine machine, Set<TaskAssignment> present, long now) {
+    /** Removes the assignments that the heartbeat does not list and whose tasks can't be on the worker any more. */
+    private boolean dropAbsent(Machine machine, Set<TaskAssignment> present, long nowMs) {
         if (present.size() >= machine.assignments().size()) {
             return false;
         }
         if (hasMissedCommand(machine, present)) {
-            machine.health().replyMissed(now, heartbeatPeriodMs);
+            machine.health().replyMissed(nowMs, heartbeatPeriodMs);
         }
         boolean dropped = false;
         for (TaskAssignment assignment : machine.copyOfAssignments()) {
-            // A launch command was executed before this heartbeat was made, or never will be; so with a former
-            // leader's, as the worker has seen this term and drops what may still come of it.
+            // The worker executed the launch command before it made this heartbeat, or never will. That holds for a
+            // former leader's command too: the worker has seen this term and drops commands of earlier ones.
             if (!present.contains(assignment) && assignment.mayBeOnWorker()) {
                 cluster.unassign(assignment);
                 dropped = true;
@@ -172,8 +175,8 @@
     }
 
     /**
-     * Whether a command to launch a task was lost. A worker that carries one out names the task from then on, even if
-     * it refuses it, until it is told to forget it.
+     * Whether a launch command was lost. A worker that received one lists the task in every heartbeat, even if it
+     * refused the launch, until a command makes it forget the task.
      */
     private static boolean hasMissedCommand(Machine machine, Set<TaskAssignment> present) {
         return machine.assignments().stream()
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
@@ -5,19 +5,19 @@
 import notchpick.model.Machine;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 
-/** Decides whether a heartbeat counts, by the leader's authority, the fencing token and the order of heartbeats. */
+/** Decides whether a heartbeat is accepted, from the leader's authority, the fencing token and the heartbeat's order. */
 final class HeartbeatValidator {
-    /** What is to be done with a heartbeat. */
-    enum Verdict {
-        /** It counts: the cluster state is brought in line with it. */
+    /** How a heartbeat is handled. */
+    enum Decision {
+        /** The cluster state is updated from the heartbeat. */
         ACCEPT,
         /**
-         * It was made before its worker heard of this term and tells nothing for sure: it may be a copy of an old one,
-         * or have been held up, while a command of the former leader is still on its way. The reply gives the fencing
-         * token; the worker's next heartbeat counts.
+         * The worker made the heartbeat before it received this term's fencing token, so its content is not reliable:
+         * it may be a duplicate or delayed while a command of the former leader is still in transit. The reply carries
+         * the token, and the worker's next heartbeat can be accepted.
          */
-        INTRODUCE_TOKEN,
-        /** It must not be answered, as the reply could renew a lease that this leader may not renew. */
+        SEND_TOKEN,
+        /** The reply is an error, because any other reply could renew a lease that this leader may not renew. */
         REFUSE
     }
 
@@ -31,25 +31,27 @@
         this.term = term;
     }
 
-    /** Decides what is to be done with the heartbeat. */
-    Verdict validate(Heartbeat heartbeat) {
-        // A late heartbeat may be of a machine that is surely gone.
-        if (!authority.mayRenewWorkerLease()
+    Decision validate(Heartbeat heartbeat) {
+        // A delayed heartbeat may come from a machine that has already been removed.
+        if (!authority.canRenewWorkerLease()
                 || heartbeat.fencingToken() > term
                 || cluster.isRemoved(heartbeat.machine())) {
-            return Verdict.REFUSE;
+            return Decision.REFUSE;
         }
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null && machine.isStale(heartbeat.incarnation(), heartbeat.sequence())) {
-            return Verdict.REFUSE;
+            return Decision.REFUSE;
         }
-        return heartbeat.fencingToken() < term && !hasNeverHadCommands(heartbeat, machine)
-                ? Verdict.INTRODUCE_TOKEN
-                : Verdict.ACCEPT;
+        return heartbeat.fencingToken() < term && !hasNeverReceivedCommands(heartbeat, machine)
+                ? Decision.SEND_TOKEN
+                : Decision.ACCEPT;
     }
 
-    /** A worker that has seen no token has executed no command, and only a launch record says that one may come. */
-    private static boolean hasNeverHadCommands(Heartbeat heartbeat, Machine machine) {
+    /**
+     * A worker without a token has executed no command. One may still be in transit to it only if a former leader left
+     * a launch record that names the machine.
+     */
+    private static boolean hasNeverReceivedCommands(Heartbeat heartbeat, Machine machine) {
         return heartbeat.fencingToken() == 0 && (machine == null || !machine.wasLaunchedToByFormerLeader());
     }
 }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Quarantines machines on which tasks of several jobs fail, and drains those that turn out to be faulty. */
+/** Quarantines machines on which tasks of several jobs fail, and drains those where the failures persist. */
 public final class MachineHealthMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-    /** Tasks of so many jobs must have failed on a machine for it to be suspected. */
+    /** The number of jobs with failed tasks on a machine from which it is suspected to be faulty. */
     private static final int FAILED_JOBS_TO_SUSPECT = 2;
-    /** A failure counts against its machine for so many heartbeat periods. */
-    private static final int FAILURE_MEMORY_PERIODS = 20;
+    /** How long a failure counts against its machine, in heartbeat periods. */
+    private static final int FAILURE_RETENTION_PERIODS = 20;
 
     private final ClusterState cluster;
     private final long heartbeatPeriodMs;
@@ -24,30 +24,30 @@
         this.heartbeatPeriodMs = context.heartbeatPeriodMs();
     }
 
-    /** A task has failed on its machine. */
-    void taskFailed(TaskAssignment assignment, long now) {
+    /** Records the failure with the machine and the job, and quarantines the machine if it is now suspected. */
+    void recordTaskFailure(TaskAssignment assignment, long nowMs) {
         Machine machine = assignment.machine();
         String jobId = assignment.spec().id();
         LOG.info("task failed: task={} machine={}", assignment.taskName(), machine.name());
-        machine.health().taskFailed(jobId, now);
+        machine.health().taskFailed(jobId, nowMs);
         Job job = cluster.job(jobId);
         if (job != null) {
-            job.taskFailed(machine.name(), now, heartbeatPeriodMs);
+            job.taskFailed(machine.name(), nowMs, heartbeatPeriodMs);
         }
-        if (!machine.health().isSuspected() && hasFailedSeveralJobs(machine, now)) {
+        if (!machine.health().isSuspected() && hasFailedSeveralJobs(machine, nowMs)) {
             LOG.info("machine quarantined: machine={} reason=\"tasks of several jobs failed\"", machine.name());
-            machine.health().suspect(now);
+            machine.health().suspect(nowMs);
         }
     }
 
     /**
-     * Whether several jobs have lately failed on the machine and none has succeeded, not counting jobs that fail
-     * everywhere or that have ended.
+     * Whether tasks of several jobs have recently failed on the machine and none has succeeded. Jobs that have ended
+     * and jobs suspected to be faulty themselves don't count.
      */
-    private boolean hasFailedSeveralJobs(Machine machine, long now) {
-        long memoryMs = heartbeatPeriodMs * FAILURE_MEMORY_PERIODS;
+    private boolean hasFailedSeveralJobs(Machine machine, long nowMs) {
+        long retentionMs = heartbeatPeriodMs * FAILURE_RETENTION_PERIODS;
         long failedJobs = machine.health().taskFailures().entrySet().stream()
-                .filter(failure -> now - failure.getValue() < memoryMs)
+                .filter(failure -> nowMs - failure.getValue() < retentionMs)
                 .map(failure -> cluster.job(failure.getKey()))
                 .filter(job -> job != null && !job.isSuspectedFaulty())
                 .count();
@@ -55,17 +55,18 @@
     }
 
     /**
-     * Drains a suspected machine, or takes it back into service. Decided a heartbeat period after the failure: by then
-     * jobs with a mistake, several of which may have failed on a sound machine first, have failed elsewhere too.
+     * Drains a suspected machine, or ends its quarantine. Draining waits for one heartbeat period after the machine was
+     * suspected: several faulty jobs may have failed first on a healthy machine, and by then they have failed on others
+     * too and no longer count.
      */
-    public void review(Machine machine, long now) {
+    public void reviewSuspicion(Machine machine, long nowMs) {
         if (!machine.health().isSuspected()) {
             return;
         }
-        if (!hasFailedSeveralJobs(machine, now)) {
+        if (!hasFailedSeveralJobs(machine, nowMs)) {
             LOG.info("machine quarantine ended: machine={}", machine.name());
-            machine.health().clearSuspicion(now);
-        } else if (now - machine.health().suspectedSince() >= heartbeatPeriodMs
+            machine.health().clearSuspicion(nowMs);
+        } else if (nowMs - machine.health().suspectedSince() >= heartbeatPeriodMs
                 && machine.state() == Machine.State.READY) {
             LOG.warn("machine draining: machine={} reason=\"repeated task failures\"", machine.name());
             machine.drain();
--- a/src/main/java/notchpick/coordination/leader/heartbeat/TaskJournal.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/TaskJournal.java
@@ -3,11 +3,11 @@
 import notchpick.model.Job;
 import notchpick.model.TaskAssignment;
 
-/** Makes the task changes that heartbeats report durable. */
+/** Writes the task changes that heartbeats report to the state store. */
 public interface TaskJournal {
-    /** A worker reports for the first time that the task has completed. */
-    void taskCompleted(Job job, int task);
+    /** Records a completed task; called once, for the first heartbeat that reports the completion. */
+    void recordCompletion(Job job, int task);
 
-    /** A worker runs a task of which no launch was recorded by this leader. */
-    void taskAdopted(TaskAssignment assignment);
+    /** Records the launch of a task that a worker runs without a launch record of this leader. */
+    void recordAdoption(TaskAssignment assignment);
 }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/package-info.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Worker heartbeats: {@link notchpick.coordination.leader.heartbeat.HeartbeatValidator} decides whether one counts,
- * {@link notchpick.coordination.leader.heartbeat.HeartbeatReconciler} brings the cluster state in line with it,
+ * Worker heartbeats: {@link notchpick.coordination.leader.heartbeat.HeartbeatValidator} decides whether to accept one,
+ * {@link notchpick.coordination.leader.heartbeat.HeartbeatReconciler} updates the cluster state from it,
  * {@link notchpick.coordination.leader.heartbeat.CommandPlanner} decides the commands, and
  * {@link notchpick.coordination.leader.heartbeat.HeartbeatHandler} replies.
  */
--- a/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
@@ -4,10 +4,11 @@
 import notchpick.coordination.Deployment;
 
 /**
- * What the leader may tell workers at this moment; the only place that decides it. Two ages count: that of its leader
- * lease, and that of what it knows of users' cancellations. They differ, as lease renewals and reads may take
- * different paths. A worker's lease must not be renewed for longer than a cancellation leaves time for that is not
- * known yet, or can't be acted on: whoever confirmed it did so after the last complete read was sent.
+ * Decides what the leader may currently send to workers; no other class decides this. The decision depends on the age
+ * of the leader lease and on the age of the last complete read of users' cancellations. The two ages differ because
+ * lease renewals and reads may take different paths. A cancellation that this leader has not read was confirmed after
+ * that read was sent. Renewing a worker's lease past the time allowed for such a cancellation would break the
+ * cancellation timeout; the same holds for a cancellation that the leader can't act on.
  */
 public final class LeaderAuthority {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -16,43 +17,45 @@
     private final long gracePeriodMs;
     private final long stalenessBoundMs;
     private final long launchStalenessBoundMs;
-    private long leaseUntil;
-    private long leaseRegainedAt = NEVER;
+    private long leaseUntilMs;
+    private long leaseRegainedAtMs = NEVER;
     private long lastCompleteReadSentAtMs = NEVER;
     private boolean recovered;
 
     /**
-     * @param clock the steady clock, in milliseconds
+     * @param clock the monotonic clock, in milliseconds
      * @param leaderLeaseS the length of the leader lease
-     * @param leaseUntil when the lease with which the term began runs out
+     * @param leaseUntilMs when the lease with which the term began runs out
      */
-    public LeaderAuthority(LongSupplier clock, Deployment deployment, double leaderLeaseS, long leaseUntil) {
+    public LeaderAuthority(LongSupplier clock, Deployment deployment, double leaderLeaseS, long leaseUntilMs) {
         this.clock = clock;
         this.gracePeriodMs = deployment.gracePeriodMs(leaderLeaseS);
         this.stalenessBoundMs = deployment.stalenessBoundMs(leaderLeaseS);
         this.launchStalenessBoundMs = deployment.heartbeatPeriodMs();
-        this.leaseUntil = leaseUntil;
+        this.leaseUntilMs = leaseUntilMs;
     }
 
-    /** The leader lease is surely held until then. */
+    /**
+     * Records that the leader lease is held at least until this time. If it had expired, it counts as regained now.
+     */
     public void extendLease(long untilMs) {
-        if (!holdsLease()) {
-            leaseRegainedAt = clock.getAsLong();
+        if (!hasLease()) {
+            leaseRegainedAtMs = clock.getAsLong();
         }
-        leaseUntil = untilMs;
+        leaseUntilMs = untilMs;
     }
 
-    /** All cancellations are known that were confirmed before a read that was sent then. */
+    /** Records that every cancellation confirmed before a read sent at this time has been read. */
     public void recordCompleteRead(long sentAtMs) {
         lastCompleteReadSentAtMs = Math.max(lastCompleteReadSentAtMs, sentAtMs);
     }
 
-    /** When the last complete read of users' cancellations was sent. */
+    /** When the last complete read of users' cancellations was sent; far in the past if there was none. */
     public long lastCompleteReadSentAtMs() {
         return lastCompleteReadSentAtMs;
     }
 
-    /** What the former leader left has been read. */
+    /** Records that the state of the former leader has been read. */
     public void markRecovered() {
         recovered = true;
     }
@@ -61,42 +64,43 @@
         return recovered;
     }
 
-    /** Whether the leader may decide and give commands. */
-    public boolean holdsLease() {
-        return clock.getAsLong() < leaseUntil;
+    /** Whether the leader lease is held, so that the leader may make decisions and send commands. */
+    public boolean hasLease() {
+        return clock.getAsLong() < leaseUntilMs;
     }
 
-    /** How long the lease has been held without a break, in milliseconds; negative if it has expired. */
+    /** How long the lease has been held without a gap, in milliseconds; negative if it has expired. */
     public long leaseHeldMs() {
-        return holdsLease() ? clock.getAsLong() - leaseRegainedAt : -1;
+        return hasLease() ? clock.getAsLong() - leaseRegainedAtMs : -1;
     }
 
-    /** Whether commands may launch tasks: their jobs were open a moment ago. */
-    public boolean mayLaunchTasks() {
-        return holdsLease() && isReadWithin(launchStalenessBoundMs);
+    /** Whether commands may launch tasks; requires a read of cancellations within the last heartbeat period. */
+    public boolean canLaunchTasks() {
+        return hasLease() && isReadWithin(launchStalenessBoundMs);
     }
 
     /**
-     * Whether a reply may renew a worker's lease. Before a leader has read which jobs are open it could stop none of
-     * those that have ended; leaders that follow one another before they have read would keep them forever.
+     * Whether a reply may renew a worker's lease. A leader that has not read which jobs are open can't stop the tasks of
+     * jobs that have ended. If it renewed leases, a series of leaders that each lost the term before reading would keep
+     * those tasks running forever.
      */
-    public boolean mayRenewWorkerLease() {
+    public boolean canRenewWorkerLease() {
         return recovered && isInGracePeriod() && isReadWithin(stalenessBoundMs);
     }
 
     /**
-     * Whether a worker's lease may be renewed though a task there should be stopped, and can't be as the leader lease
-     * has expired.
+     * Whether a worker's lease may be renewed although one of its tasks should be stopped. This matters while the leader
+     * lease is expired, when no stop command may be sent.
      *
-     * @param jobOpenUntilMs the task's job had not been cancelled before
+     * @param jobOpenUntilMs a time at which the task's job had not been cancelled
      */
-    public boolean mayRenewDespiteEndedJob(long jobOpenUntilMs) {
+    public boolean canRenewDespiteEndedJob(long jobOpenUntilMs) {
         return clock.getAsLong() - jobOpenUntilMs < stalenessBoundMs;
     }
 
-    /** Whether the leader lease is held, or expired only a short time ago. */
+    /** Whether the leader lease is held, or expired no longer ago than the grace period. */
     public boolean isInGracePeriod() {
-        return clock.getAsLong() <= leaseUntil + gracePeriodMs;
+        return clock.getAsLong() <= leaseUntilMs + gracePeriodMs;
     }
 
     private boolean isReadWithin(long ms) {
--- a/src/main/java/notchpick/coordination/leader/term/TermContext.java
+++ b/src/main/java/notchpick/coordination/leader/term/TermContext.java
@@ -8,10 +8,10 @@
 import notchpick.transport.Timer;
 
 /**
- * What the parts of a leader share during its term. All of them run in the leader's turn.
+ * What the parts of a leader share during one term. All parts run on the leader's actor, one at a time.
  *
- * @param term the number of the term, which is also the fencing token
- * @param timer runs work in the leader's turn; what is left is dropped when the term ends
+ * @param term the term number, which is also the fencing token
+ * @param timer runs work on the leader's actor; work still scheduled when the term ends is dropped
  */
 public record TermContext(
         long term,
@@ -21,7 +21,7 @@
         ClusterState cluster,
         MachineTypeCatalog machineTypes,
         RuntimeEstimator runtimes) {
-    /** The steady clock, in milliseconds. */
+    /** The current time of the monotonic clock, in milliseconds. */
     public long nowMs() {
         return loop.nowMs();
     }
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -20,22 +20,23 @@
     /** Known deployments: staleness bound, leader lease, grace period and worker lease fit into the time. */
     @ParameterizedTest
     @CsvSource({"3, 22, 42, 16856", "5, 22, 42, 14856", "3, 29, 54, 21842", "5, 29, 54, 19842", "3, 20, 40, 16860"})
-    void fitsWithAHeartbeatPeriodToSpare(
+    void boundFitsTimeoutWithAHeartbeatPeriodToSpare(
             double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long stalenessBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertEquals(stalenessBoundMs, deployment.stalenessBoundMs(leaderS));
         assertTrue(deployment.cancellationBoundMs(leaderS) <= 1000 * (cancelTimeoutS - heartbeatPeriodS));
-        double lapsedMs = 1000 * leaderS + deployment.gracePeriodMs(leaderS) + 1000 * leaseS;
+        double lapsedLeaseBoundMs = 1000 * leaderS + deployment.gracePeriodMs(leaderS) + 1000 * leaseS;
         assertTrue(
-                lapsedMs <= 1000 * (cancelTimeoutS - heartbeatPeriodS),
-                () -> "leader lease, grace period and worker lease take ms=" + lapsedMs);
+                lapsedLeaseBoundMs <= 1000 * (cancelTimeoutS - heartbeatPeriodS),
+                () -> "leader lease, grace period and worker lease take ms=" + lapsedLeaseBoundMs);
     }
 
     /** A timeout barely above the worker lease: the bound is the leader lease, there is no grace period, and it fits. */
     @ParameterizedTest
     @CsvSource({"2, 20, 24, 23140", "3, 20, 23.5, 23140"})
-    void barelyFits(double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long cancellationBoundMs) {
+    void boundFitsTimeoutWithoutGracePeriod(
+            double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long cancellationBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertEquals(cancellationBoundMs, deployment.cancellationBoundMs(leaderS));
@@ -46,7 +47,7 @@
     /** A timeout not above the worker lease: a machine that can't be reached keeps its tasks for longer. */
     @ParameterizedTest
     @CsvSource({"3, 20, 20", "3, 20, 22", "5, 29, 10"})
-    void exceedsTheTimeout(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
+    void boundExceedsTimeoutNotAboveWorkerLease(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertTrue(deployment.cancellationBoundMs(leaderS) > 1000 * cancelTimeoutS);
--- a/src/test/java/notchpick/coordination/TestDeployments.java
+++ b/src/test/java/notchpick/coordination/TestDeployments.java
@@ -22,7 +22,7 @@
     }
 
     /** Controller "n-0" with these peers and teams, in zone "east". */
-    public static Deployment deployment(WorkerTiming timing, List<Peer> peers, List<Quota> teams) {
+    public static Deployment deployment(WorkerTiming timing, List<Peer> peers, List<Quota> quotas) {
         return new Deployment(
                 "n-0",
                 "a:1",
@@ -31,7 +31,7 @@
                 "c:1",
                 "s:1",
                 List.of("east"),
-                teams,
+                quotas,
                 ServiceObjectives.NONE,
                 timing,
                 LIMITS,
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import notchpick.coordination.Deployment;
 import notchpick.coordination.TestDeployments;
-import notchpick.coordination.leader.heartbeat.HeartbeatValidator.Verdict;
+import notchpick.coordination.leader.heartbeat.HeartbeatValidator.Decision;
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.model.ClusterState;
 import notchpick.model.Machine;
@@ -21,14 +21,14 @@
     private static final double LEADER_LEASE_S = 3;
     private static final Deployment DEPLOYMENT = TestDeployments.deployment(TestDeployments.TIMING);
 
-    private long now = 5000;
+    private long nowMs = 5000;
     private final ClusterState cluster = new ClusterState(ended -> {});
     private final LeaderAuthority authority =
-            new LeaderAuthority(() -> now, DEPLOYMENT, LEADER_LEASE_S, LEASE_UNTIL_MS);
+            new LeaderAuthority(() -> nowMs, DEPLOYMENT, LEADER_LEASE_S, LEASE_UNTIL_MS);
     private final HeartbeatValidator validator = new HeartbeatValidator(cluster, authority, TERM);
 
     HeartbeatValidatorTest() {
-        authority.recordCompleteRead(now);
+        authority.recordCompleteRead(nowMs);
         authority.markRecovered();
     }
 
@@ -38,57 +38,57 @@
 
     private Machine knownMachine(long incarnation, long sequence) {
         Machine machine = new Machine("m-1", new NodePool("m8", "east", true), new Resources(8, 0, 64), 0);
-        machine.heartbeatAccepted(incarnation, sequence, null, now);
+        machine.heartbeatAccepted(incarnation, sequence, null, nowMs);
         cluster.addMachine(machine);
         return machine;
     }
 
     @Test
-    void acceptsTheNextHeartbeatUnderItsOwnToken() {
+    void acceptsNewerHeartbeatsWithTheCurrentToken() {
         knownMachine(1, 5);
-        assertEquals(Verdict.ACCEPT, validator.validate(heartbeat(1, 6, TERM)));
-        assertEquals(Verdict.ACCEPT, validator.validate(heartbeat(2, 0, TERM)));
+        assertEquals(Decision.ACCEPT, validator.validate(heartbeat(1, 6, TERM)));
+        assertEquals(Decision.ACCEPT, validator.validate(heartbeat(2, 0, TERM)));
     }
 
     @Test
-    void refusesDuplicatesAndFormerIncarnations() {
+    void refusesStaleHeartbeats() {
         knownMachine(2, 5);
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(2, 5, TERM)));
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(2, 4, TERM)));
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(1, 9, TERM)));
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(2, 5, TERM)));
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(2, 4, TERM)));
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(1, 9, TERM)));
     }
 
     @Test
-    void refusesWorkersThatKnowALaterTerm() {
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(1, 1, TERM + 1)));
+    void refusesWorkersWithALaterToken() {
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(1, 1, TERM + 1)));
     }
 
     @Test
-    void introducesItsTokenToWorkersOfAFormerTerm() {
-        assertEquals(Verdict.INTRODUCE_TOKEN, validator.validate(heartbeat(1, 1, TERM - 1)));
+    void sendsTokenToWorkersOfAFormerTerm() {
+        assertEquals(Decision.SEND_TOKEN, validator.validate(heartbeat(1, 1, TERM - 1)));
     }
 
     @Test
-    void acceptsWorkersThatNeverHadACommand() {
-        assertEquals(Verdict.ACCEPT, validator.validate(heartbeat(1, 1, 0)));
+    void acceptsWorkersThatNeverReceivedACommand() {
+        assertEquals(Decision.ACCEPT, validator.validate(heartbeat(1, 1, 0)));
     }
 
     @Test
-    void introducesItsTokenWhereAFormerLeaderMayHaveLaunchedTasks() {
+    void sendsTokenWhereAFormerLeaderMayHaveLaunchedTasks() {
         knownMachine(1, 0).markLaunchedToByFormerLeader();
-        assertEquals(Verdict.INTRODUCE_TOKEN, validator.validate(heartbeat(1, 1, 0)));
+        assertEquals(Decision.SEND_TOKEN, validator.validate(heartbeat(1, 1, 0)));
     }
 
     @Test
-    void refusesMachinesThatTheCloudHasTakenBack() {
+    void refusesRemovedMachines() {
         cluster.removeMachine(knownMachine(1, 0));
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(1, 1, TERM)));
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(1, 1, TERM)));
     }
 
     @Test
-    void refusesAllOnceCancellationsAreUnreadForTooLong() {
-        now += DEPLOYMENT.stalenessBoundMs(LEADER_LEASE_S);
-        authority.extendLease(now + LEASE_UNTIL_MS);
-        assertEquals(Verdict.REFUSE, validator.validate(heartbeat(1, 1, TERM)));
+    void refusesHeartbeatsWhenCancellationReadIsStale() {
+        nowMs += DEPLOYMENT.stalenessBoundMs(LEADER_LEASE_S);
+        authority.extendLease(nowMs + LEASE_UNTIL_MS);
+        assertEquals(Decision.REFUSE, validator.validate(heartbeat(1, 1, TERM)));
     }
 }
