--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -6,15 +6,15 @@
 import notchpick.scheduling.ServiceObjectives;
 
 /**
- * What the platform's settings say of the deployment, and the time bounds that follow from it.
+ * The deployment as described by the platform's settings, and the time bounds and limits that follow from it.
  *
  * @param node the name of this controller
- * @param clientBindAddress the address at which clients are served
- * @param peerBindAddress the address at which peers are served
+ * @param clientBindAddress the address on which clients are served
+ * @param peerBindAddress the address on which peers are served
  * @param peers the other controllers
  * @param quotas the quotas of all teams
- * @param cloudRequestsPerS the requests that the cloud takes in a second
- * @param socketLimit the most connections that this process may have open
+ * @param cloudRequestsPerS the requests that the cloud accepts per second
+ * @param socketLimit the largest number of connections that this process may have open
  */
 public record Deployment(
         String node,
@@ -35,7 +35,7 @@
     public record Peer(String node, String address) {}
 
     /**
-     * The time bounds that workers and users are promised.
+     * The time bounds guaranteed to workers and users.
      *
      * @param heartbeatPeriodS how often a worker sends a heartbeat
      * @param leaseS how long a worker keeps its tasks running without a reply to its heartbeats
@@ -44,24 +44,29 @@
     public record WorkerTiming(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {}
 
     /**
-     * What the state store takes from all controllers together.
+     * The limits of the state store for all controllers together.
      *
-     * @param requestsPerS requests of any kind
-     * @param writesPerS written keys
-     * @param valueBytes the largest value
-     * @param transactionWrites the most keys that one transaction writes
+     * @param requestsPerS requests of any kind per second
+     * @param writesPerS written keys per second
+     * @param valueBytes the size of the largest value
+     * @param transactionWrites the largest number of keys that one transaction may write
      */
     public record StateStoreLimits(double requestsPerS, double writesPerS, int valueBytes, int transactionWrites) {}
 
-    /** What a team is guaranteed, and the most that it may hold; an amount of 0 stands for no limit. */
+    /**
+     * A team's resource limits.
+     *
+     * @param guaranteed the guaranteed resources; the team has no guarantee if both cores and GPUs are 0
+     * @param maximum the most that the team may hold; an amount of 0 means no limit
+     */
     public record Quota(String team, Resources guaranteed, Resources maximum) {
-        /** Whether the team may hold so much in all. */
+        /** Whether the team may hold these resources in total. */
         public boolean allows(Resources held) {
             return (maximum.cores() <= 0 || held.cores() <= maximum.cores() + Resources.EPSILON)
                     && (maximum.gpus() <= 0 || held.gpus() <= maximum.gpus() + Resources.EPSILON);
         }
 
-        /** Whether so much stays within the team's guarantee. */
+        /** Whether these resources in total are within the team's guarantee; false if the team has none. */
         public boolean isWithinGuarantee(Resources held) {
             return (guaranteed.cores() > 0 || guaranteed.gpus() > 0)
                     && held.cores() <= guaranteed.cores() + Resources.EPSILON
@@ -69,47 +74,49 @@
         }
     }
 
-    /** The end of a job takes two writes in one transaction. */
+    /** Ending a job takes two writes in one transaction. */
     private static final int JOB_END_WRITES = 2;
-    /** One transaction takes no more than this part of the writes that the state store takes in a second. */
+    /** One transaction writes at most the state store's write rate per second divided by this. */
     private static final int TRANSACTION_WRITE_RATE_DIVISOR = 5;
-    /** One connection in so many is reserved for this controller's own calls. */
+    /** One connection in this many is reserved for this controller's own calls. */
     private static final int RESERVED_CONNECTIONS_DIVISOR = 8;
-    /** A lease expires elsewhere no later than this after its time, besides clock drift. */
+    /** The margin, besides clock drift, after which a lease is considered expired at another process. */
     private static final long EXPIRY_MARGIN_MS = 100;
-    /** Steady clocks differ by at most a twentieth of a percent each; this covers two of them with a margin. */
+    /** Each monotonic clock drifts by at most 0.05 %; this covers two clocks with a margin. */
     private static final double MAX_CLOCK_DRIFT = 0.002;
 
     /**
-     * The most keys that the leader writes in one transaction. The state store takes no burst of more than a second's
-     * writes: it would refuse a larger transaction forever.
+     * The largest number of keys that the leader writes in one transaction. The state store accepts no burst larger
+     * than one second's writes, and would always refuse a larger transaction.
      */
     public int maxTransactionWrites() {
         int writesPerTransaction = (int) (stateStoreLimits.writesPerS() / TRANSACTION_WRITE_RATE_DIVISOR);
         return Math.min(stateStoreLimits.transactionWrites(), Math.max(JOB_END_WRITES, writesPerTransaction));
     }
 
-    /** The most connections that clients may open: without some of its own a controller could call nobody. */
+    /**
+     * The largest number of connections that clients may open. The rest is reserved for this controller's own calls.
+     */
     public int maxClientConnections() {
         return socketLimit - socketLimit / RESERVED_CONNECTIONS_DIVISOR;
     }
 
-    /** The number of controllers in the deployment. */
+    /** The number of controllers in the deployment, including this one. */
     public int controllerCount() {
         return peers.size() + 1;
     }
 
-    /** The largest value that the state store takes. */
+    /** The size of the largest value that the state store accepts. */
     public int maxValueBytes() {
         return stateStoreLimits.valueBytes();
     }
 
-    /** The keys that all controllers together may write in a second. */
+    /** The number of keys that all controllers together may write to the state store per second. */
     public double stateStoreWritesPerS() {
         return stateStoreLimits.writesPerS();
     }
 
-    /** This controller's part of the requests that the state store takes in a second. */
+    /** This controller's equal share of the state store's request rate. */
     public double ownStateStoreRequestsPerS() {
         return stateStoreLimits.requestsPerS() / controllerCount();
     }
@@ -149,22 +156,22 @@
         return null;
     }
 
-    /** How long a lease of this length is surely held, counted from before it was requested. */
+    /** How long a lease of this length is certain to be held, counted from before it was requested. */
     public static long leaseSafelyHeldMs(long leaseMs) {
         return (long) (leaseMs * (1 - MAX_CLOCK_DRIFT));
     }
 
-    /** After how long a lease of this length has surely expired elsewhere. */
+    /** How long to wait until a lease of this length is certain to have expired at another process. */
     public static long leaseSafelyExpiredMs(double leaseMs) {
         return (long) Math.ceil(leaseMs * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN_MS;
     }
 
     /**
-     * How old the leader's last complete read of users' cancellations may be when it renews a worker's lease. A
-     * cancellation that it does not know was confirmed after that read was sent; the worker's lease, which is counted
-     * from when its heartbeat was sent, must expire within the time that a cancellation may take, with a heartbeat
-     * period to spare. Where the settings leave no time for that, the bound is what a leader needs to lead at all: the
-     * length of its lease.
+     * How old the leader's last complete read of users' cancellations may be when the leader renews a worker's lease. A
+     * cancellation that the leader has not read was confirmed after that read was sent. The worker's lease starts when
+     * its heartbeat was sent and must expire within the cancellation timeout, with one heartbeat period to spare. If
+     * the settings leave too little time for that, the bound is the length of the leader lease, the least with which a
+     * leader can work.
      */
     public long stalenessBoundMs(double leaderLeaseS) {
         return Math.max(
@@ -172,17 +179,19 @@
                 toMs(workerTiming.cancelTimeoutS() - workerTiming.heartbeatPeriodS()) - workerLeaseSafelyExpiredMs());
     }
 
-    /** How long after its confirmation every task of a cancelled job has surely ended, whatever fails. */
+    /**
+     * How long after the confirmation of a cancellation all tasks of the job are certain to have ended, despite faults.
+     */
     public long cancellationBoundMs(double leaderLeaseS) {
         return stalenessBoundMs(leaderLeaseS) + workerLeaseSafelyExpiredMs();
     }
 
     /**
-     * How long a leader whose lease has expired may go on replying to heartbeats, without any command, so that tasks
-     * survive an outage of the state store. A cancellation may have been confirmed by another controller right after
-     * this one was cut off, while its lease was held: even then the leader lease, the grace period and the worker's
-     * lease, which is counted from when the last heartbeat that got a reply was sent, must fit into the time that a
-     * cancellation may take, with a heartbeat period to spare.
+     * How long a leader may continue to reply to heartbeats after its lease has expired. These replies carry no
+     * command; they keep tasks running during an outage of the state store. Another controller may have confirmed a
+     * cancellation just after this one was cut off, while the lease was still held. Even then the leader lease, the
+     * grace period and the worker's lease must together fit into the cancellation timeout, with one heartbeat period to
+     * spare. The worker's lease starts when it sent the last heartbeat that was replied to.
      */
     public long gracePeriodMs(double leaderLeaseS) {
         double graceS = Math.min(
@@ -191,7 +200,7 @@
         return toMs(Math.max(0, graceS));
     }
 
-    /** After so long a worker has surely ended its tasks, if no reply has renewed its lease. */
+    /** How long after the last renewal of its lease a worker is certain to have ended its tasks. */
     public long workerLeaseSafelyExpiredMs() {
         return leaseSafelyExpiredMs(workerTiming.leaseS() * Milliseconds.PER_SECOND);
     }
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -17,8 +17,8 @@
 import notchpick.storage.StateKeys;
 
 /**
- * Reads how jobs have ended, those with neighbouring ids by one request, and caches it: outcomes never change. Only of
- * use for jobs that are not open, as an open job has no record.
+ * Reads and caches the outcomes of jobs that have ended. An outcome never changes, and an open job has none. One
+ * request reads the outcomes of jobs with neighbouring ids.
  */
 public final class JobOutcomes {
     private static final int PAGE_SIZE = 100;
@@ -38,17 +38,21 @@
         this.stateStore = stateStore;
     }
 
-    /** The outcome of a job if it is cached; if not, the job may have ended all the same. */
+    /** The cached outcome of a job; empty if none is cached, even though the job may have ended. */
     public Optional<JobRecord> cached(String job) {
         return Optional.ofNullable(cache.get(job));
     }
 
-    /** Caches a durable outcome. */
+    /** Caches an outcome, which must already be durable. */
     public void cache(String job, JobRecord outcome) {
         cache.put(job, outcome);
     }
 
-    /** Gives the durable outcomes of these jobs, by job; empty if the state store did not answer. */
+    /**
+     * Reads the durable outcomes of these jobs.
+     *
+     * @param then is called with the outcomes by job id, without jobs that have none; empty if a read failed
+     */
     public void read(Collection<String> jobs, Consumer<Optional<Map<String, JobRecord>>> then) {
         TreeSet<String> missing = new TreeSet<>();
         Map<String, JobRecord> found = new HashMap<>();
@@ -92,7 +96,7 @@
             }
         }
         if (page.more()) {
-            // Jobs that sort before the end of this page and are not in it have no record.
+            // A job that sorts before the end of this page but is not in it has no record.
             String lastJobId = page.entries().isEmpty()
                     ? missing.first()
                     : jobIdOf(page.entries().get(page.entries().size() - 1));
@@ -106,7 +110,7 @@
         return StateKeys.jobRecordId(entry.key());
     }
 
-    /** A text that sorts before the key and after all keys before it. */
+    /** A string that sorts before the key and after all keys before it. */
     private static String keyBefore(String key) {
         char lastChar = key.charAt(key.length() - 1);
         return key.substring(0, key.length() - 1) + (char) (lastChar - 1) + '~';
--- a/src/main/java/notchpick/coordination/Tuning.java
+++ b/src/main/java/notchpick/coordination/Tuning.java
@@ -1,13 +1,13 @@
 package notchpick.coordination;
 
 /**
- * What the operators may set, beyond the platform's settings. All controllers must have the same values.
+ * Parameters that operators may set in addition to the platform's settings. All controllers must use the same values.
  *
  * @param commitmentDecayS the time constant with which commitments decay (the paper's tau)
  * @param commitmentSaveS how often commitments are saved
  * @param resourceLeaseMs how long resources are leased to the controller that places tasks
- * @param maxSkippedS how long a job may be skipped before it reserves a machine
- * @param leaderLeaseRatio the length of the leader lease, as a part of the worker lease
+ * @param maxSkippedS how long a job may be skipped in allocation before a machine is reserved for it
+ * @param leaderLeaseRatio the length of the leader lease, as a fraction of the worker lease
  */
 public record Tuning(
         double commitmentDecayS,
--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -5,11 +5,11 @@
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.coordination.leader.term.TermContext;
 
-/** Schedules allocation rounds: soon after something has changed, and so that they take a bounded part of the time. */
+/** Schedules allocation rounds shortly after a change, and limits the fraction of time that they take. */
 final class AllocationScheduler implements HeartbeatHandler.AllocationRounds {
-    /** What changes within this part of a heartbeat period is handled in one round. */
+    /** The shortest delay of a round, as a fraction of the heartbeat period; one round handles all changes in it. */
     private static final double DELAY_RATIO = 0.01;
-    /** Rounds take no more than one part in so many of the time, however long one takes. */
+    /** A round is delayed by this many times the duration of the last one, so that rounds leave time for other work. */
     private static final int DELAY_PER_ROUND_TIME = 10;
 
     private final TermContext context;
@@ -21,7 +21,7 @@
     private long startedRounds;
     private long lastRoundMs;
 
-    /** @param roundEnded is run after each round */
+    /** @param roundEnded is run after each round, also after one that was skipped as the lease is not held */
     AllocationScheduler(
             TermContext context, LeaderAuthority authority, ResourceAllocator allocator, Runnable roundEnded) {
         this.context = context;
@@ -50,7 +50,7 @@
         if (authority.hasLease()) {
             long startedAtMs = context.nowMs();
             allocator.runRound();
-            // A round in which this process stood still tells nothing of how long one takes.
+            // Capped, because a pause of the process during the round would make the measured duration too long.
             lastRoundMs = Math.min(context.nowMs() - startedAtMs, minDelayMs);
         }
         roundEnded.run();
--- a/src/main/java/notchpick/coordination/leader/Defragmenter.java
+++ b/src/main/java/notchpick/coordination/leader/Defragmenter.java
@@ -16,10 +16,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** When nothing waits, drains machines in little use whose tasks can write a checkpoint and move elsewhere. */
+/** While no job is waiting, drains little-used machines whose tasks can write a checkpoint and move elsewhere. */
 final class Defragmenter {
     private static final Logger LOG = LoggerFactory.getLogger(Defragmenter.class);
-    /** A task is moved only if it has so many times the time to write a checkpoint still to run. */
+    /** A task is moved only if its remaining run time is more than this many times its checkpoint write time. */
     private static final int MIN_REMAINING_CHECKPOINT_WRITES = 10;
 
     private final TermContext context;
@@ -34,7 +34,7 @@
         this.autoscaler = autoscaler;
     }
 
-    /** Drains as many machines as may be drained at a time. */
+    /** Drains machines until as many are draining as are allowed at a time. */
     void run(long nowMs) {
         if (leases.isAnyHeld() || autoscaler.isProvisioningLate() || isWorkWaiting()) {
             return;
@@ -72,7 +72,7 @@
         machine.assignments().forEach(TaskAssignment::requestCheckpointAndStop);
     }
 
-    /** The machine's tasks; empty if one of them can't be moved now, or moving it would not pay. */
+    /** The machine's tasks; empty if one of them can't be moved now or is not worth moving. */
     private Optional<List<JobSpec>> movableTasks(Machine machine, long nowMs) {
         List<JobSpec> tasks = new ArrayList<>();
         for (TaskAssignment assignment : machine.assignments()) {
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -35,42 +35,44 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * Acts for all controllers during one term: the only one that gives workers commands. It composes the parts of a leader,
- * connects them, and drives them periodically; all of them run in its turn and end with it.
+ * The leader of one term, the only controller that sends commands to workers. This actor creates and connects the parts
+ * of the leader and runs their periodic work. All parts run on this actor and end with it.
  */
 public final class Leader extends Actor<Leader.Message> {
-    /** The messages to the leader. */
     public sealed interface Message {}
 
-    /** The leader lease has been renewed. */
+    /** The leader lease has been renewed and is held at least until this time. */
     public record LeaseRenewed(long untilMs) implements Message {}
 
-    /** The term is over. */
+    /** The term has ended. The leader refuses all pending heartbeats and stops. */
     public record TermEnded() implements Message {}
 
-    /** The machine types, without which no machine's resources are known. */
+    /** The current machine types. Recovery starts with the first, as it needs the resources of machines. */
     public record MachineTypesUpdated(List<MachineType> types) implements Message {}
 
     /**
-     * A worker's heartbeat has come.
+     * A worker's heartbeat has arrived.
      *
-     * @param relayed whether it has come through another controller
+     * @param relayed whether it came through another controller
      */
     public record HeartbeatReceived(Heartbeat heartbeat, Consumer<Response> reply, boolean relayed)
             implements Message {}
 
-    /** Ends the leadership of this controller. */
+    /** Ends this controller's term as leader. */
     @FunctionalInterface
     public interface StepDownHandler {
-        /** Another controller should lead, for this reason. */
+        /** Ends the term, so that another controller may lead; the reason is for the log. */
         void stepDown(String reason);
     }
 
-    /** The parts are reviewed so many times in a heartbeat period. */
+    /** How often the periodic work runs in a heartbeat period. */
     private static final int TICKS_PER_HEARTBEAT = 3;
-    /** Cancellations are read as often as the leader lease is renewed, lest their age shorten the grace period. */
+    /**
+     * Cancellations are read as often as the leader lease is renewed. Older reads would end the renewal of worker
+     * leases before the grace period is over.
+     */
     private static final int CANCELLATION_READS_PER_LEASE = 5;
-    /** The leader's writes take this part of the rate; users' submissions and cancellations have the rest. */
+    /** The leader's fraction of the write rate; the rest is left to users' submissions and cancellations. */
     private static final double WRITE_RATE_RATIO = 0.7;
 
     private final Deployment deployment;
@@ -195,8 +197,6 @@
         tick();
     }
 
-    // ---- periodic work -------------------------------------------------------------------------
-
     private long tickMs() {
         return context.heartbeatPeriodMs() / TICKS_PER_HEARTBEAT;
     }
@@ -234,8 +234,6 @@
         });
     }
 
-    // ---- connections between the parts ---------------------------------------------------------
-
     private void assignmentEnded(TaskAssignment assignment) {
         launches.drop(assignment);
     }
@@ -250,7 +248,10 @@
         rounds.request();
     }
 
-    /** A job's run time, the wait for a heartbeat that its launch can go out with, and the fetch of its image. */
+    /**
+     * A job's expected duration: its run time, the wait for the heartbeat whose reply carries the launch command, and
+     * the fetch of its image.
+     */
     private double expectedStageS(JobSpec spec) {
         return context.runtimes().runS(spec)
                 + deployment.heartbeatPeriodS() / 2
@@ -305,9 +306,7 @@
         }
     }
 
-    // ---- progress, for display -----------------------------------------------------------------
-
-    /** The counts of open jobs that have made progress. */
+    /** The task counts of open jobs with running or completed tasks, for display; empty before recovery. */
     public List<Progress> progress() {
         if (!authority.hasRecovered()) {
             return List.of();
@@ -318,7 +317,7 @@
                 .toList();
     }
 
-    /** The counts of one job; null if it is not open, or not known yet. */
+    /** The task counts of one job, for display; null if the job is not open or recovery is not complete. */
     public Progress progress(String id) {
         Job job = authority.hasRecovered() ? cluster.job(id) : null;
         return job == null ? null : progress(job);
--- a/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
@@ -10,7 +10,7 @@
 import notchpick.protocol.StateStoreClient;
 import notchpick.transport.EventLoop;
 
-/** What a leader uses of its controller, from term to term. */
+/** The objects of the controller that its leader uses; they outlive each term. */
 public record LeaderEnvironment(
         EventLoop loop,
         Deployment deployment,
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -21,8 +21,8 @@
 import notchpick.storage.StateKeys;
 
 /**
- * Reads what a former leader left, one kind of records after the other. Jobs come first: what the others then tell of
- * is a job that is open, or one that has ended for good.
+ * Reads the state that a former leader left, one kind of record after another. Open jobs are read first, so that each
+ * job that a later record refers to is either open or has ended for good.
  */
 final class LeaderRecovery {
     private static final long RETRY_MS = 200;
@@ -52,7 +52,7 @@
         this.allocator = allocator;
     }
 
-    /** @param recovered is given the revision from which changes of open jobs must be watched, once all is read */
+    /** @param recovered is called after everything is read, with the revision from which open jobs must be watched */
     void start(LongConsumer recovered) {
         list(StateKeys.OPEN_JOBS, (open, sentAtMs) -> {
             jobs.loadOpenJobs(open, sentAtMs);
@@ -88,7 +88,7 @@
         });
     }
 
-    /** @param then is given the entries, and when they were requested */
+    /** @param then is called with the entries and the time at which they were requested; failed reads are retried */
     private void list(String prefix, ObjLongConsumer<Listing> then) {
         long sentAtMs = context.nowMs();
         stateStore.listAll(
@@ -102,7 +102,7 @@
                 }));
     }
 
-    /** @param then is given the value, or an empty object where there is no such key */
+    /** @param then is called with the value, or an empty object if there is no such key; failed reads are retried */
     private void get(String key, Consumer<JsonNode> then) {
         stateStore.get(
                 key,
--- a/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
+++ b/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
@@ -5,12 +5,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects that this process stood still. What others sent meanwhile is yet to be read then: their silence from before
- * says nothing.
+ * Detects pauses of this process. After a pause, messages that arrived during it are still unread, so the absence of
+ * messages from before its end is no evidence that their senders are gone.
  */
 final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
-    /** A tick that comes later than so many of its periods shows a pause. */
+    /** More than this many tick periods between two ticks count as a pause. */
     private static final int PAUSE_THRESHOLD_TICKS = 2;
 
     private final TermContext context;
@@ -18,19 +18,19 @@
     private long lastTickAtMs;
     private long runningSinceMs;
 
-    /** @param tickMs the period in which {@link #recordTick} is called */
+    /** @param tickMs the period at which {@link #recordTick} is called */
     ProcessPauseDetector(TermContext context, long tickMs) {
         this.context = context;
         this.tickMs = tickMs;
         this.runningSinceMs = context.nowMs();
     }
 
-    /** The period begins anew. */
+    /** Records that a tick has run. */
     void recordTick() {
         lastTickAtMs = context.nowMs();
     }
 
-    /** Looks whether the process has stood still since the last tick. */
+    /** Checks whether the process has paused since the last tick. */
     void detectPause() {
         long nowMs = context.nowMs();
         long sinceTickMs = nowMs - lastTickAtMs;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The end of the last pause; silence of others from before does not count. */
+    /** The end of the last pause, or the start of the term; missing messages from before it are no evidence. */
     long runningSinceMs() {
         return runningSinceMs;
     }
--- a/src/main/java/notchpick/coordination/leader/ReclaimCheckpointer.java
+++ b/src/main/java/notchpick/coordination/leader/ReclaimCheckpointer.java
@@ -4,9 +4,9 @@
 import notchpick.model.Machine;
 import notchpick.model.TaskAssignment;
 
-/** Has tasks write a checkpoint before the cloud reclaims their spot machine. */
+/** Requests checkpoints from tasks before the cloud reclaims their spot machine. */
 final class ReclaimCheckpointer {
-    /** The command reaches the worker within so many heartbeat periods. */
+    /** The command reaches the worker within this many heartbeat periods. */
     private static final int COMMAND_DELIVERY_PERIODS = 2;
 
     private final double marginS;
@@ -15,7 +15,7 @@
         this.marginS = COMMAND_DELIVERY_PERIODS * context.deployment().heartbeatPeriodS();
     }
 
-    /** Stops the machine's tasks with a checkpoint, each as late as it has time for. */
+    /** Requests a checkpoint and stop from each task on the machine, as late as its checkpoint write time allows. */
     void requestDueCheckpoints(Machine machine) {
         if (machine.reclaimNoticeS() == null) {
             return;
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -11,14 +11,17 @@
 
 /**
  * Decides when the leader steps down because it is badly connected, so that another controller may lead. Only this
- * rests on opinions of links and peers; what frees a task, a machine or a term rests on facts.
+ * decision may rely on estimates of the health of links and peers. Releasing a task, a machine or a term must rely on
+ * facts.
  */
 final class StepDownPolicy {
-    /** A leader that has not read users' cancellations for this part of the cancellation timeout steps down. */
+    /**
+     * A leader steps down if its last read of cancellations is older than this fraction of the cancellation timeout.
+     */
     private static final double MAX_CANCELLATION_READ_AGE_RATIO = 0.25;
-    /** A leader that workers bypass for this part of their lease steps down. */
+    /** A leader steps down if workers bypass it for longer than this fraction of the worker lease. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
-    /** A leader that needs relays for so many worker leases steps down in favour of one that does not. */
+    /** A leader steps down if it has needed relays for more than this many worker leases. */
     private static final int MAX_RELAYED_LEASES = 2;
 
     private final TermContext context;
@@ -30,7 +33,7 @@
     private final double maxRelayedMs;
     private long lastHeartbeatAtMs;
     private long bypassedSinceMs;
-    /** Since when heartbeats have come through other controllers only; 0: some worker gets its replies from here. */
+    /** Since when heartbeats have come only through other controllers; 0 if some worker receives direct replies. */
     private long relayedOnlySinceMs;
 
     StepDownPolicy(
@@ -51,16 +54,16 @@
         this.bypassedSinceMs = context.nowMs();
     }
 
-    /** How long users' cancellations may be unread, in milliseconds. */
+    /** The allowed age of the last complete read of users' cancellations, in milliseconds. */
     long maxCancellationReadAgeMs() {
         return (long) (context.deployment().cancelTimeoutMs() * MAX_CANCELLATION_READ_AGE_RATIO);
     }
 
     /**
-     * A heartbeat has come. A worker that reports here twice in a row has received the first reply; one that reports
-     * for the first time may do so in vain.
+     * Records a heartbeat. Two consecutive direct heartbeats of a worker show that it received the reply to the first;
+     * a single one does not show that replies reach it.
      *
-     * @param relayed whether it has come through another controller
+     * @param relayed whether it came through another controller
      */
     void heartbeatReceived(Heartbeat heartbeat, boolean relayed) {
         lastHeartbeatAtMs = context.nowMs();
@@ -79,18 +82,18 @@
         machine.setReportsDirectly(!relayed);
     }
 
-    /** Why a leader that has not yet read what a former leader left must step down, if it must. */
+    /** The reason to step down before the former leader's state has been read; empty if there is none. */
     Optional<String> reasonBeforeRecovery() {
-        // In an outage nobody else could read it either.
+        // Without the leader lease the state store has an outage, and no other controller could read the state either.
         return !authority.hasRecovered() && authority.leaseHeldMs() > context.heartbeatPeriodMs()
                 ? Optional.of("the former leader's state can't be read")
                 : Optional.empty();
     }
 
     /**
-     * Why the leader must step down, if it must.
+     * The reason to step down; empty if there is none.
      *
-     * @param runningSinceMs silence from before then says nothing
+     * @param runningSinceMs the end of the last pause of this process; nothing missing from before it counts
      */
     Optional<String> reason(long runningSinceMs) {
         long nowMs = context.nowMs();
@@ -110,7 +113,10 @@
         return Optional.empty();
     }
 
-    /** One worker that has just come up, and asks its way to the leader, is no sign of a partition. */
+    /**
+     * Whether workers have bypassed the leader for some time. A short time is not enough: it may come from one worker
+     * that has just started and is looking for the leader.
+     */
     private boolean isBypassed(long nowMs, long runningSinceMs) {
         boolean hasRecentHeartbeat = nowMs - Math.max(lastHeartbeatAtMs, runningSinceMs) < maxBypassedMs;
         if (hasRecentHeartbeat || !isLikelyCutOff()) {
@@ -121,8 +127,8 @@
     }
 
     /**
-     * Whether others are known to be reached by workers, or nothing is known of any other controller while workers
-     * should report: then it is more likely that this controller is cut off than that all of them are gone.
+     * Whether this controller is probably cut off: either workers reach other controllers, or no peer is live although
+     * some machine is ready. In the second case, a fault here is more likely than a failure of all the others.
      */
     private boolean isLikelyCutOff() {
         return peers.redirects() > 0
@@ -133,9 +139,9 @@
     }
 
     /**
-     * In an outage nobody can read cancellations, nor be elected: to step down would only end the grace period in which
-     * heartbeats are replied to. When the outage is over, the cancellations come within a heartbeat period, or another
-     * controller shall read them.
+     * Whether a stale read of cancellations is tolerated because the state store has an outage. No controller can then
+     * read cancellations or be elected, so stepping down would only end the grace period in which heartbeats are
+     * replied to. After the outage, this leader has one heartbeat period to read cancellations before it steps down.
      */
     private boolean isStalenessTolerated() {
         long heldMs = authority.leaseHeldMs();
--- a/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/WorkerLeaseMonitor.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Frees the tasks of machines whose worker lease has surely expired. */
+/** Unassigns the tasks of machines whose worker lease is certain to have expired. */
 final class WorkerLeaseMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerLeaseMonitor.class);
 
@@ -20,9 +20,9 @@
         this.leaseSafelyExpiredMs = context.deployment().workerLeaseSafelyExpiredMs();
     }
 
-    /** Frees the machine's tasks if its worker has surely killed them. */
+    /** Unassigns the machine's tasks if its worker is certain to have killed them. */
     void unassignIfExpired(Machine machine, long nowMs) {
-        // Until the machine is reconciled, a former leader may have renewed its lease during its grace period.
+        // Until the machine is reconciled, a former leader may have renewed the worker's lease in the grace period.
         long lastRenewedAtMs = machine.lastHeartbeatAt() + (machine.isReconciled() ? 0 : gracePeriodMs);
         if (machine.state() == Machine.State.PROVISIONING || nowMs - lastRenewedAtMs <= leaseSafelyExpiredMs) {
             return;
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -35,7 +35,9 @@
         this.journal = journal;
     }
 
-    /** Applies the heartbeat; true if an allocation round may now do more: something ended, is new or is schedulable. */
+    /**
+     * Applies the heartbeat; true if an allocation round may now do more: something ended, is new or is schedulable.
+     */
     boolean reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
         boolean changed = !machine.hasReported();
         changed |= endFormerIncarnation(machine, heartbeat);
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
@@ -5,7 +5,9 @@
 import notchpick.model.Machine;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 
-/** Decides whether a heartbeat is accepted, from the leader's authority, the fencing token and the heartbeat's order. */
+/**
+ * Decides whether a heartbeat is accepted, from the leader's authority, the fencing token and the heartbeat's order.
+ */
 final class HeartbeatValidator {
     /** How a heartbeat is handled. */
     enum Decision {
--- a/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
@@ -25,7 +25,7 @@
     /**
      * @param clock the monotonic clock, in milliseconds
      * @param leaderLeaseS the length of the leader lease
-     * @param leaseUntilMs when the lease with which the term began runs out
+     * @param leaseUntilMs when the lease with which the term began expires
      */
     public LeaderAuthority(LongSupplier clock, Deployment deployment, double leaderLeaseS, long leaseUntilMs) {
         this.clock = clock;
@@ -80,17 +80,17 @@
     }
 
     /**
-     * Whether a reply may renew a worker's lease. A leader that has not read which jobs are open can't stop the tasks of
-     * jobs that have ended. If it renewed leases, a series of leaders that each lost the term before reading would keep
-     * those tasks running forever.
+     * Whether a reply may renew a worker's lease. A leader that has not read which jobs are open can't stop the tasks
+     * of jobs that have ended. If it renewed leases, a series of leaders that each lost the term before reading would
+     * keep those tasks running forever.
      */
     public boolean canRenewWorkerLease() {
         return recovered && isInGracePeriod() && isReadWithin(stalenessBoundMs);
     }
 
     /**
-     * Whether a worker's lease may be renewed although one of its tasks should be stopped. This matters while the leader
-     * lease is expired, when no stop command may be sent.
+     * Whether a worker's lease may be renewed although one of its tasks should be stopped. This matters while the
+     * leader lease is expired, when no stop command may be sent.
      *
      * @param jobOpenUntilMs a time at which the task's job had not been cancelled
      */
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bounds from the confirmation of a cancellation to the end of the last task, term by term as in design.md. */
+/** Checks the time from the confirmation of a cancellation to the end of the last task, per bound in design.md. */
 class CancellationBoundTest {
     private static Deployment deployment(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         return TestDeployments.deployment(new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS));
@@ -17,7 +17,7 @@
         return leaseS * Tuning.DEFAULT.leaderLeaseRatio();
     }
 
-    /** Known deployments: staleness bound, leader lease, grace period and worker lease fit into the time. */
+    /** Usual settings: both sums of bounds fit into the timeout, with a heartbeat period to spare. */
     @ParameterizedTest
     @CsvSource({"3, 22, 42, 16856", "5, 22, 42, 14856", "3, 29, 54, 21842", "5, 29, 54, 19842", "3, 20, 40, 16860"})
     void boundFitsTimeoutWithAHeartbeatPeriodToSpare(
@@ -32,7 +32,9 @@
                 () -> "leader lease, grace period and worker lease take ms=" + lapsedLeaseBoundMs);
     }
 
-    /** A timeout barely above the worker lease: the bound is the leader lease, there is no grace period, and it fits. */
+    /**
+     * Timeout barely above the worker lease: staleness bound is the leader lease, no grace period, the sum still fits.
+     */
     @ParameterizedTest
     @CsvSource({"2, 20, 24, 23140", "3, 20, 23.5, 23140"})
     void boundFitsTimeoutWithoutGracePeriod(
@@ -44,10 +46,10 @@
         assertEquals(0, deployment.gracePeriodMs(leaderS));
     }
 
-    /** A timeout not above the worker lease: a machine that can't be reached keeps its tasks for longer. */
+    /** Timeout not safely above the worker lease: an unreachable machine may run its tasks past the timeout. */
     @ParameterizedTest
     @CsvSource({"3, 20, 20", "3, 20, 22", "5, 29, 10"})
-    void boundExceedsTimeoutNotAboveWorkerLease(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
+    void boundExceedsTimeoutNotSafelyAboveWorkerLease(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertTrue(deployment.cancellationBoundMs(leaderS) > 1000 * cancelTimeoutS);
--- a/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/heartbeat/HeartbeatValidatorTest.java
@@ -14,7 +14,7 @@
 import notchpick.scheduling.Resources;
 import org.junit.jupiter.api.Test;
 
-/** A heartbeat counts only under the leader's own fencing token, once, and in order. */
+/** Heartbeats are accepted only with the leader's own fencing token, once each, and in order. */
 class HeartbeatValidatorTest {
     private static final long TERM = 4;
     private static final long LEASE_UNTIL_MS = 10_000;
