--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -39,6 +39,7 @@
  * of the leader and runs their periodic work. All parts run on this actor and end with it.
  */
 public final class Leader extends Actor<Leader.Message> {
+    /** A message to the leader actor. */
     public sealed interface Message {}
 
     /** The leader lease has been renewed and is held at least until this time. */
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatValidator.java
@@ -33,6 +33,7 @@
         this.term = term;
     }
 
+    /** Decides how to handle the heartbeat; changes no state. */
     Decision validate(Heartbeat heartbeat) {
         // A delayed heartbeat may come from a machine that has already been removed.
         if (!authority.canRenewWorkerLease()
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks the time from the confirmation of a cancellation to the end of the last task, per bound in design.md. */
+/**
+ * Checks the bounds on the time from the confirmation of a cancellation to the end of the last task, as derived in
+ * design.md.
+ */
 class CancellationBoundTest {
     private static Deployment deployment(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         return TestDeployments.deployment(new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS));
@@ -17,7 +20,10 @@
         return leaseS * Tuning.DEFAULT.leaderLeaseRatio();
     }
 
-    /** Usual settings: both sums of bounds fit into the timeout, with a heartbeat period to spare. */
+    /**
+     * With usual settings, two sums fit into the timeout with a heartbeat period to spare: staleness bound plus worker
+     * lease, and leader lease plus grace period plus worker lease.
+     */
     @ParameterizedTest
     @CsvSource({"3, 22, 42, 16856", "5, 22, 42, 14856", "3, 29, 54, 21842", "5, 29, 54, 19842", "3, 20, 40, 16860"})
     void boundFitsTimeoutWithAHeartbeatPeriodToSpare(
@@ -33,7 +39,8 @@
     }
 
     /**
-     * Timeout barely above the worker lease: staleness bound is the leader lease, no grace period, the sum still fits.
+     * With a timeout barely above the worker lease, the staleness bound is the leader lease and there is no grace period;
+     * staleness bound plus worker lease still fit into the timeout.
      */
     @ParameterizedTest
     @CsvSource({"2, 20, 24, 23140", "3, 20, 23.5, 23140"})
@@ -46,7 +53,10 @@
         assertEquals(0, deployment.gracePeriodMs(leaderS));
     }
 
-    /** Timeout not safely above the worker lease: an unreachable machine may run its tasks past the timeout. */
+    /**
+     * With a timeout not safely above the worker lease, a machine that can't be reached may run its tasks past the
+     * timeout.
+     */
     @ParameterizedTest
     @CsvSource({"3, 20, 20", "3, 20, 22", "5, 29, 10"})
     void boundExceedsTimeoutNotSafelyAboveWorkerLease(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
