--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -35,42 +35,45 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * Acts for all controllers during one term: the only one that gives workers commands. It composes the parts of a leader,
- * connects them, and drives them periodically; all of them run in its turn and end with it.
+ * The leader of one term, the only controller that sends commands to workers. This actor creates and connects the parts
+ * of the leader and runs their periodic work. All parts run on this actor and end with it.
  */
 public final class Leader extends Actor<Leader.Message> {
-    /** The messages to the leader. */
+    /** A message to the leader actor. */
     public sealed interface Message {}
 
-    /** The leader lease has been renewed. */
+    /** The leader lease has been renewed and is held at least until this time. */
     public record LeaseRenewed(long untilMs) implements Message {}
 
-    /** The term is over. */
+    /** The term has ended. The leader refuses all pending heartbeats and stops. */
     public record TermEnded() implements Message {}
 
-    /** The machine types, without which no machine's resources are known. */
+    /** The current machine types. Recovery starts with the first, as it needs the resources of machines. */
     public record MachineTypesUpdated(List<MachineType> types) implements Message {}
 
     /**
-     * A worker's heartbeat has come.
+     * A worker's heartbeat has arrived.
      *
-     * @param relayed whether it has come through another controller
+     * @param relayed whether it came through another controller
      */
     public record HeartbeatReceived(Heartbeat heartbeat, Consumer<Response> reply, boolean relayed)
             implements Message {}
 
-    /** Ends the leadership of this controller. */
+    /** Ends this controller's term as leader. */
     @FunctionalInterface
     public interface StepDownHandler {
-        /** Another controller should lead, for this reason. */
+        /** Ends the term, so that another controller may lead; the reason is for the log. */
         void stepDown(String reason);
     }
 
-    /** The parts are reviewed so many times in a heartbeat period. */
+    /** How often the periodic work runs in a heartbeat period. */
     private static final int TICKS_PER_HEARTBEAT = 3;
-    /** Cancellations are read as often as the leader lease is renewed, lest their age shorten the grace period. */
-    private static final int WATCHES_PER_LEASE = 5;
-    /** The leader's writes take this part of the rate; users' submissions and cancellations have the rest. */
+    /**
+     * Cancellations are read as often as the leader lease is renewed. Older reads would end the renewal of worker
+     * leases before the grace period is over.
+     */
+    private static final int CANCELLATION_READS_PER_LEASE = 5;
+    /** The leader's fraction of the write rate; the rest is left to users' submissions and cancellations. */
     private static final double WRITE_RATE_RATIO = 0.7;
 
     private final Deployment deployment;
@@ -94,7 +97,7 @@
     private final ReclaimCheckpointer reclaims;
     private final Defragmenter defragmenter;
     private final StepDownPolicy stepDownPolicy;
-    private boolean recoveryBegun;
+    private boolean recoveryStarted;
 
     public Leader(LeaderEnvironment environment, ElectedTerm term, StepDownHandler stepDownHandler) {
         super(environment.loop());
@@ -116,7 +119,7 @@
                 new ResourceLeaseListener());
         this.allocator = new ResourceAllocator(context, environment.tuning(), leases);
         this.rounds = new AllocationScheduler(context, authority, allocator, this::replyToHeartbeats);
-        this.jobs = jobTracker(environment, leaderLeaseMs / WATCHES_PER_LEASE);
+        this.jobs = jobTracker(environment, leaderLeaseMs / CANCELLATION_READS_PER_LEASE);
         this.launches = new TaskLaunchLog(context, writer, new LaunchListener());
         this.machineHealth = new MachineHealthMonitor(context);
         this.heartbeats = new HeartbeatHandler(context, authority, machineHealth, new Journal(), rounds);
@@ -129,7 +132,7 @@
         this.stepDownPolicy = new StepDownPolicy(
                 context, authority, environment.peers(), environment.links(), environment.stateStoreTransport());
         scheduleRepeatedly(
-                stepDownPolicy.maxUnreadMs(),
+                stepDownPolicy.maxCancellationReadAgeMs(),
                 () -> stepDownPolicy.reasonBeforeRecovery().ifPresent(stepDownHandler::stepDown));
     }
 
@@ -166,9 +169,9 @@
             authority.extendLease(renewed.untilMs());
         } else if (message instanceof MachineTypesUpdated updated) {
             context.machineTypes().update(updated.types());
-            if (!recoveryBegun) {
-                recoveryBegun = true;
-                recovery.begin(this::recovered);
+            if (!recoveryStarted) {
+                recoveryStarted = true;
+                recovery.start(this::recovered);
             }
         } else if (message instanceof HeartbeatReceived received) {
             stepDownPolicy.heartbeatReceived(received.heartbeat(), received.relayed());
@@ -189,41 +192,39 @@
         jobs.watch(openJobsRevision);
         autoscaler.refreshInventory();
         scheduleRepeatedly(context.heartbeatPeriodMs(), autoscaler::refreshInventory);
-        pauses.ticked();
+        pauses.recordTick();
         scheduleRepeatedly(tickMs(), this::tick);
         scheduleRepeatedly(commitmentSaveMs, this::saveCommitments);
         tick();
     }
 
-    // ---- periodic work -------------------------------------------------------------------------
-
     private long tickMs() {
         return context.heartbeatPeriodMs() / TICKS_PER_HEARTBEAT;
     }
 
     private void tick() {
-        long now = context.nowMs();
-        pauses.check();
-        pauses.ticked();
+        long nowMs = context.nowMs();
+        pauses.detectPause();
+        pauses.recordTick();
         for (Machine machine : cluster.copyOfMachines()) {
-            workerLeases.review(machine, now);
-            reclaims.review(machine);
-            machineHealth.review(machine, now);
+            workerLeases.unassignIfExpired(machine, nowMs);
+            reclaims.requestDueCheckpoints(machine);
+            machineHealth.reviewSuspicion(machine, nowMs);
         }
-        stepDownPolicy.reason(pauses.awakeSince()).ifPresent(stepDownHandler::stepDown);
-        if (authority.holdsLease()) {
+        stepDownPolicy.reason(pauses.runningSinceMs()).ifPresent(stepDownHandler::stepDown);
+        if (authority.hasLease()) {
             launches.compact();
             jobs.compact();
             reviewScaling();
-            defragmenter.run(now);
+            defragmenter.run(nowMs);
             rounds.request();
         }
     }
 
     private void reviewScaling() {
-        if (authority.holdsLease()) {
-            pauses.check();
-            autoscaler.review(pauses.awakeSince());
+        if (authority.hasLease()) {
+            pauses.detectPause();
+            autoscaler.review(pauses.runningSinceMs());
         }
     }
 
@@ -234,8 +235,6 @@
         });
     }
 
-    // ---- connections between the parts ---------------------------------------------------------
-
     private void assignmentEnded(TaskAssignment assignment) {
         launches.drop(assignment);
     }
@@ -250,7 +249,10 @@
         rounds.request();
     }
 
-    /** A job's run time, the wait for a heartbeat that its launch can go out with, and the fetch of its image. */
+    /**
+     * A job's expected duration: its run time, the wait for the heartbeat whose reply carries the launch command, and
+     * the fetch of its image.
+     */
     private double expectedStageS(JobSpec spec) {
         return context.runtimes().runS(spec)
                 + deployment.heartbeatPeriodS() / 2
@@ -295,19 +297,17 @@
 
     private final class Journal implements TaskJournal {
         @Override
-        public void taskCompleted(Job job, int task) {
+        public void recordCompletion(Job job, int task) {
             jobs.taskCompleted(job, task);
         }
 
         @Override
-        public void taskAdopted(TaskAssignment assignment) {
+        public void recordAdoption(TaskAssignment assignment) {
             launches.record(assignment);
         }
     }
 
-    // ---- progress, for display -----------------------------------------------------------------
-
-    /** The counts of open jobs that have made progress. */
+    /** The task counts of open jobs with running or completed tasks, for display; empty before recovery. */
     public List<Progress> progress() {
         if (!authority.hasRecovered()) {
             return List.of();
@@ -318,7 +318,7 @@
                 .toList();
     }
 
-    /** The counts of one job; null if it is not open, or not known yet. */
+    /** The task counts of one job, for display; null if the job is not open or recovery is not complete. */
     public Progress progress(String id) {
         Job job = authority.hasRecovered() ? cluster.job(id) : null;
         return job == null ? null : progress(job);
--- a/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderRecovery.java
@@ -21,8 +21,8 @@
 import notchpick.storage.StateKeys;
 
 /**
- * Reads what a former leader left, one kind of records after the other. Jobs come first: what the others then tell of
- * is a job that is open, or one that has ended for good.
+ * Reads the state that a former leader left, one kind of record after another. Open jobs are read first, so that each
+ * job that a later record refers to is either open or has ended for good.
  */
 final class LeaderRecovery {
     private static final long RETRY_MS = 200;
@@ -52,23 +52,23 @@
         this.allocator = allocator;
     }
 
-    /** @param recovered is given the revision from which changes of open jobs must be watched, once all is read */
-    void begin(LongConsumer recovered) {
-        list(StateKeys.OPEN_JOBS, (open, sentAt) -> {
-            jobs.loadOpenJobs(open, sentAt);
+    /** @param recovered is called after everything is read, with the revision from which open jobs must be watched */
+    void start(LongConsumer recovered) {
+        list(StateKeys.OPEN_JOBS, (open, sentAtMs) -> {
+            jobs.loadOpenJobs(open, sentAtMs);
             loadCompletions(() -> recovered.accept(open.revision()));
         });
     }
 
     private void loadCompletions(Runnable then) {
-        list(StateKeys.COMPLETIONS, (completions, sentAt) -> {
+        list(StateKeys.COMPLETIONS, (completions, sentAtMs) -> {
             jobs.loadCompletions(completions);
             loadLaunches(then);
         });
     }
 
     private void loadLaunches(Runnable then) {
-        list(StateKeys.LAUNCHES, (recorded, sentAt) -> {
+        list(StateKeys.LAUNCHES, (recorded, sentAtMs) -> {
             launches.load(recorded);
             loadReleased(then);
         });
@@ -88,21 +88,21 @@
         });
     }
 
-    /** @param then is given the entries, and when they were requested */
+    /** @param then is called with the entries and the time at which they were requested; failed reads are retried */
     private void list(String prefix, ObjLongConsumer<Listing> then) {
-        long sentAt = context.nowMs();
+        long sentAtMs = context.nowMs();
         stateStore.listAll(
                 prefix,
                 result -> context.timer().schedule(0, () -> {
                     if (result instanceof Ok<Listing> ok) {
-                        then.accept(ok.value(), sentAt);
+                        then.accept(ok.value(), sentAtMs);
                     } else {
                         context.timer().schedule(RETRY_MS, () -> list(prefix, then));
                     }
                 }));
     }
 
-    /** @param then is given the value, or an empty object where there is no such key */
+    /** @param then is called with the value, or an empty object if there is no such key; failed reads are retried */
     private void get(String key, Consumer<JsonNode> then) {
         stateStore.get(
                 key,
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -11,14 +11,17 @@
 
 /**
  * Decides when the leader steps down because it is badly connected, so that another controller may lead. Only this
- * rests on opinions of links and peers; what frees a task, a machine or a term rests on facts.
+ * decision may rely on estimates of the health of links and peers. Releasing a task, a machine or a term must rely on
+ * facts.
  */
 final class StepDownPolicy {
-    /** A leader that has not read users' cancellations for this part of the cancellation timeout steps down. */
-    private static final double MAX_UNREAD_CANCEL_RATIO = 0.25;
-    /** A leader that workers bypass for this part of their lease steps down. */
+    /**
+     * A leader steps down if its last read of cancellations is older than this fraction of the cancellation timeout.
+     */
+    private static final double MAX_CANCELLATION_READ_AGE_RATIO = 0.25;
+    /** A leader steps down if workers bypass it for longer than this fraction of the worker lease. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
-    /** A leader that needs relays for so many worker leases steps down in favour of one that does not. */
+    /** A leader steps down if it has needed relays for more than this many worker leases. */
     private static final int MAX_RELAYED_LEASES = 2;
 
     private final TermContext context;
@@ -28,10 +31,10 @@
     private final FailoverStateStoreTransport stateStoreTransport;
     private final double maxBypassedMs;
     private final double maxRelayedMs;
-    private long lastHeartbeatAt;
-    private long bypassedSince;
-    /** Since when heartbeats have come through other controllers only; 0: some worker gets its replies from here. */
-    private long relayedOnlySince;
+    private long lastHeartbeatAtMs;
+    private long bypassedSinceMs;
+    /** Since when heartbeats have come only through other controllers; 0 if some worker receives direct replies. */
+    private long relayedOnlySinceMs;
 
     StepDownPolicy(
             TermContext context,
@@ -47,60 +50,61 @@
         long workerLeaseMs = context.deployment().workerLeaseMs();
         this.maxBypassedMs = workerLeaseMs * MAX_BYPASSED_LEASE_RATIO;
         this.maxRelayedMs = (double) MAX_RELAYED_LEASES * workerLeaseMs;
-        this.lastHeartbeatAt = context.nowMs();
-        this.bypassedSince = context.nowMs();
+        this.lastHeartbeatAtMs = context.nowMs();
+        this.bypassedSinceMs = context.nowMs();
     }
 
-    /** How long users' cancellations may be unread, in milliseconds. */
-    long maxUnreadMs() {
-        return (long) (context.deployment().cancelTimeoutMs() * MAX_UNREAD_CANCEL_RATIO);
+    /** The allowed age of the last complete read of users' cancellations, in milliseconds. */
+    long maxCancellationReadAgeMs() {
+        return (long) (context.deployment().cancelTimeoutMs() * MAX_CANCELLATION_READ_AGE_RATIO);
     }
 
     /**
-     * A heartbeat has come. A worker that reports here twice in a row has received the first reply; one that reports
-     * for the first time may do so in vain.
+     * Records a heartbeat. Two consecutive direct heartbeats of a worker show that it received the reply to the first;
+     * a single one does not show that replies reach it.
      *
-     * @param relayed whether it has come through another controller
+     * @param relayed whether it came through another controller
      */
     void heartbeatReceived(Heartbeat heartbeat, boolean relayed) {
-        lastHeartbeatAt = context.nowMs();
-        if (relayed && relayedOnlySince == 0) {
-            relayedOnlySince = context.nowMs();
+        lastHeartbeatAtMs = context.nowMs();
+        if (relayed && relayedOnlySinceMs == 0) {
+            relayedOnlySinceMs = context.nowMs();
         }
         Machine machine = context.cluster().machine(heartbeat.machine());
         if (machine == null) {
             return;
         }
         if (!relayed && machine.isReportingDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
-            relayedOnlySince = 0;
+            relayedOnlySinceMs = 0;
             machine.health().recordReceivedReply();
             links.workerReplyDelivered(heartbeat.zone());
         }
         machine.setReportingDirectly(!relayed);
     }
 
-    /** Why a leader that has not yet read what a former leader left must step down, if it must. */
+    /** The reason to step down before the former leader's state has been read; empty if there is none. */
     Optional<String> reasonBeforeRecovery() {
-        // In an outage nobody else could read it either.
+        // Without the leader lease the state store has an outage, and no other controller could read the state either.
         return !authority.hasRecovered() && authority.leaseHeldMs() > context.heartbeatPeriodMs()
                 ? Optional.of("the former leader's state can't be read")
                 : Optional.empty();
     }
 
     /**
-     * Why the leader must step down, if it must.
+     * The reason to step down; empty if there is none.
      *
-     * @param awakeSince silence from before then says nothing
+     * @param runningSinceMs the end of the last pause of this process; nothing missing from before it counts
      */
-    Optional<String> reason(long awakeSince) {
-        long now = context.nowMs();
-        if (now - Math.max(authority.lastCompleteReadSentAtMs(), awakeSince) > maxUnreadMs() && !isExcused()) {
+    Optional<String> reason(long runningSinceMs) {
+        long nowMs = context.nowMs();
+        if (nowMs - Math.max(authority.lastCompleteReadSentAtMs(), runningSinceMs) > maxCancellationReadAgeMs()
+                && !isStalenessTolerated()) {
             return Optional.of("cancellations can't be read");
         }
-        if (isBypassed(now, awakeSince)) {
+        if (isBypassed(nowMs, runningSinceMs)) {
             return Optional.of("workers do not reach it, but do reach others");
         }
-        if (relayedOnlySince != 0 && now - Math.max(relayedOnlySince, awakeSince) > maxRelayedMs) {
+        if (relayedOnlySinceMs != 0 && nowMs - Math.max(relayedOnlySinceMs, runningSinceMs) > maxRelayedMs) {
             return Optional.of("workers reach it only through others");
         }
         if (stateStoreTransport.relayedForMs() > maxRelayedMs) {
@@ -109,21 +113,24 @@
         return Optional.empty();
     }
 
-    /** One worker that has just come up, and asks its way to the leader, is no sign of a partition. */
-    private boolean isBypassed(long now, long awakeSince) {
-        boolean hasLatelyHeard = now - Math.max(lastHeartbeatAt, awakeSince) < maxBypassedMs;
-        if (hasLatelyHeard || !othersMayBeBetterConnected()) {
-            bypassedSince = now;
+    /**
+     * Whether workers have bypassed the leader for some time. A short time is not enough: it may come from one worker
+     * that has just started and is looking for the leader.
+     */
+    private boolean isBypassed(long nowMs, long runningSinceMs) {
+        boolean hasRecentHeartbeat = nowMs - Math.max(lastHeartbeatAtMs, runningSinceMs) < maxBypassedMs;
+        if (hasRecentHeartbeat || !isLikelyCutOff()) {
+            bypassedSinceMs = nowMs;
             return false;
         }
-        return now - bypassedSince > maxBypassedMs;
+        return nowMs - bypassedSinceMs > maxBypassedMs;
     }
 
     /**
-     * Whether others are known to be reached by workers, or nothing is known of any other controller while workers
-     * should report: then it is more likely that this controller is cut off than that all of them are gone.
+     * Whether this controller is probably cut off: either workers reach other controllers, or no peer is live although
+     * some machine is ready. In the second case, a fault here is more likely than a failure of all the others.
      */
-    private boolean othersMayBeBetterConnected() {
+    private boolean isLikelyCutOff() {
         return peers.redirects() > 0
                 || (!context.deployment().peers().isEmpty()
                         && peers.livePeers().isEmpty()
@@ -132,11 +139,11 @@
     }
 
     /**
-     * In an outage nobody can read cancellations, nor be elected: to step down would only end the grace period in which
-     * heartbeats are replied to. When the outage is over, the cancellations come within a heartbeat period, or another
-     * controller shall read them.
+     * Whether a stale read of cancellations is tolerated because the state store has an outage. No controller can then
+     * read cancellations or be elected, so stepping down would only end the grace period in which heartbeats are
+     * replied to. After the outage, this leader has one heartbeat period to read cancellations before it steps down.
      */
-    private boolean isExcused() {
+    private boolean isStalenessTolerated() {
         long heldMs = authority.leaseHeldMs();
         return heldMs < 0 ? authority.isInGracePeriod() : heldMs < context.heartbeatPeriodMs();
     }
--- a/src/test/java/notchpick/coordination/CancellationBoundTest.java
+++ b/src/test/java/notchpick/coordination/CancellationBoundTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bounds from the confirmation of a cancellation to the end of the last task, term by term as in design.md. */
+/**
+ * Checks the bounds on the time from the confirmation of a cancellation to the end of the last task, as derived in
+ * design.md.
+ */
 class CancellationBoundTest {
     private static Deployment deployment(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         return TestDeployments.deployment(new WorkerTiming(heartbeatPeriodS, leaseS, cancelTimeoutS));
@@ -17,25 +20,32 @@
         return leaseS * Tuning.DEFAULT.leaderLeaseRatio();
     }
 
-    /** Known deployments: staleness bound, leader lease, grace period and worker lease fit into the time. */
+    /**
+     * With usual settings, two sums fit into the timeout with a heartbeat period to spare: staleness bound plus worker
+     * lease, and leader lease plus grace period plus worker lease.
+     */
     @ParameterizedTest
     @CsvSource({"3, 22, 42, 16856", "5, 22, 42, 14856", "3, 29, 54, 21842", "5, 29, 54, 19842", "3, 20, 40, 16860"})
-    void fitsWithAHeartbeatPeriodToSpare(
+    void boundFitsTimeoutWithAHeartbeatPeriodToSpare(
             double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long stalenessBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertEquals(stalenessBoundMs, deployment.stalenessBoundMs(leaderS));
         assertTrue(deployment.cancellationBoundMs(leaderS) <= 1000 * (cancelTimeoutS - heartbeatPeriodS));
-        double lapsedMs = 1000 * leaderS + deployment.gracePeriodMs(leaderS) + 1000 * leaseS;
+        double lapsedLeaseBoundMs = 1000 * leaderS + deployment.gracePeriodMs(leaderS) + 1000 * leaseS;
         assertTrue(
-                lapsedMs <= 1000 * (cancelTimeoutS - heartbeatPeriodS),
-                () -> "leader lease, grace period and worker lease take ms=" + lapsedMs);
+                lapsedLeaseBoundMs <= 1000 * (cancelTimeoutS - heartbeatPeriodS),
+                () -> "leader lease, grace period and worker lease take ms=" + lapsedLeaseBoundMs);
     }
 
-    /** A timeout barely above the worker lease: the bound is the leader lease, there is no grace period, and it fits. */
+    /**
+     * With a timeout barely above the worker lease, the staleness bound is the leader lease and there is no grace period;
+     * staleness bound plus worker lease still fit into the timeout.
+     */
     @ParameterizedTest
     @CsvSource({"2, 20, 24, 23140", "3, 20, 23.5, 23140"})
-    void barelyFits(double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long cancellationBoundMs) {
+    void boundFitsTimeoutWithoutGracePeriod(
+            double heartbeatPeriodS, double leaseS, double cancelTimeoutS, long cancellationBoundMs) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertEquals(cancellationBoundMs, deployment.cancellationBoundMs(leaderS));
@@ -43,10 +53,13 @@
         assertEquals(0, deployment.gracePeriodMs(leaderS));
     }
 
-    /** A timeout not above the worker lease: a machine that can't be reached keeps its tasks for longer. */
+    /**
+     * With a timeout not safely above the worker lease, a machine that can't be reached may run its tasks past the
+     * timeout.
+     */
     @ParameterizedTest
     @CsvSource({"3, 20, 20", "3, 20, 22", "5, 29, 10"})
-    void exceedsTheTimeout(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
+    void boundExceedsTimeoutNotSafelyAboveWorkerLease(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
         Deployment deployment = deployment(heartbeatPeriodS, leaseS, cancelTimeoutS);
         double leaderS = leaderLeaseS(leaseS);
         assertTrue(deployment.cancellationBoundMs(leaderS) > 1000 * cancelTimeoutS);
