--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -107,7 +107,8 @@
         switch (exit) {
             case DONE -> {
                 if (assignment.isRunning()) {
-                    runtimes.observe(assignment.spec(), (nowMs - assignment.runningSinceMs()) / Milliseconds.PER_SECOND);
+                    runtimes.observe(
+                            assignment.spec(), (nowMs - assignment.runningSinceMs()) / Milliseconds.PER_SECOND);
                 }
             }
             case STOPPED -> {}
