--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -42,7 +42,7 @@
     /** A message to the leader actor. */
     public sealed interface Message {}
 
-    /** The leader lease has been renewed and is held at least until this time. */
+    /** The leader lease has been renewed and is held at least until {@code untilMs}. */
     public record LeaseRenewed(long untilMs) implements Message {}
 
     /** The term has ended. The leader refuses all pending heartbeats and stops. */
@@ -174,7 +174,7 @@
                 recovery.start(this::recovered);
             }
         } else if (message instanceof HeartbeatReceived received) {
-            stepDownPolicy.heartbeatReceived(received.heartbeat(), received.relayed());
+            stepDownPolicy.recordHeartbeat(received.heartbeat(), received.relayed());
             heartbeats.receive(received.heartbeat(), received.reply());
         } else if (message instanceof TermEnded) {
             heartbeats.refuseAll();
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -21,7 +21,7 @@
     private static final double MAX_CANCELLATION_READ_AGE_RATIO = 0.25;
     /** A leader steps down if workers bypass it for longer than this fraction of the worker lease. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
-    /** A leader steps down if it has needed relays for more than this many worker leases. */
+    /** A leader that has needed relays for longer than this many worker leases steps down, for one that needs none. */
     private static final int MAX_RELAYED_LEASES = 2;
 
     private final TermContext context;
@@ -65,7 +65,7 @@
      *
      * @param relayed whether it came through another controller
      */
-    void heartbeatReceived(Heartbeat heartbeat, boolean relayed) {
+    void recordHeartbeat(Heartbeat heartbeat, boolean relayed) {
         lastHeartbeatAtMs = context.nowMs();
         if (relayed && relayedOnlySinceMs == 0) {
             relayedOnlySinceMs = context.nowMs();
@@ -84,7 +84,8 @@
 
     /** The reason to step down before the former leader's state has been read; empty if there is none. */
     Optional<String> reasonBeforeRecovery() {
-        // Without the leader lease the state store has an outage, and no other controller could read the state either.
+        // If the lease can't be held either, the state store has an outage and no other controller could read the
+        // state.
         return !authority.hasRecovered() && authority.leaseHeldMs() > context.heartbeatPeriodMs()
                 ? Optional.of("the former leader's state can't be read")
                 : Optional.empty();
@@ -102,13 +103,13 @@
             return Optional.of("cancellations can't be read");
         }
         if (isBypassed(nowMs, runningSinceMs)) {
-            return Optional.of("workers do not reach it, but do reach others");
+            return Optional.of("workers do not reach the leader, but may reach other controllers");
         }
         if (relayedOnlySinceMs != 0 && nowMs - Math.max(relayedOnlySinceMs, runningSinceMs) > maxRelayedMs) {
-            return Optional.of("workers reach it only through others");
+            return Optional.of("workers reach the leader only through other controllers");
         }
         if (stateStoreTransport.relayedForMs() > maxRelayedMs) {
-            return Optional.of("it reaches the state store only through others");
+            return Optional.of("the leader reaches the state store only through other controllers");
         }
         return Optional.empty();
     }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The stop commands for a worker whose heartbeat is not accepted yet. They don't wait for the next heartbeat,
-     * because with frequent leader changes no leader might receive one that it accepts.
+     * The stop commands for a worker whose heartbeat is not accepted yet. They don't wait for an accepted
+     * heartbeat, because with frequent leader changes no leader might keep its term long enough to accept one.
      */
     List<TaskCommand> stopsOfEndedJobs(List<TaskStatus> reported) {
         List<TaskCommand> stops = new ArrayList<>();
