--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -13,13 +13,16 @@
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
 
-/** One round of algorithm 1 of the paper: grants resources to the lowest team while its next task fits. */
+/**
+ * One round of algorithm 1 of the paper: grants resources task by task, each time to the team that comes first by group
+ * and rank, until no team's next task fits.
+ */
 final class AllocationRound {
     /**
-     * Teams whose next task is of an earlier group go first; the paper's ranking decides within each. A team that
-     * stays within its guarantee does not wait for others. Urgent work does not wait for what would be preempted for
-     * it: the resources would go back to the lower team, and be asked for again. And what has an objective that can
-     * still be met does not wait for work that has none.
+     * Classifies teams by their next task. Teams are served in the order of these groups and, within a group, by rank.
+     * A team within its guarantee does not wait for others. Urgent jobs go before the work that would be preempted for
+     * them: otherwise the freed resources would go back to the lowest-ranked team and have to be preempted again. Jobs
+     * that can still meet their objective go before all others.
      */
     private enum Group {
         GUARANTEED,
@@ -28,43 +31,43 @@
         OTHERS
     }
 
-    /** Keeps the fetch time of an image finite where the rate is not known. */
+    /** Lower bound of the fetch rate, which keeps the fetch time finite if the rate of the machine type is unknown. */
     private static final double MIN_FETCH_GB_PER_S = 0.01;
-    /** Others may go first for as long as so many fetches of the job's image take. */
+    /** For how long other jobs may go before a job whose image is missing, as a multiple of the image's fetch time. */
     private static final double MAX_DEFERRAL_FETCHES = 2;
 
     private final TermContext context;
     private final CommitmentTracker commitments;
-    private final NodeSelector nodes;
+    private final MachineSelector machineSelector;
     private final BackfillReservations reservations;
     private final PlacementIndex<Machine> index;
     private final Resources capacity;
-    private final long now;
+    private final long nowMs;
 
     AllocationRound(
             TermContext context,
             CommitmentTracker commitments,
-            NodeSelector nodes,
+            MachineSelector machineSelector,
             BackfillReservations reservations,
             PlacementIndex<Machine> index,
             Resources capacity) {
         this.context = context;
         this.commitments = commitments;
-        this.nodes = nodes;
+        this.machineSelector = machineSelector;
         this.reservations = reservations;
         this.index = index;
         this.capacity = capacity;
-        this.now = context.now();
+        this.nowMs = context.now();
     }
 
     /** Grants resources until no team's next task fits. */
-    void run(List<TeamTurn> turns) {
-        List<TeamTurn> active = new ArrayList<>(turns);
+    void run(List<TeamAllocation> allocations) {
+        List<TeamAllocation> active = new ArrayList<>(allocations);
         while (!active.isEmpty()) {
-            TeamTurn lowest = active.stream()
-                    .min(Comparator.<TeamTurn, Group>comparing(this::group)
+            TeamAllocation lowest = active.stream()
+                    .min(Comparator.<TeamAllocation, Group>comparing(this::group)
                             .thenComparingDouble(this::rank)
-                            .thenComparing(TeamTurn::team))
+                            .thenComparing(TeamAllocation::team))
                     .orElseThrow();
             if (!grantNext(lowest)) {
                 active.remove(lowest);
@@ -72,16 +75,16 @@
         }
     }
 
-    private double rank(TeamTurn turn) {
-        return StatefulDrf.rank(StatefulDrf.share(turn.held(), capacity), commitments.of(turn.team()));
+    private double rank(TeamAllocation allocation) {
+        return StatefulDrf.rank(StatefulDrf.share(allocation.held(), capacity), commitments.of(allocation.team()));
     }
 
-    private Group group(TeamTurn turn) {
-        if (turn.jobs().isEmpty()) {
+    private Group group(TeamAllocation allocation) {
+        if (allocation.jobs().isEmpty()) {
             return Group.OTHERS;
         }
-        JobSpec next = turn.jobs().get(0).spec();
-        if (turn.isWithinGuarantee(next)) {
+        JobSpec next = allocation.jobs().get(0).spec();
+        if (allocation.isWithinGuarantee(next)) {
             return Group.GUARANTEED;
         }
         if (next.isUrgent()) {
@@ -97,35 +100,38 @@
                 .isAttainable(spec, ageS, context.runtimes().runS(spec));
     }
 
-    /** A job, and the machine that its next task would go to. */
+    /** A job and the machine selected for its next task. */
     private record Candidate(Job job, Machine machine) {}
 
-    /** Grants resources to the team's next task that fits; false if none does. */
-    private boolean grantNext(TeamTurn turn) {
-        List<Job> jobs = turn.jobs();
+    /**
+     * Grants resources for one task of the team; returns false if none fits. The first job that fits is served, unless
+     * it can be deferred for a job of the same priority whose image is already on the machine selected for that job.
+     */
+    private boolean grantNext(TeamAllocation allocation) {
+        List<Job> jobs = allocation.jobs();
         Candidate first = null;
         IdentityHashMap<EquivalenceClass, Machine> selected = new IdentityHashMap<>();
         for (int i = 0; i < jobs.size(); ) {
             Job job = jobs.get(i);
-            if (!job.isWaiting() || !turn.isWithinQuota(job.spec())) {
+            if (!job.isWaiting() || !allocation.isWithinQuota(job.spec())) {
                 jobs.remove(i);
                 continue;
             }
             if (first != null && job.spec().priority() != first.job().spec().priority()) {
                 break;
             }
-            Machine machine = selectOrSkip(job, turn, selected);
+            Machine machine = selectOrSkip(job, allocation, selected);
             if (machine == null) {
                 jobs.remove(i);
                 continue;
             }
             if (machine.images().contains(job.spec().image())) {
-                grantInsteadOf(first, turn, job, machine);
+                grantAheadOf(first, allocation, job, machine);
                 return true;
             }
             if (first == null) {
                 first = new Candidate(job, machine);
-                if (group(turn) == Group.GUARANTEED || !mayDefer(job, machine)) {
+                if (group(allocation) == Group.GUARANTEED || !canDefer(job, machine)) {
                     break;
                 }
             }
@@ -134,38 +140,43 @@
         if (first == null) {
             return false;
         }
-        grant(turn, first.job(), first.machine());
+        grant(allocation, first.job(), first.machine());
         return true;
     }
 
-    /** Grants resources to a job whose image is on the machine, which may come after the first job in order. */
-    private void grantInsteadOf(Candidate first, TeamTurn turn, Job job, Machine machine) {
+    /**
+     * Grants resources to a job whose image is on the machine.
+     *
+     * @param first the first job in order, which is deferred for this one; null if {@code job} is the first
+     */
+    private void grantAheadOf(Candidate first, TeamAllocation allocation, Job job, Machine machine) {
         if (first != null && first.job().deferredSince() == 0) {
-            first.job().setDeferredSince(now);
+            first.job().setDeferredSince(nowMs);
         }
-        grant(turn, job, machine);
+        grant(allocation, job, machine);
     }
 
-    /** The machine for the job's next task; null if there is none, and the job is skipped. */
-    private Machine selectOrSkip(Job job, TeamTurn turn, IdentityHashMap<EquivalenceClass, Machine> selected) {
-        Machine machine = select(job, turn, selected);
+    /** Selects a machine for the job's next task; if there is none, marks the job as skipped and returns null. */
+    private Machine selectOrSkip(
+            Job job, TeamAllocation allocation, IdentityHashMap<EquivalenceClass, Machine> selected) {
+        Machine machine = select(job, allocation, selected);
         if (machine == null) {
-            turn.skip(job);
-            if (reservations.skipped(job, turn, index, now)) {
+            allocation.markSkipped(job);
+            if (reservations.recordSkip(job, allocation, index, nowMs)) {
                 selected.clear();
             }
         }
         return machine;
     }
 
-    private Machine select(Job job, TeamTurn turn, IdentityHashMap<EquivalenceClass, Machine> selected) {
-        EquivalenceClass equivalenceClass = turn.classOf(job);
+    private Machine select(Job job, TeamAllocation allocation, IdentityHashMap<EquivalenceClass, Machine> selected) {
+        EquivalenceClass equivalenceClass = allocation.classOf(job);
         if (equivalenceClass == null) {
-            return nodes.select(job, turn, index, reservations, now);
+            return machineSelector.select(job, allocation, index, reservations, nowMs);
         }
         Machine machine = selected.get(equivalenceClass);
-        if (machine == null && !turn.isUnplaceable(equivalenceClass)) {
-            machine = nodes.select(job, turn, index, reservations, now);
+        if (machine == null && !allocation.isUnplaceable(equivalenceClass)) {
+            machine = machineSelector.select(job, allocation, index, reservations, nowMs);
             if (machine != null) {
                 selected.put(equivalenceClass, machine);
             }
@@ -174,30 +185,30 @@
     }
 
     /**
-     * Whether other jobs of the same priority, whose image is on a machine already, may go first. Resources never stay
-     * free for that.
+     * Whether jobs of the same priority whose image is already on a machine may go before this one. If there is no such
+     * job, this one gets the resources at once: they are never kept free.
      */
-    private boolean mayDefer(Job job, Machine machine) {
+    private boolean canDefer(Job job, Machine machine) {
         double rate = Math.max(context.machineTypes().fetchGbPerS(machine.type()), MIN_FETCH_GB_PER_S);
         double fetchMs = Milliseconds.PER_SECOND * job.spec().imageGb() / rate;
         return !job.spec().isUrgent()
-                && (job.deferredSince() == 0 || now - job.deferredSince() < MAX_DEFERRAL_FETCHES * fetchMs);
+                && (job.deferredSince() == 0 || nowMs - job.deferredSince() < MAX_DEFERRAL_FETCHES * fetchMs);
     }
 
-    private void grant(TeamTurn turn, Job job, Machine machine) {
+    private void grant(TeamAllocation allocation, Job job, Machine machine) {
         JobSpec spec = job.spec();
         job.setSkippedSince(0);
         if (!machine.images().contains(spec.image())) {
             job.setDeferredSince(0);
         }
         index.update(machine, () -> {
-            // The image will be fetched for this task, and serves those that follow.
+            // The launch fetches the image, so from now on the machine counts as having it.
             machine.addImage(spec.image());
             machine.lease(spec.demand());
         });
         int task = job.nextPendingTask();
         job.leaseTask(task);
-        turn.lease().add(machine, job, task);
-        turn.granted(spec.demand());
+        allocation.lease().add(machine, job, task);
+        allocation.addGranted(spec.demand());
     }
 }
--- a/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/BackfillReservations.java
@@ -9,11 +9,11 @@
 import notchpick.scheduling.PlacementIndex;
 
 /**
- * Reservations against starvation: a job that has been skipped for long keeps others from the machine that comes
- * nearest to having enough free resources. They last for one round.
+ * Prevents starvation: a job that has been skipped for too long reserves the machine with the most free cores among
+ * those that are large enough for its tasks. Reservations last for one round.
  */
 final class BackfillReservations {
-    private final Map<Machine, TeamTurn> reserved = new HashMap<>();
+    private final Map<Machine, TeamAllocation> reserved = new HashMap<>();
     private final double maxSkippedMs;
 
     /** @param maxSkippedMs how long a job may be skipped before it reserves a machine */
@@ -21,32 +21,35 @@
         this.maxSkippedMs = maxSkippedMs;
     }
 
-    /** Whether the machine is reserved for none but this team. */
-    boolean mayUse(TeamTurn turn, Machine machine) {
-        TeamTurn owner = reserved.get(machine);
-        return owner == null || owner == turn;
+    /** Whether the machine is not reserved for another team. */
+    boolean canUse(TeamAllocation allocation, Machine machine) {
+        TeamAllocation owner = reserved.get(machine);
+        return owner == null || owner == allocation;
     }
 
-    /** The job has found no machine; true if that has reserved one, which others then can't use. */
-    boolean skipped(Job job, TeamTurn turn, PlacementIndex<Machine> index, long now) {
+    /**
+     * Records that no machine was found for the job, and reserves one if the job has been skipped for too long. Returns
+     * whether a machine was reserved; the caller must then discard its earlier selections, which may contain it.
+     */
+    boolean recordSkip(Job job, TeamAllocation allocation, PlacementIndex<Machine> index, long nowMs) {
         if (job.skippedSince() == 0) {
-            job.setSkippedSince(now);
+            job.setSkippedSince(nowMs);
             return false;
         }
-        if (now - job.skippedSince() < maxSkippedMs || reserved.containsValue(turn)) {
+        if (nowMs - job.skippedSince() < maxSkippedMs || reserved.containsValue(allocation)) {
             return false;
         }
-        Machine nearest = nearest(job.spec(), index);
-        if (nearest == null) {
+        Machine machine = machineWithMostFreeCores(job.spec(), index);
+        if (machine == null) {
             return false;
         }
-        reserved.put(nearest, turn);
-        // Within the team too: what comes after this job must leave that machine alone.
-        index.remove(nearest);
+        reserved.put(machine, allocation);
+        // Removed from the index because later jobs of the same team must not use the machine either.
+        index.remove(machine);
         return true;
     }
 
-    private Machine nearest(JobSpec spec, PlacementIndex<Machine> index) {
+    private Machine machineWithMostFreeCores(JobSpec spec, PlacementIndex<Machine> index) {
         return index.nodes().stream()
                 .filter(machine -> reserved.get(machine) == null
                         && spec.demand().fitsIn(machine.size())
--- a/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/CommitmentTracker.java
@@ -11,7 +11,7 @@
 import notchpick.scheduling.Resources;
 import notchpick.scheduling.StatefulDrf;
 
-/** Keeps the commitment of each team: its overuse of each resource, which decays over time. */
+/** Tracks the commitment of each team: its past overuse of each resource, which decays exponentially. */
 final class CommitmentTracker {
 
     private final TermContext context;
@@ -19,14 +19,14 @@
     private final double decayS;
     private final Map<String, Resources> commitments = new HashMap<>();
     private final Map<String, Resources> overuse = new HashMap<>();
-    private long updatedAt;
+    private long updatedAtMs;
 
     /** @param decayS the time constant of the decay, in seconds */
     CommitmentTracker(TermContext context, double decayS) {
         this.context = context;
         this.cluster = context.cluster();
         this.decayS = decayS;
-        this.updatedAt = context.now();
+        this.updatedAtMs = context.now();
     }
 
     Map<String, Resources> all() {
@@ -37,20 +37,20 @@
         return commitments.getOrDefault(team, Resources.NONE);
     }
 
-    /** Takes in what a former leader saved. */
+    /** Loads the commitments that a former leader saved. */
     void load(Map<String, Resources> saved) {
         commitments.putAll(saved);
     }
 
     /**
-     * Applies equation 12 of the paper over the time since the last update, in which the shares did not change.
+     * Applies equation 12 of the paper to the time since the last update, during which the shares were constant.
      *
-     * @param activeTeams the teams that have open jobs
+     * @param activeTeams the teams that have open jobs which are not blocked by dependencies
      */
     void update(Set<String> activeTeams, Resources capacity) {
-        long now = context.now();
-        double elapsedS = (now - updatedAt) / Milliseconds.PER_SECOND;
-        updatedAt = now;
+        long nowMs = context.now();
+        double elapsedS = (nowMs - updatedAtMs) / Milliseconds.PER_SECOND;
+        updatedAtMs = nowMs;
         Set<String> teams = new HashSet<>(commitments.keySet());
         teams.addAll(activeTeams);
         for (String team : teams) {
--- a/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/EquivalenceClass.java
@@ -6,7 +6,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** What placement depends on: jobs of the same class find the same machine. */
+/** The properties of a job that the selection of a machine depends on: one selection serves all jobs of a class. */
 record EquivalenceClass(
         Resources demand,
         List<String> types,
@@ -15,7 +15,10 @@
         boolean onDemand,
         boolean urgent,
         String image) {
-    /** The class of the job; empty where placement also depends on its other tasks, or on machines that failed it. */
+    /**
+     * The class of the job; empty if placement also depends on where its other tasks are or on which machines it
+     * failed.
+     */
     static Optional<EquivalenceClass> of(Job job) {
         JobSpec spec = job.spec();
         if (spec.hasZoneConstraint() || job.hasFailed()) {
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -16,7 +16,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** Encodes a resource lease as the message to its holder. */
+/** Encodes a resource lease as the grant message to its holder. */
 final class GrantEncoder {
     private final TermContext context;
     private final long leaseMs;
@@ -28,18 +28,19 @@
     }
 
     Grant encode(ResourceLease lease) {
-        return new Grant(context.number(), lease.number(), lease.team(), leaseMs, leasedMachines(lease), tasks(lease));
+        return new Grant(
+                context.number(), lease.number(), lease.team(), leaseMs, encodeMachines(lease), encodeTasks(lease));
     }
 
-    private static List<Room> leasedMachines(ResourceLease lease) {
+    private static List<Room> encodeMachines(ResourceLease lease) {
         Set<String> images = new HashSet<>();
         lease.tasks().keySet().forEach(job -> images.add(job.spec().image()));
         List<Room> machines = new ArrayList<>();
-        lease.resources().forEach((machine, leased) -> machines.add(leasedMachine(machine, leased, images)));
+        lease.resources().forEach((machine, leased) -> machines.add(encodeMachine(machine, leased, images)));
         return machines;
     }
 
-    private static Room leasedMachine(Machine machine, Resources leased, Set<String> images) {
+    private static Room encodeMachine(Machine machine, Resources leased, Set<String> images) {
         return new Room(
                 machine.name(),
                 machine.type(),
@@ -51,13 +52,13 @@
                 images.stream().filter(machine.images()::contains).toList());
     }
 
-    private List<Want> tasks(ResourceLease lease) {
+    private List<Want> encodeTasks(ResourceLease lease) {
         List<Want> wants = new ArrayList<>();
-        lease.tasks().forEach((job, tasks) -> wants.add(tasks(lease, job, tasks)));
+        lease.tasks().forEach((job, tasks) -> wants.add(encodeTasks(lease, job, tasks)));
         return wants;
     }
 
-    private Want tasks(ResourceLease lease, Job job, BitSet tasks) {
+    private Want encodeTasks(ResourceLease lease, Job job, BitSet tasks) {
         JobSpec spec = job.spec();
         String zone = spec.colocated() ? lease.machines().iterator().next().zone() : spec.zone();
         return new Want(
@@ -73,7 +74,7 @@
                 tasks.stream().boxed().toList());
     }
 
-    /** How many more tasks of a spread job each zone takes; empty if the job need not be spread. */
+    /** How many more tasks of the job may be placed in each zone; empty if the job need not be spread over zones. */
     private Map<String, Integer> remainingByZone(JobSpec spec) {
         Map<String, Integer> remaining = new HashMap<>();
         if (spec.spread()) {
--- a/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
@@ -10,35 +10,38 @@
 
 /** Selects the controller that places a team's tasks: teams are partitioned among the live controllers. */
 final class LeaseHolderSelector {
-    /** A controller that let a lease expire holds none for so many heartbeat periods. */
-    private static final int DISTRUST_PERIODS = 2;
+    /** For how many heartbeat periods a controller gets no new lease after it has let one expire. */
+    private static final int EXCLUSION_PERIODS = 2;
 
     private final TermContext context;
     private final Supplier<List<String>> livePeers;
-    private final Map<String, Long> distrustedUntil = new HashMap<>();
+    private final Map<String, Long> excludedUntilMs = new HashMap<>();
 
     LeaseHolderSelector(TermContext context, Supplier<List<String>> livePeers) {
         this.context = context;
         this.livePeers = livePeers;
     }
 
-    /** The controller that places the team's tasks; the first teams go to the leader. */
+    /**
+     * Returns the controller that places the team's tasks. Teams are assigned round robin in the order of their names;
+     * the leader gets the first.
+     */
     String holder(String team) {
         Deployment deployment = context.deployment();
-        List<String> nodes = new ArrayList<>();
-        nodes.add(deployment.node());
-        for (String node : livePeers.get()) {
-            if (distrustedUntil.getOrDefault(node, 0L) <= context.now()) {
-                nodes.add(node);
+        List<String> controllers = new ArrayList<>();
+        controllers.add(deployment.node());
+        for (String controller : livePeers.get()) {
+            if (excludedUntilMs.getOrDefault(controller, 0L) <= context.now()) {
+                controllers.add(controller);
             }
         }
         List<String> teams =
                 deployment.teams().stream().map(Deployment.Quota::team).sorted().toList();
-        return nodes.get(Math.floorMod(teams.indexOf(team), nodes.size()));
+        return controllers.get(Math.floorMod(teams.indexOf(team), controllers.size()));
     }
 
-    /** The controller has let a lease expire. */
-    void leaseExpired(String holder) {
-        distrustedUntil.put(holder, context.now() + DISTRUST_PERIODS * context.heartbeatPeriodMs());
+    /** Excludes a controller that has let a lease expire, for a while. The leader itself is never excluded. */
+    void excludeTemporarily(String holder) {
+        excludedUntilMs.put(holder, context.now() + EXCLUSION_PERIODS * context.heartbeatPeriodMs());
     }
 }
--- a/src/main/java/notchpick/coordination/leader/allocation/NodeSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/MachineSelector.java
@@ -10,42 +10,50 @@
 import notchpick.scheduling.PlacementIndex;
 
 /** Selects a machine for a job's next task. */
-final class NodeSelector {
-    /** A job stays away for so many heartbeat periods from a machine on which a task of it failed. */
+final class MachineSelector {
+    /** For how many heartbeat periods a job avoids a machine on which one of its tasks failed. */
     private static final int FAILURE_AVOIDANCE_PERIODS = 20;
 
     private final ClusterState cluster;
     private final long heartbeatPeriodMs;
 
-    NodeSelector(TermContext context) {
+    MachineSelector(TermContext context) {
         this.cluster = context.cluster();
         this.heartbeatPeriodMs = context.heartbeatPeriodMs();
     }
 
-    /** The best machine for the job's next task, or null if there is none. */
-    Machine select(Job job, TeamTurn turn, PlacementIndex<Machine> index, BackfillReservations reservations, long now) {
+    /** Returns the best machine for the job's next task, or null if there is none. */
+    Machine select(
+            Job job,
+            TeamAllocation allocation,
+            PlacementIndex<Machine> index,
+            BackfillReservations reservations,
+            long nowMs) {
         JobSpec spec = job.spec();
-        // Not forever: where machines are few, the only one that fits may have failed it once.
+        // Limited in time: if there are few machines, the job may have failed on the only one that fits.
         long avoidanceMs = heartbeatPeriodMs * FAILURE_AVOIDANCE_PERIODS;
-        Map<String, Integer> zones = spec.hasZoneConstraint() ? tasksByZone(job, turn.lease()) : Map.of();
-        Predicate<Machine> admits = machine -> spec.allowsZoneAmongTasks(machine.zone(), zones)
+        Map<String, Integer> zones = spec.hasZoneConstraint() ? tasksByZone(job, allocation.lease()) : Map.of();
+        Predicate<Machine> isEligible = machine -> spec.allowsZoneAmongTasks(machine.zone(), zones)
                 && (machine.isSpot() || job.mayUseOnDemand())
-                && !machine.health().hasFailedWithin(spec.id(), now, avoidanceMs)
-                && reservations.mayUse(turn, machine);
+                && !machine.health().hasFailedWithin(spec.id(), nowMs, avoidanceMs)
+                && reservations.canUse(allocation, machine);
         return spec.isUrgent()
-                ? index.chooseSoonest(spec, admits, machine -> launchDelayMs(machine, now))
-                : index.choose(spec, admits);
+                ? index.chooseSoonest(spec, isEligible, machine -> launchDelayMs(machine, nowMs))
+                : index.choose(spec, isEligible);
     }
 
-    /** Commands go out with the replies to heartbeats: when the next reply to this machine can be given. */
-    private long launchDelayMs(Machine machine, long now) {
-        return machine.awaitsReply() ? 0 : Math.max(1, machine.lastHeartbeatAt() + heartbeatPeriodMs - now);
+    /**
+     * The time until a launch command can be sent to the machine. Commands are sent with replies to heartbeats, so it
+     * is 0 while a heartbeat awaits its reply.
+     */
+    private long launchDelayMs(Machine machine, long nowMs) {
+        return machine.awaitsReply() ? 0 : Math.max(1, machine.lastHeartbeatAt() + heartbeatPeriodMs - nowMs);
     }
 
     private Map<String, Integer> tasksByZone(Job job, ResourceLease lease) {
         Map<String, Integer> zones = cluster.tasksByZone(job.id());
         if (lease.covers(job)) {
-            // While a round runs, it is not settled where the job's tasks go: all leased machines count.
+            // The lease holder decides after the round which leased machine each task goes to, so all of them count.
             lease.machines().forEach(machine -> zones.merge(machine.zone(), 1, Integer::sum));
         }
         return zones;
--- a/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
@@ -17,16 +17,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Preempts tasks, after a checkpoint, that keep guaranteed or urgent work waiting. */
+/** Preempts running tasks for guaranteed or urgent work that is waiting. A preempted task writes a checkpoint first. */
 final class PreemptionPlanner {
     private static final Logger LOG = LoggerFactory.getLogger(PreemptionPlanner.class);
-    /** Victims are looked for once in this part of a heartbeat period. */
-    private static final double PERIOD_RATIO = 0.2;
+    /** The minimum time between two searches for tasks to preempt, in heartbeat periods. */
+    private static final double MIN_INTERVAL_PERIODS = 0.2;
 
     private final TermContext context;
     private final Deployment deployment;
     private final ClusterState cluster;
-    private long plannedAt;
+    private long lastPlannedAtMs;
 
     PreemptionPlanner(TermContext context) {
         this.context = context;
@@ -34,16 +34,19 @@
         this.cluster = context.cluster();
     }
 
-    /** Not in each round: it looks at every running task, and only work that has waited for long preempts. */
-    boolean isDue(long now) {
-        return now - plannedAt >= context.heartbeatPeriodMs() * PERIOD_RATIO;
+    /**
+     * Whether {@link #preemptFor} should be called. It is not called in every round, as it examines every running task
+     * and only jobs that have waited for a heartbeat period may preempt.
+     */
+    boolean isDue(long nowMs) {
+        return nowMs - lastPlannedAtMs >= context.heartbeatPeriodMs() * MIN_INTERVAL_PERIODS;
     }
 
-    /** Preempts tasks for what the round has skipped. */
-    void preemptFor(List<TeamTurn> turns, long now) {
-        plannedAt = now;
+    /** Preempts tasks for jobs that the round has skipped. */
+    void preemptFor(List<TeamAllocation> allocations, long nowMs) {
+        lastPlannedAtMs = nowMs;
         List<Preemptor> preemptors = new ArrayList<>();
-        turns.forEach(turn -> addPreemptors(turn, now, preemptors));
+        allocations.forEach(allocation -> addPreemptors(allocation, nowMs, preemptors));
         if (preemptors.isEmpty()) {
             return;
         }
@@ -54,7 +57,8 @@
                 JobSpec spec = assignment.spec();
                 if (assignment.isStopRequested()) {
                     beingFreedCores += spec.demand().cores();
-                } else if (assignment.mayBePreempted(now) && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                } else if (assignment.mayBePreempted(nowMs)
+                        && machine.isSchedulable(nowMs, context.heartbeatPeriodMs())) {
                     victims.add(new Victim<>(assignment, spec, machine.type(), machine.zone(), machine.isSpot()));
                 }
             }
@@ -70,10 +74,10 @@
         }
     }
 
-    private void addPreemptors(TeamTurn turn, long now, List<Preemptor> preemptors) {
-        Quota quota = turn.quota();
-        Resources held = turn.held();
-        for (Job job : turn.skipped()) {
+    private void addPreemptors(TeamAllocation allocation, long nowMs, List<Preemptor> preemptors) {
+        Quota quota = allocation.quota();
+        Resources held = allocation.held();
+        for (Job job : allocation.skipped()) {
             JobSpec spec = job.spec();
             int guaranteedTasks = 0;
             while (quota != null
@@ -82,8 +86,8 @@
                 guaranteedTasks++;
             }
             held = held.plus(spec.demand().times(guaranteedTasks));
-            // Much becomes free by itself within a heartbeat period.
-            boolean hasWaited = now - job.skippedSince() >= context.heartbeatPeriodMs();
+            // Within a heartbeat period, many resources become free without preemption.
+            boolean hasWaited = nowMs - job.skippedSince() >= context.heartbeatPeriodMs();
             if (hasWaited && (guaranteedTasks > 0 || spec.isUrgent())) {
                 int tasks = spec.isUrgent() ? job.startableTasks() : guaranteedTasks;
                 preemptors.add(new Preemptor(spec, tasks, guaranteedTasks > 0));
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -27,7 +27,7 @@
     private final ClusterState cluster;
     private final ResourceLeases leases;
     private final CommitmentTracker commitments;
-    private final NodeSelector nodes;
+    private final MachineSelector machineSelector;
     private final PreemptionPlanner preemption;
     private final double maxSkippedMs;
 
@@ -37,7 +37,7 @@
         this.cluster = context.cluster();
         this.leases = leases;
         this.commitments = new CommitmentTracker(context, tuning.commitmentDecayS());
-        this.nodes = new NodeSelector(context);
+        this.machineSelector = new MachineSelector(context);
         this.preemption = new PreemptionPlanner(context);
         this.maxSkippedMs = tuning.maxSkippedS() * Milliseconds.PER_SECOND;
     }
@@ -47,14 +47,14 @@
         return commitments.all();
     }
 
-    /** Takes in the commitments that a former leader saved. */
+    /** Loads the commitments that a former leader saved. */
     public void loadCommitments(Map<String, Resources> saved) {
         commitments.load(saved);
     }
 
     /** Runs one allocation round. */
     public void runRound() {
-        long now = context.now();
+        long nowMs = context.now();
         Resources capacity = cluster.capacity();
         Map<String, List<Job>> waiting = new HashMap<>();
         Set<String> activeTeams = new HashSet<>();
@@ -64,43 +64,44 @@
             }
             String team = job.spec().team();
             activeTeams.add(team);
-            if (job.isWaiting() && !job.isBackingOff(now)) {
+            if (job.isWaiting() && !job.isBackingOff(nowMs)) {
                 waiting.computeIfAbsent(team, t -> new ArrayList<>()).add(job);
             }
         }
         commitments.update(activeTeams, capacity);
-        waiting.keySet().removeIf(leases::isLeasedTo);
+        waiting.keySet().removeIf(leases::hasLeaseFor);
         if (waiting.isEmpty()) {
             return;
         }
-        List<Machine> schedulable = schedulableMachines(now);
-        boolean isPreemptionDue = preemption.isDue(now);
+        List<Machine> schedulable = schedulableMachines(nowMs);
+        boolean isPreemptionDue = preemption.isDue(nowMs);
         if (schedulable.isEmpty() && !isPreemptionDue) {
             return;
         }
         PlacementIndex<Machine> index = new PlacementIndex<>(schedulable);
-        List<TeamTurn> turns = new ArrayList<>();
-        waiting.forEach((team, jobs) -> turns.add(turn(team, jobs, capacity, activeTeams.size())));
-        new AllocationRound(context, commitments, nodes, new BackfillReservations(maxSkippedMs), index, capacity)
-                .run(turns);
-        turns.forEach(turn -> leases.grant(turn.lease()));
+        List<TeamAllocation> allocations = new ArrayList<>();
+        waiting.forEach((team, jobs) -> allocations.add(newAllocation(team, jobs, capacity, activeTeams.size())));
+        new AllocationRound(
+                        context, commitments, machineSelector, new BackfillReservations(maxSkippedMs), index, capacity)
+                .run(allocations);
+        allocations.forEach(allocation -> leases.grant(allocation.lease()));
         if (isPreemptionDue) {
-            preemption.preemptFor(turns, now);
+            preemption.preemptFor(allocations, nowMs);
         }
     }
 
-    private List<Machine> schedulableMachines(long now) {
+    private List<Machine> schedulableMachines(long nowMs) {
         List<Machine> schedulable = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             if (machine.freeResources().cores() > Resources.EPSILON
-                    && machine.isSchedulable(now, context.heartbeatPeriodMs())) {
+                    && machine.isSchedulable(nowMs, context.heartbeatPeriodMs())) {
                 schedulable.add(machine);
             }
         }
         return schedulable;
     }
 
-    private TeamTurn turn(String team, List<Job> jobs, Resources capacity, int activeTeams) {
+    private TeamAllocation newAllocation(String team, List<Job> jobs, Resources capacity, int activeTeams) {
         List<WaitingJob<Job>> waiting = new ArrayList<>();
         for (Job job : jobs) {
             double runS = context.runtimes().runS(job.spec());
@@ -112,10 +113,13 @@
         double cores = expectedCores(team, capacity, activeTeams);
         JobOrder.sorted(waiting, context.loop().wallTimeMs(), deployment.objectives(), cores)
                 .forEach(next -> ordered.add(next.job()));
-        return new TeamTurn(team, deployment.quota(team), ordered, leases.open(team), cluster.usage(team));
+        return new TeamAllocation(team, deployment.quota(team), ordered, leases.newLease(team), cluster.usage(team));
     }
 
-    /** About what a team can count on: its guarantee, an equal share, or what it has now. */
+    /**
+     * Estimates how many cores the team can count on: the largest of its guarantee, an equal share and what it holds
+     * now, limited by its quota.
+     */
     private double expectedCores(String team, Resources capacity, int activeTeams) {
         double equalShare = capacity.cores() / Math.max(1, activeTeams);
         double cores = Math.max(equalShare, cluster.usage(team).cores());
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLease.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLease.java
@@ -9,7 +9,7 @@
 import notchpick.model.Machine;
 import notchpick.scheduling.Resources;
 
-/** Resources on machines, and the tasks to be placed there, leased to the controller that places a team's tasks. */
+/** Resources on machines and the tasks to be placed on them, leased to the controller that places the team's tasks. */
 final class ResourceLease {
     private static final BitSet NO_TASKS = new BitSet();
 
@@ -25,7 +25,9 @@
         this.holder = holder;
     }
 
-    /** Rises over all terms; it is the attempt number of the tasks placed under the lease. */
+    /**
+     * The number of the lease, which increases across terms. Tasks placed under the lease have it as attempt number.
+     */
     long number() {
         return number;
     }
@@ -39,7 +41,7 @@
         return holder;
     }
 
-    /** Adds resources on the machine for a task. */
+    /** Adds resources on the machine for one task of the job. */
     void add(Machine machine, Job job, int task) {
         resources.merge(machine, job.spec().demand(), Resources::plus);
         tasks.computeIfAbsent(job, j -> new BitSet()).set(task);
@@ -65,17 +67,17 @@
         return resources.keySet();
     }
 
-    /** The leased resources of each machine. */
+    /** The leased resources, by machine. */
     Map<Machine, Resources> resources() {
         return Collections.unmodifiableMap(resources);
     }
 
-    /** The tasks to be placed of each job. */
+    /** The tasks to be placed, by job. */
     Map<Job, BitSet> tasks() {
         return Collections.unmodifiableMap(tasks);
     }
 
-    /** The lease is over: what it covered is free again. */
+    /** Frees the leased resources and tasks when the lease ends. */
     void returnAll() {
         resources.forEach(Machine::returnLeased);
         tasks.forEach((job, leased) -> leased.stream().forEach(job::returnLeasedTask));
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -21,8 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leases granted resources to the controllers that place tasks, and takes their placements back. A placement counts
- * only under a lease that has not expired, from its holder, and only as far as the lease covers it.
+ * Leases granted resources to the controllers that place tasks, and applies the placements that they return. A
+ * placement is accepted only from the holder of a lease that has not expired, and only for tasks and resources that the
+ * lease covers.
  */
 public final class ResourceLeases {
     /** Is notified of the outcome of leased resources. */
@@ -30,12 +31,12 @@
         /** A task has been placed. */
         void taskPlaced(TaskAssignment assignment);
 
-        /** Leased resources are free again, or the team takes part in allocation again. */
+        /** Leased resources are free again, or the team of an ended lease can take part in allocation again. */
         void resourcesReturned();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(ResourceLeases.class);
-    /** Lease numbers carry the term above this many bits, so that they rise over all terms. */
+    /** Lease numbers hold the term above this many bits, so that they increase across terms. */
     private static final int LEASE_BITS = 24;
 
     private final TermContext context;
@@ -44,7 +45,7 @@
     private final PeerClient peerClient;
     private final Listener listener;
     private final long leaseMs;
-    private final LeaseHolderSelector holders;
+    private final LeaseHolderSelector holderSelector;
     private final GrantEncoder encoder;
     private final Map<Long, ResourceLease> leases = new HashMap<>();
     private long lastNumber;
@@ -57,17 +58,17 @@
         this.peerClient = peerClient;
         this.listener = listener;
         this.leaseMs = tuning.resourceLeaseMs();
-        this.holders = new LeaseHolderSelector(context, peers::livePeers);
+        this.holderSelector = new LeaseHolderSelector(context, peers::livePeers);
         this.encoder = new GrantEncoder(context, leaseMs);
         this.lastNumber = context.number() << LEASE_BITS;
     }
 
-    /** A lease that covers nothing yet, and is not held before {@link #grant}. */
-    ResourceLease open(String team) {
-        return new ResourceLease(++lastNumber, team, holders.holder(team));
+    /** Creates an empty lease, which is not held until {@link #grant}. */
+    ResourceLease newLease(String team) {
+        return new ResourceLease(++lastNumber, team, holderSelector.holder(team));
     }
 
-    boolean isLeasedTo(String team) {
+    boolean hasLeaseFor(String team) {
         return leases.values().stream().anyMatch(lease -> lease.team().equals(team));
     }
 
@@ -76,7 +77,7 @@
         return !leases.isEmpty();
     }
 
-    /** Grants the lease to its holder, unless it covers nothing. */
+    /** Grants the lease to its holder; does nothing if the lease is empty. */
     void grant(ResourceLease lease) {
         if (lease.isEmpty()) {
             return;
@@ -85,22 +86,25 @@
         Grant grant = encoder.encode(lease);
         context.timer().schedule(leaseMs, () -> expire(lease));
         if (lease.holder().equals(deployment.node())) {
-            placed(TaskPlacer.place(grant, lease.holder()));
+            applyPlacements(TaskPlacer.place(grant, lease.holder()));
             return;
         }
         peerClient.send(lease.holder(), grant, leaseMs, reply -> {
             if (reply instanceof Placements placements) {
-                context.timer().schedule(0, () -> placed(placements));
+                context.timer().schedule(0, () -> applyPlacements(placements));
             }
         });
     }
 
-    /** The holder has not answered in time: for a while, others place the tasks of its teams. */
+    /**
+     * Ends the lease if its holder has not answered in time. For a while, other controllers then place the tasks of the
+     * holder's teams.
+     */
     private void expire(ResourceLease lease) {
         if (leases.containsKey(lease.number())) {
             LOG.info(
                     "resource lease expired: lease={} team={} holder={}", lease.number(), lease.team(), lease.holder());
-            holders.leaseExpired(lease.holder());
+            holderSelector.excludeTemporarily(lease.holder());
             end(lease);
             listener.resourcesReturned();
         }
@@ -111,14 +115,14 @@
         lease.returnAll();
     }
 
-    /** Takes what a holder has placed, as far as its lease is current and covers it. */
-    void placed(Placements placements) {
+    /** Applies the placements of a holder, as far as its lease is still held and covers them. */
+    void applyPlacements(Placements placements) {
         ResourceLease lease = leases.get(placements.getLease());
         if (lease == null
                 || placements.getTerm() != context.number()
                 || !lease.holder().equals(placements.getNode())) {
             LOG.info(
-                    "placements refused: lease={} holder={} term={} reason=\"no such lease\"",
+                    "placements refused: lease={} holder={} term={} reason=\"lease not held\"",
                     placements.getLease(),
                     placements.getNode(),
                     placements.getTerm());
@@ -130,7 +134,8 @@
         if (refused > 0) {
             LOG.info("placements refused: lease={} count={} accepted={}", lease.number(), refused, accepted);
         }
-        // A team whose lease is held elsewhere takes no part in rounds; and what was not placed is free again.
+        // While another controller held the lease, the team took no part in rounds; and the resources of tasks that
+        // were not placed are free again.
         if (!lease.holder().equals(deployment.node()) || accepted < lease.taskCount()) {
             listener.resourcesReturned();
         }
@@ -138,7 +143,7 @@
 
     private int accept(ResourceLease lease, Placements placements) {
         Map<Machine, Resources> remaining = new HashMap<>(lease.resources());
-        long now = context.now();
+        long nowMs = context.now();
         int accepted = 0;
         for (Placed placed : placements.getPlaced()) {
             Job job = cluster.job(placed.getJob());
@@ -150,7 +155,7 @@
                     || !remaining.containsKey(machine)
                     || !job.isTaskPending(task)
                     || !job.spec().demand().fitsIn(remaining.get(machine))
-                    || !isAdmissible(job, machine, now)) {
+                    || !isAdmissible(job, machine, nowMs)) {
                 continue;
             }
             remaining.merge(machine, job.spec().demand(), Resources::minus);
@@ -161,12 +166,15 @@
         return accepted;
     }
 
-    /** Checks all that the rules ask of a launch, at the moment of the decision. */
-    private boolean isAdmissible(Job job, Machine machine, long now) {
+    /**
+     * Whether the task may be launched on the machine now. Checks the current state, as it may have changed since the
+     * lease was granted.
+     */
+    private boolean isAdmissible(Job job, Machine machine, long nowMs) {
         JobSpec spec = job.spec();
         Quota quota = deployment.quota(spec.team());
         return !job.isBlocked()
-                && machine.isSchedulable(now, context.heartbeatPeriodMs())
+                && machine.isSchedulable(nowMs, context.heartbeatPeriodMs())
                 && spec.demand().fitsIn(machine.freeResources())
                 && spec.allows(machine.type(), machine.zone(), machine.isSpot())
                 && (!spec.hasZoneConstraint()
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskLaunchLog.java
@@ -22,14 +22,14 @@
 import notchpick.storage.Preconditions;
 import notchpick.storage.StateKeys;
 
-/** Keeps durable which tasks may be on which machines; a launch command goes out only once its record is. */
+/** Records durably which tasks may be on which machines. A launch command is sent only once its record is durable. */
 public final class TaskLaunchLog {
     /** Is notified of the outcome of recorded launches. */
     public interface Listener {
-        /** Launches on the machine have become durable, so that their commands may be sent. */
+        /** Launch records of the machine have become durable, so that the launch commands may be sent. */
         void launchesRecorded(Machine machine);
 
-        /** These jobs turned out to have ended when tasks of them were to be launched. */
+        /** Launches were not recorded because these jobs have ended. */
         void jobsFoundEnded(List<String> jobs);
     }
 
@@ -52,16 +52,16 @@
                 PackedRecords.Packing.WORST_FIT,
                 deployment.valueBytes(),
                 deployment.maxTransactionWrites(),
-                this::recorded);
-        records.setPreconditions(assignments -> new Preconditions(openJobs(assignments), this::jobsEnded));
+                this::handleRecorded);
+        records.setPreconditions(assignments -> new Preconditions(openJobVersions(assignments), this::reportEndedJobs));
     }
 
     /**
-     * The descriptions of the jobs of which tasks are to be launched, which a cancellation deletes. A launch can so
-     * become durable, and its command go out, only if that was committed before the job's cancellation was, however
-     * late the leader hears of it.
+     * The versions of the descriptions of the jobs whose launches are to be recorded, by key. A cancellation deletes
+     * the description. As the write requires these versions, a launch becomes durable, and its command is sent, only if
+     * it was committed before the job's cancellation, however late the leader reads the cancellation.
      */
-    private Map<String, Long> openJobs(List<TaskAssignment> assignments) {
+    private Map<String, Long> openJobVersions(List<TaskAssignment> assignments) {
         Map<String, Long> versions = new HashMap<>();
         for (TaskAssignment assignment : assignments) {
             String id = assignment.spec().id();
@@ -73,12 +73,15 @@
         return versions;
     }
 
-    private void jobsEnded(List<String> descriptionKeys) {
+    private void reportEndedJobs(List<String> descriptionKeys) {
         listener.jobsFoundEnded(
                 descriptionKeys.stream().map(key -> StateKeys.openJobId(key)).toList());
     }
 
-    /** Takes in the launches of a former leader: these tasks are not launched anew, and count, until workers report. */
+    /**
+     * Loads the launch records of a former leader. Until workers report, these tasks count as being on their machines
+     * and are not launched again.
+     */
     public void load(Listing listing) {
         for (Entry entry : listing.entries()) {
             writer.versionRead(entry.key(), entry.version());
@@ -97,32 +100,32 @@
     }
 
     private Machine readyMachine(LaunchRecord launch) {
-        long now = context.now();
+        long nowMs = context.now();
         Machine machine = new Machine(
                 launch.machine(),
                 launch.pool(),
                 context.machineTypes().size(launch.pool().type()),
-                now);
-        machine.markReady(now);
+                nowMs);
+        machine.markReady(nowMs);
         return machine;
     }
 
-    /** Records the launch. */
+    /** Makes the launch durable; {@link Listener#launchesRecorded} follows. */
     public void record(TaskAssignment assignment) {
         records.save(assignment);
     }
 
-    /** The task surely is not on its machine any more. */
+    /** Removes the record of a task that is certainly no longer on its machine. */
     public void drop(TaskAssignment assignment) {
         records.remove(assignment);
     }
 
-    /** Rewrites the value that holds most of what has ended. */
+    /** Rewrites the stored value in which removed records take up the most space. */
     public void compact() {
         records.compact();
     }
 
-    private void recorded(List<TaskAssignment> durable) {
+    private void handleRecorded(List<TaskAssignment> durable) {
         Set<Machine> machines = new LinkedHashSet<>();
         for (TaskAssignment assignment : durable) {
             Machine machine = assignment.machine();
--- a/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TaskPlacer.java
@@ -56,7 +56,11 @@
         }
     }
 
-    /** Places the tasks of a grant on the machines whose resources it leases. */
+    /**
+     * Places the tasks of a grant on the machines whose resources it leases; tasks that do not fit are left out.
+     *
+     * @param node the name of this controller
+     */
     public static Placements place(Grant grant, String node) {
         List<LeasedMachine> machines = new ArrayList<>();
         grant.getRooms().forEach(room -> machines.add(new LeasedMachine(room)));
@@ -75,12 +79,12 @@
                 return;
             }
             index.update(machine, () -> machine.free = machine.free.minus(spec.demand()));
-            remainingByZone.computeIfPresent(machine.zone(), (zone, left) -> left - 1);
+            remainingByZone.computeIfPresent(machine.zone(), (zone, remaining) -> remaining - 1);
             placed.add(new Placed(tasks.getJob(), task, machine.leased.getMachine()));
         }
     }
 
-    /** As much of the job's specification as placement depends on. */
+    /** The part of the job's specification that placement depends on. */
     private static JobSpec spec(String team, Want tasks) {
         return JobSpec.builder(tasks.getJob())
                 .team(team)
--- a/src/main/java/notchpick/coordination/leader/allocation/TeamTurn.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/TeamAllocation.java
@@ -11,26 +11,26 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** One team's part in an allocation round: its waiting jobs, and what it has been granted. */
-final class TeamTurn {
+/** The state of one team in an allocation round: its waiting jobs and what it has been granted. */
+final class TeamAllocation {
     private final String team;
     private final Quota quota;
     private final List<Job> jobs;
     private final ResourceLease lease;
     private final Map<Job, EquivalenceClass> classes = new HashMap<>();
-    /** Classes that found no machine; no resources become free during a round. */
+    /** Classes for which no machine was found. They stay unplaceable, as no resources become free during a round. */
     private final Set<EquivalenceClass> unplaceable = new HashSet<>();
-    /** Jobs that found no machine. */
+    /** Jobs for which no machine was found. */
     private final List<Job> skipped = new ArrayList<>();
 
     private Resources held;
 
     /**
-     * @param quota of the team, or null if it has none
-     * @param jobs those that wait, in the order in which they are served
-     * @param held what the team holds before the round
+     * @param quota the team's quota, or null if it has none
+     * @param jobs the waiting jobs, in the order in which they are served; modified by the round
+     * @param held the resources that the team holds before the round
      */
-    TeamTurn(String team, Quota quota, List<Job> jobs, ResourceLease lease, Resources held) {
+    TeamAllocation(String team, Quota quota, List<Job> jobs, ResourceLease lease, Resources held) {
         this.team = team;
         this.quota = quota;
         this.jobs = jobs;
@@ -52,7 +52,9 @@
         return quota;
     }
 
-    /** The jobs that still wait, in the order in which they are served. */
+    /**
+     * The jobs that are still waiting, in the order in which they are served. The round removes jobs from this list.
+     */
     List<Job> jobs() {
         return jobs;
     }
@@ -61,7 +63,7 @@
         return lease;
     }
 
-    /** The equivalence class of the job; null if it is in a class of its own. */
+    /** The equivalence class of the job; null if a machine has to be selected for this job alone. */
     EquivalenceClass classOf(Job job) {
         return classes.get(job);
     }
@@ -70,8 +72,8 @@
         return unplaceable.contains(equivalenceClass);
     }
 
-    /** The job has found no machine. */
-    void skip(Job job) {
+    /** Records that no machine was found for the job. The other jobs of its class then count as unplaceable too. */
+    void markSkipped(Job job) {
         EquivalenceClass equivalenceClass = classOf(job);
         if (equivalenceClass != null) {
             unplaceable.add(equivalenceClass);
@@ -87,17 +89,17 @@
         return held;
     }
 
-    /** Resources for a task have been granted. */
-    void granted(Resources demand) {
+    /** Adds the resources granted for a task to those that the team holds. */
+    void addGranted(Resources demand) {
         held = held.plus(demand);
     }
 
-    /** Whether the job's next task fits into what the team may hold at the most. */
+    /** Whether the team's quota allows it one more task of the job. */
     boolean isWithinQuota(JobSpec spec) {
         return quota == null || quota.allows(held.plus(spec.demand()));
     }
 
-    /** Whether the job's next task fits into what the team may always have. */
+    /** Whether one more task of the job is within the team's guarantee. */
     boolean isWithinGuarantee(JobSpec spec) {
         return quota != null && quota.isWithinGuarantee(held.plus(spec.demand()));
     }
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -40,13 +40,16 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** Only the holder of a current lease can place, and only within its room. */
+/**
+ * Placements are accepted only from the holder of a lease that has not expired and only within what it covers, and the
+ * cost of an allocation round is bounded.
+ */
 class ResourceAllocatorTest {
     private static final long TERM = 7;
     private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
     private final ClusterState cluster = new ClusterState(over -> {});
-    private final List<TaskAssignment> bound = new ArrayList<>();
+    private final List<TaskAssignment> placedTasks = new ArrayList<>();
     private Grant granted;
 
     private final Deployment deployment = TestDeployments.deployment(
@@ -92,7 +95,7 @@
             new ResourceLeases(context, Tuning.DEFAULT, peerRegistry, peerClient, new ResourceLeases.Listener() {
                 @Override
                 public void taskPlaced(TaskAssignment assignment) {
-                    bound.add(assignment);
+                    placedTasks.add(assignment);
                 }
 
                 @Override
@@ -109,7 +112,7 @@
         return new Pulse(node, TERM, "n-0", true, 0, List.of());
     }
 
-    /** Team b's jobs are held by the peer, which is alive. */
+    /** Adds a job of team b and runs a round, which leases resources for it to the live peer n-1. */
     private Job leaseToPeer(int tasks) {
         membership.tell(new PeerMembership.HeartbeatReceived(pulse("n-1")));
         addReadyMachine("m-1");
@@ -129,48 +132,48 @@
     }
 
     @Test
-    void leasesRoomUpToTheTeamsLimit() {
+    void leasesResourcesUpToTeamQuota() {
         leaseToPeer(6);
         assertEquals(4, granted.getRooms().get(0).getCores());
         assertEquals(TERM, granted.getLease() >> 24);
-        leases.placed(placements("n-1", granted.getLease(), 0, 1, 2, 3));
-        assertEquals(4, bound.size());
-        assertTrue(bound.stream().allMatch(b -> b.attempt() == granted.getLease()));
+        leases.applyPlacements(placements("n-1", granted.getLease(), 0, 1, 2, 3));
+        assertEquals(4, placedTasks.size());
+        assertTrue(placedTasks.stream().allMatch(b -> b.attempt() == granted.getLease()));
     }
 
     @Test
-    void refusesAnybodyButTheHolder() {
+    void refusesPlacementsOfWrongHolderLeaseOrTerm() {
         Job job = leaseToPeer(2);
-        leases.placed(placements("n-2", granted.getLease(), 0));
-        leases.placed(placements("n-1", granted.getLease() + 1, 0));
-        leases.placed(new Placements(
+        leases.applyPlacements(placements("n-2", granted.getLease(), 0));
+        leases.applyPlacements(placements("n-1", granted.getLease() + 1, 0));
+        leases.applyPlacements(new Placements(
                 TERM - 1, granted.getLease(), "n-1", placements("n-1", 0, 0).getPlaced()));
-        assertEquals(List.of(), bound);
+        assertEquals(List.of(), placedTasks);
         assertEquals(2, job.leasedTasks());
     }
 
     @Test
-    void refusesWhatTheLeaseDoesNotCover() {
+    void refusesDuplicateAndUnleasedTasks() {
         leaseToPeer(2);
-        leases.placed(placements("n-1", granted.getLease(), 0, 0, 5));
-        assertEquals(1, bound.size());
+        leases.applyPlacements(placements("n-1", granted.getLease(), 0, 0, 5));
+        assertEquals(1, placedTasks.size());
     }
 
     @Test
-    void aLapsedLeaseCoversNothing() {
+    void refusesPlacementsAfterLeaseExpiry() {
         Job job = leaseToPeer(2);
         simulation.runUntil(10 + Tuning.DEFAULT.resourceLeaseMs() + 1);
         assertEquals(2, job.pendingTasks());
-        leases.placed(placements("n-1", granted.getLease(), 0));
-        assertEquals(List.of(), bound);
+        leases.applyPlacements(placements("n-1", granted.getLease(), 0));
+        assertEquals(List.of(), placedTasks);
     }
 
-    /** Allows machine type m8 and counts how often it is asked. */
-    private static final class AnyType extends AbstractList<String> {
-        private final AtomicInteger looks;
+    /** A list of machine types that contains every type and counts how often it is asked. */
+    private static final class CountingTypes extends AbstractList<String> {
+        private final AtomicInteger checks;
 
-        AnyType(AtomicInteger looks) {
-            this.looks = looks;
+        CountingTypes(AtomicInteger checks) {
+            this.checks = checks;
         }
 
         @Override
@@ -185,7 +188,7 @@
 
         @Override
         public boolean contains(Object type) {
-            looks.incrementAndGet();
+            checks.incrementAndGet();
             return true;
         }
     }
@@ -197,11 +200,11 @@
         cluster.addMachine(machine);
     }
 
-    /** Not with tasks x jobs x machines: here that would be 400 million looks at a machine. */
+    /** The cost must not grow with tasks x jobs x machines, which would be 400 million machine checks here. */
     @Test
-    void aRoundsWorkGrowsWithWhatItGrants() {
-        AtomicInteger looks = new AtomicInteger();
-        List<String> anyType = new AnyType(looks);
+    void roundCostGrowsWithGrantedTasks() {
+        AtomicInteger checks = new AtomicInteger();
+        List<String> countingTypes = new CountingTypes(checks);
         for (int i = 0; i < 1000; i++) {
             addReadyMachine("m-" + i);
         }
@@ -211,19 +214,19 @@
             cluster.addJob(new Job(
                     TestJobs.job(id)
                             .tasks(10)
-                            .types(anyType)
+                            .types(countingTypes)
                             .image("i" + i % 10)
                             .build(),
                     1));
             tasks += 10;
         }
         allocator.runRound();
-        assertEquals(tasks, bound.size());
-        assertTrue(looks.get() <= 12 * tasks, looks + " looks at machines for " + tasks + " tasks");
+        assertEquals(tasks, placedTasks.size());
+        assertTrue(checks.get() <= 12 * tasks, checks + " machine checks for " + tasks + " tasks");
     }
 
     @Test
-    void envelopesSurviveTheWire() {
+    void peerProtocolRoundTripsGrantAndRejectsInvalidBytes() {
         leaseToPeer(2);
         assertEquals(granted, PeerProtocol.decode(PeerProtocol.encode(granted)));
         assertEquals(null, PeerProtocol.decode(new byte[] {9, 9, 9}));
