--- a/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/CompletionLog.java
@@ -17,24 +17,27 @@
 import notchpick.storage.RecordedCompletions;
 import notchpick.storage.StateKeys;
 
-/** Keeps durable which tasks of open jobs have completed. */
+/** Records durably which tasks of open jobs have completed. */
 final class CompletionLog {
-    /** A range of so many tasks for each byte of a value takes half of the value: a byte encodes six of them. */
+    /**
+     * The length of a range, in tasks per byte of a value's maximum size. A byte encodes six tasks, so a range takes at
+     * most half of a value.
+     */
     private static final int TASKS_PER_VALUE_BYTE = 3;
 
     private final ClusterState cluster;
     private final int rangeLength;
-    private final Runnable recorded;
+    private final Runnable onRecorded;
     private final PackedRecords<CompletionRange> records;
-    /** The ranges of each job that have completions, by their first task. */
+    /** By job: the ranges that have completions, by their first task. */
     private final Map<Job, Map<Integer, CompletionRange>> ranges = new HashMap<>();
 
-    /** @param recorded is run when completions have become durable */
-    CompletionLog(TermContext context, FencedWriter writer, Runnable recorded) {
+    /** @param onRecorded is run when completions have become durable */
+    CompletionLog(TermContext context, FencedWriter writer, Runnable onRecorded) {
         Deployment deployment = context.deployment();
         this.cluster = context.cluster();
         this.rangeLength = deployment.valueBytes() * TASKS_PER_VALUE_BYTE;
-        this.recorded = recorded;
+        this.onRecorded = onRecorded;
         this.records = new PackedRecords<>(
                 writer,
                 StateKeys.COMPLETIONS,
@@ -42,10 +45,10 @@
                 PackedRecords.Packing.BEST_FIT,
                 deployment.valueBytes(),
                 deployment.maxTransactionWrites(),
-                this::written);
+                this::handleRecorded);
     }
 
-    /** Takes in a value that a former leader wrote. */
+    /** Loads a value that a former leader wrote, without the completions of jobs that have ended. */
     void load(String key, JsonNode value) {
         Set<CompletionRange> loaded = new LinkedHashSet<>();
         for (RecordedCompletions range : CompletionCodec.decode(value)) {
@@ -57,7 +60,7 @@
                 job.complete(range.firstTask() + bit);
                 job.completionRecorded(range.firstTask() + bit);
             });
-            // Another version may have written longer ranges.
+            // Another version of the program may have written longer ranges, which are split into several.
             int end = range.firstTask() + Math.max(1, range.completed().length());
             for (int first = range.firstTask() - range.firstTask() % rangeLength; first < end; first += rangeLength) {
                 loaded.add(range(job, first));
@@ -71,20 +74,20 @@
         records.save(range(job, task - task % rangeLength));
     }
 
-    private CompletionRange range(Job job, int first) {
+    private CompletionRange range(Job job, int firstTask) {
         return ranges.computeIfAbsent(job, j -> new HashMap<>())
                 .computeIfAbsent(
-                        first,
+                        firstTask,
                         f -> new CompletionRange(
                                 job, f, Math.min(rangeLength, job.spec().tasks() - f)));
     }
 
-    private void written(List<CompletionRange> durable) {
+    private void handleRecorded(List<CompletionRange> durable) {
         durable.forEach(CompletionRange::recorded);
-        recorded.run();
+        onRecorded.run();
     }
 
-    /** The job has ended. */
+    /** Removes the completions of a job that has ended. */
     void drop(Job job) {
         Map<Integer, CompletionRange> ended = ranges.remove(job);
         if (ended != null) {
@@ -92,7 +95,7 @@
         }
     }
 
-    /** Rewrites the value that holds most of what has ended. */
+    /** Rewrites the stored value in which removed completions take up the most space. */
     void compact() {
         records.compact();
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -23,23 +23,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tracks job dependencies: blocks jobs until all that they depend on is durably done, has dependencies inherit the
- * priority and deadline of their dependents, and cancels what depends on a cancelled job.
+ * Tracks dependencies between jobs. A job is blocked until all of its dependencies are durably done, dependencies
+ * inherit the priority and deadline of their dependents, and the dependents of a cancelled job are cancelled.
  */
 final class DependencyTracker {
-    /** Is notified of the outcome of jobs with dependencies. */
+    /** Is notified of jobs that become ready or are cancelled because of their dependencies. */
     interface Listener {
-        /** The dependencies of jobs are satisfied. */
+        /** The dependencies of some blocked jobs are now satisfied. */
         void jobsReady();
 
-        /** The cancellation of these jobs, for that of a dependency, is durable. */
-        void cancelledWithDependencies(Collection<String> ids);
+        /** The cancellation of these jobs, which depend on a cancelled one, is durable. */
+        void dependentsCancelled(Collection<String> ids);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
     private static final long RETRY_MS = 200;
-    /** Cascading cancellations take this part of a transaction, as users are told of them without it. */
-    private static final int CASCADE_PART = 4;
+    /**
+     * The number of writes that a transaction may hold, divided by this, limits how many dependents it cancels. Each
+     * takes two writes, so half of the transaction is left for more urgent changes: users already see these jobs as
+     * cancelled.
+     */
+    private static final int CASCADE_DIVISOR = 4;
 
     private final TermContext context;
     private final ClusterState cluster;
@@ -64,32 +68,35 @@
         this.outcomes = outcomes;
         this.stages = stages;
         this.listener = listener;
-        this.maxCascadeJobs = Math.max(1, context.deployment().maxTransactionWrites() / CASCADE_PART);
+        this.maxCascadeJobs = Math.max(1, context.deployment().maxTransactionWrites() / CASCADE_DIVISOR);
         this.graph = new DependencyGraph(cluster::isOpen);
     }
 
-    /** A job has come; {@link #resolveEnded} follows when all that came with it are known. */
-    void opened(Job job) {
+    /**
+     * Adds an open job. {@link #resolveEndedDependencies} must be called once all jobs that were read together are
+     * added, as a job may be added before its dependencies.
+     */
+    void addJob(Job job) {
         JobSpec spec = job.spec();
         graph.opened(spec.id(), spec.dependencies());
         job.setBlocked(graph.isBlocked(spec.id()));
         updatePriorities(criticalPath.add(spec, stages.stageS(spec)));
     }
 
-    /** A job has ended; {@link #resolveEnded} finds out how, should others depend on it. */
-    void closed(String id) {
+    /** Removes a job that has ended. If others depend on it, {@link #resolveEndedDependencies} reads its outcome. */
+    void removeJob(String id) {
         updatePriorities(criticalPath.remove(id));
         graph.closed(id);
     }
 
-    /** It is known, and durable, how a job has ended. */
-    void ended(String id, JobRecord record) {
+    /** Applies the durable outcome of an ended job to its dependents. */
+    void resolveDependents(String id, JobRecord record) {
         boolean anyReady = false;
         for (String ready : graph.resolved(id, record)) {
             Job job = cluster.job(ready);
             job.setBlocked(false);
-            long readyAt = Math.max(job.spec().submittedAt(), graph.lastEndedAt(ready));
-            cluster.respec(job, job.spec().withReadyAt(readyAt));
+            long readyAtMs = Math.max(job.spec().submittedAt(), graph.lastEndedAt(ready));
+            cluster.respec(job, job.spec().withReadyAt(readyAtMs));
             LOG.info("dependencies satisfied: job={} last={}", ready, id);
             anyReady = true;
         }
@@ -97,12 +104,15 @@
             listener.jobsReady();
         }
         if (record.status() == JobStatus.CANCELLED) {
-            cascade();
+            cancelDependents();
         }
     }
 
-    /** Reads how the dependencies ended of which it is only known that they are not open any more. */
-    void resolveEnded() {
+    /**
+     * Reads the outcomes of dependencies that are no longer open and whose outcome is unknown; retries until none is
+     * left.
+     */
+    void resolveEndedDependencies() {
         if (resolving || graph.unresolved().isEmpty()) {
             return;
         }
@@ -111,9 +121,9 @@
                 Set.copyOf(graph.unresolved()),
                 found -> context.timer().schedule(0, () -> {
                     resolving = false;
-                    found.ifPresent(outcomes -> outcomes.forEach(this::ended));
+                    found.ifPresent(outcomes -> outcomes.forEach(this::resolveDependents));
                     if (!graph.unresolved().isEmpty()) {
-                        context.timer().schedule(RETRY_MS, this::resolveEnded);
+                        context.timer().schedule(RETRY_MS, this::resolveEndedDependencies);
                     }
                 }));
     }
@@ -127,16 +137,19 @@
         }
     }
 
-    private void cascade() {
-        // What will never run must not raise the priority of its dependencies.
+    private void cancelDependents() {
+        // A job that will never run must not raise the priority of its dependencies.
         graph.cancelledByDependency().forEach(id -> updatePriorities(criticalPath.remove(id)));
         if (!graph.cancelledByDependency().isEmpty()) {
-            writer.write("cascade", this::prepareCascade);
+            writer.write("cascade", this::prepareCancellations);
         }
     }
 
-    /** A few at a time: that they are cancelled follows from what is stored, so other writes may go first. */
-    private Optional<PreparedChange> prepareCascade() {
+    /**
+     * Prepares the cancellation of a limited number of dependents. Other writes may go first, as it already follows
+     * from the stored data that these jobs are cancelled.
+     */
+    private Optional<PreparedChange> prepareCancellations() {
         List<String> cancelled = new ArrayList<>();
         List<KeyWrite> writes = new ArrayList<>();
         for (String id : graph.cancelledByDependency()) {
@@ -156,14 +169,14 @@
         return Optional.of(new PreparedChange(writes, new PreparedChange.Listener() {
             @Override
             public void committed() {
-                LOG.info("jobs cancelled with a dependency: jobs={}", cancelled);
-                listener.cancelledWithDependencies(cancelled);
-                cascade();
+                LOG.info("jobs cancelled because a dependency was cancelled: jobs={}", cancelled);
+                listener.dependentsCancelled(cancelled);
+                cancelDependents();
             }
 
             @Override
             public void conflicted() {
-                context.timer().schedule(RETRY_MS, DependencyTracker.this::cascade);
+                context.timer().schedule(RETRY_MS, DependencyTracker.this::cancelDependents);
             }
         }));
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -24,21 +24,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows jobs from their acceptance to their end, and makes the completion of tasks and jobs durable. */
+/** Tracks jobs from their acceptance to their end, and makes the completion of tasks and jobs durable. */
 public final class JobTracker {
-    /** Is notified of changes that others wait for. */
+    /** Is notified of changes to the open jobs and of durable completions. */
     public interface Listener {
-        /** Jobs have come, gone, or become ready. */
+        /** Jobs have been opened, have ended or have become ready. */
         void jobsChanged();
 
-        /** Completions have become durable, so that workers may forget them. */
+        /** Completions have become durable, so that workers may drop them. */
         void completionsRecorded();
     }
 
     /** Estimates how long a job takes once its dependencies are satisfied. */
     @FunctionalInterface
     public interface StageEstimator {
-        /** The expected time in seconds from the start of the job's first task to its end. */
+        /** The expected time in seconds from the start of the job's first task to the end of the job. */
         double stageS(JobSpec spec);
     }
 
@@ -76,17 +76,17 @@
     private final class WatchListener implements JobWatch.Listener {
         @Override
         public void watchStarting() {
-            dependencies.resolveEnded();
+            dependencies.resolveEndedDependencies();
         }
 
         @Override
         public void jobOpened(String key, JsonNode description, long version) {
-            opened(key, description, version);
+            addJob(key, description, version);
         }
 
         @Override
         public void jobClosed(String id) {
-            closed(id);
+            closeJob(id);
         }
 
         @Override
@@ -102,21 +102,23 @@
         }
 
         @Override
-        public void cancelledWithDependencies(Collection<String> ids) {
-            cancelled(ids);
+        public void dependentsCancelled(Collection<String> ids) {
+            closeCancelledDependents(ids);
         }
     }
 
-    // ---- recovery ------------------------------------------------------------------------------
-
-    /** Takes in the open jobs, as listed by a request that was sent then. */
+    /**
+     * Replaces the open jobs by those of a complete listing.
+     *
+     * @param sentAtMs when the request for the listing was sent
+     */
     public void loadOpenJobs(Listing open, long sentAtMs) {
         authority.completeReadSentAt(sentAtMs);
         cluster.clearJobs();
-        open.entries().forEach(entry -> opened(entry.key(), entry.value(), entry.version()));
+        open.entries().forEach(entry -> addJob(entry.key(), entry.value(), entry.version()));
     }
 
-    /** Takes in the completions that a former leader recorded. */
+    /** Loads the completions that a former leader recorded. */
     public void loadCompletions(Listing listing) {
         for (Entry entry : listing.entries()) {
             writer.versionRead(entry.key(), entry.version());
@@ -124,24 +126,22 @@
         }
     }
 
-    /** Follows the changes of open jobs from this revision on. */
+    /** Watches for changes of the open jobs after this revision, until the term ends. */
     public void watch(long sinceRevision) {
         watch.start(sinceRevision);
     }
 
-    // ---- lifecycle of a job --------------------------------------------------------------------
-
-    private void opened(String key, JsonNode description, long version) {
+    private void addJob(String key, JsonNode description, long version) {
         String id = StateKeys.openJobId(key);
         if (!cluster.isOpen(id)) {
             Job job = new Job(JobSpecCodec.decode(id, description), version);
             cluster.addJob(job);
-            dependencies.opened(job);
+            dependencies.addJob(job);
         }
     }
 
-    /** The job has ended, by its last task or by its user. */
-    private void closed(String id) {
+    /** Removes a job that was done or cancelled, and stops its tasks. */
+    private void closeJob(String id) {
         Job job = cluster.removeJob(id);
         if (job == null) {
             return;
@@ -151,38 +151,45 @@
         }
         for (TaskAssignment assignment : cluster.assignmentsOf(id)) {
             if (assignment.mayBeOnWorker()) {
-                // The end was confirmed after the last complete read was sent, or would have been known by that.
+                // The end was confirmed after the last complete read was sent; otherwise that read would have shown it.
                 assignment.jobEnded(authority.lastCompleteReadAt());
             } else {
                 cluster.unassign(assignment);
             }
         }
         completions.drop(job);
-        dependencies.closed(id);
+        dependencies.removeJob(id);
     }
 
-    /** A conditional write has shown that these jobs have ended, before the watch has; how they ended is read. */
+    /**
+     * Closes jobs that a failed precondition of a write has shown to have ended, before the watch reports it, and reads
+     * their outcomes.
+     */
     public void closeEndedJobs(List<String> ids) {
-        ids.forEach(this::closed);
-        dependencies.resolveEnded();
+        ids.forEach(this::closeJob);
+        dependencies.resolveEndedDependencies();
         listener.jobsChanged();
     }
 
-    /** Jobs were cancelled because a dependency was: they never ran, so nothing else becomes of them. */
-    private void cancelled(Collection<String> ids) {
+    /**
+     * Closes jobs that were cancelled because a dependency was. Their outcome need not be read: as they never ran, it
+     * can only be the cancellation.
+     */
+    private void closeCancelledDependents(Collection<String> ids) {
         for (String id : ids) {
             Job job = cluster.job(id);
             if (job != null) {
-                closed(id);
-                dependencies.ended(
+                closeJob(id);
+                dependencies.resolveDependents(
                         id, JobRecord.open(job.spec()).cancelled(context.loop().wallTimeMs()));
             }
         }
     }
 
-    // ---- completion ----------------------------------------------------------------------------
-
-    /** A worker reports that the task has completed; it is recorded before the worker may forget it. */
+    /**
+     * Records that a worker has reported the completion of the task, or ends the job if all of its tasks are done. The
+     * worker may drop the completion only once this is durable.
+     */
     public void taskCompleted(Job job, int task) {
         if (job.isDone()) {
             String id = job.id();
@@ -192,7 +199,10 @@
         }
     }
 
-    /** The last transition of a job; conditional on its description, so that it can't cross a cancellation. */
+    /**
+     * Prepares the end of a job that is done. The write requires the current version of the job's description, which a
+     * cancellation deletes, so that a job can't be both done and cancelled.
+     */
     private PreparedChange prepareEnd(Job job) {
         String id = job.id();
         JobRecord record = JobRecord.done(job.spec(), context.loop().wallTimeMs());
@@ -204,22 +214,22 @@
             @Override
             public void committed() {
                 LOG.info("job done: job={} tasks={}", id, job.spec().tasks());
-                closed(id);
-                dependencies.ended(id, record);
+                closeJob(id);
+                dependencies.resolveDependents(id, record);
                 listener.completionsRecorded();
             }
 
             @Override
             public void conflicted() {
-                // Cancelled meanwhile, or ended by a transaction whose reply was lost; the watch tells it too.
-                closed(id);
-                dependencies.resolveEnded();
+                // The job has been cancelled, or ended by a transaction whose reply was lost. The watch reports it too.
+                closeJob(id);
+                dependencies.resolveEndedDependencies();
                 listener.completionsRecorded();
             }
         });
     }
 
-    /** Rewrites values that hold completions of jobs that have ended. */
+    /** Rewrites the stored value in which completions of ended jobs take up the most space. */
     public void compact() {
         completions.compact();
     }
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -15,20 +15,20 @@
 import notchpick.protocol.StateStoreResult.Ok;
 import notchpick.storage.StateKeys;
 
-/** Watches the descriptions of open jobs in the state store, and lists them anew where the watch has fallen behind. */
+/** Watches the descriptions of open jobs in the state store, and lists them again if the watch has fallen behind. */
 final class JobWatch {
-    /** Is notified of the changes that the watch brings. */
+    /** Is notified of changes to the open jobs. */
     interface Listener {
         /** Another watch request is about to be sent. */
         void watchStarting();
 
-        /** The job is open; to be told so again changes nothing. */
+        /** The job is open. This may be called again for the same job, which must have no effect. */
         void jobOpened(String key, JsonNode description, long version);
 
-        /** The job is not open any more. */
+        /** The job is no longer open. */
         void jobClosed(String id);
 
-        /** The changes told so far have been made. */
+        /** All changes of one reply have been reported. */
         void jobsChanged();
     }
 
@@ -37,30 +37,30 @@
     private final TermContext context;
     private final StateStoreClient stateStore;
     private final LeaderAuthority authority;
-    private final long waitMs;
+    private final long watchMs;
     private final Listener listener;
 
-    /** @param waitMs how long one watch request waits for changes */
+    /** @param watchMs how long one watch request waits for changes */
     JobWatch(
             TermContext context,
             StateStoreClient stateStore,
             LeaderAuthority authority,
-            long waitMs,
+            long watchMs,
             Listener listener) {
         this.context = context;
         this.stateStore = stateStore;
         this.authority = authority;
-        this.waitMs = waitMs;
+        this.watchMs = watchMs;
         this.listener = listener;
     }
 
-    /** Follows the changes after this revision, until the term ends. */
+    /** Watches for changes after this revision, until the term ends. */
     void start(long sinceRevision) {
         listener.watchStarting();
-        long sentAt = context.now();
-        stateStore.changes(StateKeys.OPEN_JOBS, sinceRevision, waitMs, inTurn(result -> {
+        long sentAtMs = context.now();
+        stateStore.changes(StateKeys.OPEN_JOBS, sinceRevision, watchMs, onTermTimer(result -> {
             if (result instanceof Ok<Changes> ok) {
-                apply(ok.value(), sentAt);
+                apply(ok.value(), sentAtMs);
                 start(Math.max(sinceRevision, ok.value().revision()));
             } else if (result instanceof Missing<Changes>) {
                 relist();
@@ -70,7 +70,7 @@
         }));
     }
 
-    private void apply(Changes changes, long sentAt) {
+    private void apply(Changes changes, long sentAtMs) {
         for (Change change : changes.log()) {
             if (change.value() != null) {
                 listener.jobOpened(change.key(), change.value(), change.version());
@@ -78,16 +78,16 @@
                 listener.jobClosed(StateKeys.openJobId(change.key()));
             }
         }
-        authority.completeReadSentAt(sentAt);
+        authority.completeReadSentAt(sentAtMs);
         if (!changes.log().isEmpty()) {
             listener.jobsChanged();
         }
     }
 
-    /** The state store has forgotten the changes since the last revision: all open jobs are read again. */
+    /** Lists all open jobs, as the state store no longer holds the changes since the last revision. */
     private void relist() {
-        long sentAt = context.now();
-        stateStore.listAll(StateKeys.OPEN_JOBS, inTurn(result -> {
+        long sentAtMs = context.now();
+        stateStore.listAll(StateKeys.OPEN_JOBS, onTermTimer(result -> {
             if (!(result instanceof Ok<Listing> ok)) {
                 context.timer().schedule(RETRY_MS, this::relist);
                 return;
@@ -98,12 +98,13 @@
                 listener.jobOpened(entry.key(), entry.value(), entry.version());
             }
             context.cluster().jobIds().stream().filter(id -> !open.contains(id)).forEach(listener::jobClosed);
-            authority.completeReadSentAt(sentAt);
+            authority.completeReadSentAt(sentAtMs);
             start(ok.value().revision());
         }));
     }
 
-    private <T> Consumer<T> inTurn(Consumer<T> then) {
+    /** Passes replies on by the timer of the term, which drops them once the term has ended. */
+    private <T> Consumer<T> onTermTimer(Consumer<T> then) {
         return value -> context.timer().schedule(0, () -> then.accept(value));
     }
 }
