--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -222,7 +222,7 @@
         }
         allocator.runRound();
         assertEquals(tasks, placedTasks.size());
-        assertTrue(checks.get() <= 12 * tasks, checks + " machine checks for " + tasks + " tasks");
+        assertTrue(checks.get() <= 12 * tasks, checks + " checks of machines for " + tasks + " tasks");
     }
 
     @Test
