--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -14,13 +14,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the demand with the machines there are, rents what is missing and releases what is not needed. */
+/** Compares the demand of the open jobs with the rented machines, rents missing ones and releases unneeded ones. */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
-    /** A machine silent for this part of the worker lease gets no new tasks, and counts as silent with its zone. */
+    /**
+     * A machine without a heartbeat for this fraction of the worker lease counts as silent: the plan gives it no new
+     * tasks, and zone outages are detected from the number of such machines.
+     */
     private static final double SILENT_LEASE_RATIO = 0.4;
-    /** Renting is planned for the backlog of so many boot times. */
-    private static final double HORIZON_BOOTS = 2;
+    /** Enough machines are rented to work off the backlog within this many boot times of the slowest type. */
+    private static final double PLANNING_HORIZON_BOOT_TIMES = 2;
 
     private final TermContext context;
     private final ClusterState cluster;
@@ -32,74 +35,76 @@
     private final CloudInventory inventory;
 
     /**
-     * @param machineGone is notified of machines on which surely nothing runs any more
-     * @param reviewDue is run when the cloud has given less than was asked for, so that a review is due at once
+     * @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; nothing can run there
+     * @param requestReview is run when the cloud has rented out fewer machines than requested, to review again at once
      */
     public Autoscaler(
             TermContext context,
             CloudClient cloud,
             FencedWriter writer,
-            Consumer<Machine> machineGone,
-            Runnable reviewDue) {
+            Consumer<Machine> onMachineRemoved,
+            Runnable requestReview) {
         this.context = context;
         this.cluster = context.cluster();
         this.provisioning = new ProvisioningMonitor(context);
-        this.renter = new MachineRenter(context, cloud, reviewDue);
+        this.renter = new MachineRenter(context, cloud, requestReview);
         this.demand = new DemandEstimator(context, renter::wasRefused);
         this.retirement = new RetirementPolicy(context, provisioning);
-        this.releaser = new MachineReleaser(context, cloud, writer, machineGone);
+        this.releaser = new MachineReleaser(context, cloud, writer, onMachineRemoved);
         this.inventory = new CloudInventory(context, cloud);
     }
 
-    /** Takes in the machines whose release a former leader may have requested. */
+    /** Loads the machines whose release a former leader may have requested. */
     public void loadReleased(List<String> names) {
         releaser.load(names);
     }
 
-    /** Reads the cloud's list of machines. */
+    /** Starts to read the cloud's list of machines. */
     public void refreshInventory() {
         inventory.refresh();
     }
 
-    /** Whether machines come up so late at present that none should be released lightly. */
+    /** Whether machines of any pool boot late at present, so that a released machine could not be replaced soon. */
     public boolean isProvisioningLate() {
         return provisioning.isAnyLate();
     }
 
     /**
-     * Compares the demand with the machines there are.
+     * Plans the fleet once: gives up machines that fail to boot, rents missing ones and releases unneeded ones. Does
+     * nothing until the cloud's list has been read.
      *
-     * @param awakeSince silence from before then does not count
+     * @param awakeSinceMs the end of this process's last pause; silence before then does not count
      */
-    public void review(long awakeSince) {
+    public void review(long awakeSinceMs) {
         if (!inventory.isComplete()) {
-            // What a former leader rented is not known yet; it must not be rented once more.
+            // Machines that a former leader rented may not be known yet; they must not be rented a second time.
             return;
         }
-        long now = context.now();
-        for (Machine machine : provisioning.review(now)) {
-            LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), now - machine.provisionedAtMs());
+        long nowMs = context.now();
+        for (Machine machine : provisioning.review(nowMs)) {
+            LOG.warn("machine never came up: machine={} ageMs={}", machine.name(), nowMs - machine.provisionedAtMs());
             machine.release();
         }
         ScalingPlan plan = FleetPlanner.plan(
                 demand.demands(),
-                ownedMachines(awakeSince, now),
+                ownedMachines(awakeSinceMs, nowMs),
                 context.machineTypes().byName(),
-                HORIZON_BOOTS * context.machineTypes().longestBootS(),
+                PLANNING_HORIZON_BOOT_TIMES * context.machineTypes().longestBootS(),
                 renter::wasRefused,
                 provisioning::isLate);
         plan.scaleOut().forEach(renter::rent);
-        retire(plan, awakeSince, now);
+        retire(plan, awakeSinceMs, nowMs);
         releaser.releaseMarked();
     }
 
-    private List<OwnedMachine> ownedMachines(long awakeSince, long now) {
+    private List<OwnedMachine> ownedMachines(long awakeSinceMs, long nowMs) {
         List<OwnedMachine> owned = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             boolean isUsable = machine.state() == Machine.State.READY
                     && machine.reclaimNoticeS() == null
-                    // What is silent takes nothing new; what runs there is not rented for twice.
-                    && (!machine.isIdle() || silentMs(machine, awakeSince, now) <= silentThresholdMs());
+                    // A silent idle machine takes no new tasks. A silent machine with tasks still counts, so that no
+                    // second machine is rented for them.
+                    && (!machine.isIdle() || silentMs(machine, awakeSinceMs, nowMs) <= silentThresholdMs());
             if (machine.state() == Machine.State.PROVISIONING || isUsable) {
                 owned.add(new OwnedMachine(machine.name(), machine.pool(), machine.size(), machine.isIdle()));
             }
@@ -107,19 +112,20 @@
         return owned;
     }
 
-    private void retire(ScalingPlan plan, long awakeSince, long now) {
-        ZoneOutageDetector outages = new ZoneOutageDetector(cluster.machines(), now, awakeSince, silentThresholdMs());
+    private void retire(ScalingPlan plan, long awakeSinceMs, long nowMs) {
+        ZoneOutageDetector outages =
+                new ZoneOutageDetector(cluster.machines(), nowMs, awakeSinceMs, silentThresholdMs());
         for (Machine machine : cluster.machines()) {
-            boolean unneeded = plan.unneeded().contains(machine.name());
-            long silentMs = silentMs(machine, awakeSince, now);
-            if (retirement.mustRelease(machine, unneeded, silentMs, outages.covers(machine.zone()), now)) {
+            boolean isUnneeded = plan.unneeded().contains(machine.name());
+            long silentMs = silentMs(machine, awakeSinceMs, nowMs);
+            if (retirement.isDueForRelease(machine, isUnneeded, silentMs, outages.hasOutage(machine.zone()), nowMs)) {
                 machine.release();
             }
         }
     }
 
-    private static long silentMs(Machine machine, long awakeSince, long now) {
-        return now - Math.max(machine.lastHeartbeatAtMs(), awakeSince);
+    private static long silentMs(Machine machine, long awakeSinceMs, long nowMs) {
+        return nowMs - Math.max(machine.lastHeartbeatAtMs(), awakeSinceMs);
     }
 
     private double silentThresholdMs() {
--- a/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/CloudInventory.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Lists the rented machines: unknown ones are taken on, failed ones released. */
+/** Reads the cloud's list of rented machines, adds the unknown ones to the cluster and releases the failed ones. */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
 
@@ -32,18 +32,18 @@
         return complete;
     }
 
-    /** Reads the whole list. */
+    /** Starts to read the whole list, page by page. */
     void refresh() {
         readPage(null);
     }
 
     private void readPage(String after) {
-        cloud.list(after, page -> context.timer().schedule(0, () -> page.ifPresent(this::pageRead)));
+        cloud.list(after, page -> context.timer().schedule(0, () -> page.ifPresent(this::handlePage)));
     }
 
-    private void pageRead(Page page) {
+    private void handlePage(Page page) {
         List<ListedMachine> machines = page.machines();
-        machines.forEach(this::listed);
+        machines.forEach(this::addOrRelease);
         if (page.more() && !machines.isEmpty()) {
             readPage(machines.get(machines.size() - 1).machine());
         } else {
@@ -51,23 +51,23 @@
         }
     }
 
-    private void listed(ListedMachine listed) {
+    private void addOrRelease(ListedMachine listed) {
         if (cluster.isRemoved(listed.machine())) {
             return;
         }
-        Machine machine = cluster.machineOrAdd(listed.machine(), name -> unknownMachine(listed));
+        Machine machine = cluster.machineOrAdd(listed.machine(), name -> newMachine(listed));
         if (listed.state() == CloudClient.MachineState.FAILED && machine.state() != Machine.State.RELEASED) {
             LOG.warn("machine failed: machine={} type={} zone={}", machine.name(), machine.type(), machine.zone());
             machine.release();
         }
     }
 
-    private Machine unknownMachine(ListedMachine listed) {
-        long now = context.now();
+    private Machine newMachine(ListedMachine listed) {
+        long nowMs = context.now();
         NodePool pool = new NodePool(listed.type(), listed.zone(), listed.spot());
         Machine machine =
-                new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), now);
-        machine.setProvisionedAtMs(now - (long) (listed.ageS() * Milliseconds.PER_SECOND));
+                new Machine(listed.machine(), pool, context.machineTypes().size(listed.type()), nowMs);
+        machine.setProvisionedAtMs(nowMs - (long) (listed.ageS() * Milliseconds.PER_SECOND));
         return machine;
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -20,41 +20,43 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
-/** Estimates what the open jobs could use, and which of them can't do with spot machines alone. */
+/** Estimates how many tasks of each open job could run at once, and decides which jobs need on-demand machines. */
 final class DemandEstimator {
     private final TermContext context;
     private final Deployment deployment;
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
-    private final Predicate<NodePool> refused;
+    private final Predicate<NodePool> isRefused;
 
-    /** @param refused pools of which the cloud has lately given less than was asked for */
-    DemandEstimator(TermContext context, Predicate<NodePool> refused) {
+    /** @param isRefused whether the cloud has recently rented out fewer machines of a pool than requested */
+    DemandEstimator(TermContext context, Predicate<NodePool> isRefused) {
         this.context = context;
         this.deployment = context.deployment();
         this.cluster = context.cluster();
         this.types = context.machineTypes();
-        this.refused = refused;
+        this.isRefused = isRefused;
     }
 
-    /** What the open jobs need, in the order in which they are served. */
+    /** The demands of the open jobs that are not blocked, in the order in which the jobs are served. */
     List<JobDemand> demands() {
-        double cores = ownedCores();
-        double aheadS = 0;
+        double ownedCores = ownedCores();
+        double queuedCoreS = 0;
         Map<String, Resources> demandByTeam = new HashMap<>();
         List<JobDemand> demands = new ArrayList<>();
-        long wallTime = context.loop().wallTimeMs();
-        for (WaitingJob<Job> waiting : JobOrder.sorted(unblockedJobs(), wallTime, deployment.objectives(), cores)) {
+        long wallTimeMs = context.loop().wallTimeMs();
+        for (WaitingJob<Job> waiting :
+                JobOrder.sorted(unblockedJobs(), wallTimeMs, deployment.objectives(), ownedCores)) {
             JobSpec spec = waiting.spec();
             Job job = waiting.job();
-            aheadS += waiting.remainingS();
+            queuedCoreS += waiting.remainingS();
             Quota quota = deployment.quota(spec.team());
-            Resources before = demandByTeam.getOrDefault(spec.team(), Resources.NONE);
-            int tasks = Math.min(job.desiredTasks(), tasksWithinQuota(spec, quota, before));
+            Resources demandBefore = demandByTeam.getOrDefault(spec.team(), Resources.NONE);
+            int tasks = Math.min(job.desiredTasks(), tasksWithinQuota(spec, quota, demandBefore));
             if (tasks > 0) {
-                Resources after = demandByTeam.merge(spec.team(), spec.demand().times(tasks), Resources::plus);
-                boolean isGuaranteed = quota != null && quota.isWithinGuarantee(after);
-                double queueS = cores > 0 ? aheadS / cores : Double.MAX_VALUE;
+                Resources demandAfter =
+                        demandByTeam.merge(spec.team(), spec.demand().times(tasks), Resources::plus);
+                boolean isGuaranteed = quota != null && quota.isWithinGuarantee(demandAfter);
+                double queueS = ownedCores > 0 ? queuedCoreS / ownedCores : Double.MAX_VALUE;
                 job.setSpotTooSlow(isGuaranteed || isUrgentAndLate(waiting, queueS));
                 if (hasNoSpotMachine(spec)) {
                     job.markSpotUnavailable();
@@ -79,24 +81,24 @@
     }
 
     private double ownedCores() {
-        double cores = 0;
+        double ownedCores = 0;
         for (Machine machine : cluster.machines()) {
-            boolean counts = machine.state() == Machine.State.PROVISIONING || machine.state() == Machine.State.READY;
-            cores += counts ? machine.size().cores() : 0;
+            boolean isOwned = machine.state() == Machine.State.PROVISIONING || machine.state() == Machine.State.READY;
+            ownedCores += isOwned ? machine.size().cores() : 0;
         }
-        return cores;
+        return ownedCores;
     }
 
-    /** What the team may not run at once needs no machines. */
-    private static int tasksWithinQuota(JobSpec spec, Quota quota, Resources before) {
+    /** How many tasks the team may still run within its quota; tasks beyond it need no machines. */
+    private static int tasksWithinQuota(JobSpec spec, Quota quota, Resources demandBefore) {
         if (quota == null || quota.maximum().cores() <= 0 || spec.demand().cores() <= 0) {
             return Integer.MAX_VALUE;
         }
-        double remaining = quota.maximum().cores() - before.cores();
+        double remaining = quota.maximum().cores() - demandBefore.cores();
         return (int) Math.max(0, remaining / spec.demand().cores());
     }
 
-    /** Whether the machines there are would finish an urgent job too late, while more machines still could help. */
+    /** Whether an urgent job would be late on the owned machines, but could still be on time on one rented now. */
     private boolean isUrgentAndLate(WaitingJob<Job> waiting, double queueS) {
         JobSpec spec = waiting.spec();
         if (!spec.isUrgent()) {
@@ -104,12 +106,12 @@
         }
         double ageS = spec.ageS(context.loop().wallTimeMs());
         double bootS = types.shortestBootS();
-        // What a machine rented now could still finish in time.
+        // The slack that is left on a machine rented now; negative if even that is too late.
         double slackS = deployment.objectives().slackS(spec, ageS + bootS, waiting.runS());
         return slackS >= 0 && queueS > slackS + bootS;
     }
 
-    /** Whether no spot machine that it may use is rented, nor can be: it would wait forever. */
+    /** Whether no spot machine that can run the job is rented or offered, so that it would wait for one forever. */
     private boolean hasNoSpotMachine(JobSpec spec) {
         return !isSpotMachineRented(spec) && !isSpotMachineOffered(spec);
     }
@@ -131,7 +133,7 @@
             for (String zone : type.zones()) {
                 if (spec.allows(type.name(), zone, true)
                         && spec.demand().fitsIn(type.size())
-                        && !refused.test(new NodePool(type.name(), zone, true))) {
+                        && !isRefused.test(new NodePool(type.name(), zone, true))) {
                     return true;
                 }
             }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -20,30 +20,30 @@
 
 /**
  * Scales in: records which machines are to be released, and then requests their release until the cloud confirms it.
- * A release is recorded first, so that no later leader uses a machine that is going away.
+ * The record becomes durable first, so that no later leader uses a machine whose release has been requested.
  */
 final class MachineReleaser {
     private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
-    /** The most that surrounds the names of released machines in their record. */
-    private static final int RECORD_FRAME_BYTES = 64;
+    /** Upper bound of the bytes that the record takes in addition to the names of the machines. */
+    private static final int MAX_RECORD_OVERHEAD_BYTES = 64;
 
     private final TermContext context;
     private final ClusterState cluster;
     private final CloudClient cloud;
     private final FencedWriter writer;
-    private final Consumer<Machine> machineGone;
+    private final Consumer<Machine> onMachineRemoved;
     private boolean requestOpen;
 
-    /** @param machineGone is notified of machines on which surely nothing runs any more */
-    MachineReleaser(TermContext context, CloudClient cloud, FencedWriter writer, Consumer<Machine> machineGone) {
+    /** @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; nothing can run there */
+    MachineReleaser(TermContext context, CloudClient cloud, FencedWriter writer, Consumer<Machine> onMachineRemoved) {
         this.context = context;
         this.cluster = context.cluster();
         this.cloud = cloud;
         this.writer = writer;
-        this.machineGone = machineGone;
+        this.onMachineRemoved = onMachineRemoved;
     }
 
-    /** Takes in the machines whose release a former leader may have requested: they are not to be used again. */
+    /** Loads the machines whose release a former leader may have requested, so that they are not used again. */
     void load(List<String> names) {
         for (String name : names) {
             Machine machine = cluster.machineOrAdd(
@@ -53,47 +53,48 @@
         }
     }
 
-    /** Records what has been marked as released, and requests the release of what is recorded. */
+    /** Records the machines that are marked as released, and requests the release of those already recorded. */
     void releaseMarked() {
-        boolean unrecorded = false;
+        boolean isAnyUnrecorded = false;
         for (Machine machine : cluster.machines()) {
-            unrecorded |= machine.state() == Machine.State.RELEASED && !machine.isReleaseDurable();
+            isAnyUnrecorded |= machine.state() == Machine.State.RELEASED && !machine.isReleaseDurable();
         }
-        if (unrecorded) {
+        if (isAnyUnrecorded) {
             writer.write(StateKeys.RELEASED_MACHINES, this::prepareRecord);
         }
         requestRelease();
     }
 
     /**
-     * Names all machines whose release may have been requested, and of the others that are to be released as many as
-     * one value takes. A list that is too long already, by another version's limit, stays until enough are confirmed.
+     * Prepares a record of all machines whose release may have been requested, and of as many other released machines
+     * as fit into one value. If the list is already too long, because a version with a higher limit wrote it, nothing
+     * is added until the cloud has confirmed enough releases.
      */
     private Optional<PreparedChange> prepareRecord() {
-        List<Machine> recorded = released(true);
+        List<Machine> recorded = releasedMachines(true);
         int bytes = recorded.stream().mapToInt(ReleasedMachinesCodec::maxBytes).sum();
-        List<Machine> names = new ArrayList<>(recorded);
-        for (Machine machine : released(false)) {
-            int size = ReleasedMachinesCodec.maxBytes(machine);
-            if (bytes + size <= context.deployment().valueBytes() - RECORD_FRAME_BYTES) {
-                names.add(machine);
-                bytes += size;
+        List<Machine> machines = new ArrayList<>(recorded);
+        for (Machine machine : releasedMachines(false)) {
+            int machineBytes = ReleasedMachinesCodec.maxBytes(machine);
+            if (bytes + machineBytes <= context.deployment().valueBytes() - MAX_RECORD_OVERHEAD_BYTES) {
+                machines.add(machine);
+                bytes += machineBytes;
             }
         }
-        if (names.size() == recorded.size()) {
+        if (machines.size() == recorded.size()) {
             return Optional.empty();
         }
-        KeyWrite write = KeyWrite.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(names))
-                .withMaxBytes(bytes + RECORD_FRAME_BYTES);
+        KeyWrite write = KeyWrite.put(StateKeys.RELEASED_MACHINES, ReleasedMachinesCodec.encode(machines))
+                .withMaxBytes(bytes + MAX_RECORD_OVERHEAD_BYTES);
         return Optional.of(new PreparedChange(List.of(write), () -> {
-            names.forEach(Machine::markReleaseDurable);
+            machines.forEach(Machine::markReleaseDurable);
             requestRelease();
         }));
     }
 
-    private List<Machine> released(boolean durable) {
+    private List<Machine> releasedMachines(boolean isDurable) {
         return cluster.machines().stream()
-                .filter(machine -> machine.state() == Machine.State.RELEASED && machine.isReleaseDurable() == durable)
+                .filter(machine -> machine.state() == Machine.State.RELEASED && machine.isReleaseDurable() == isDurable)
                 .toList();
     }
 
@@ -115,17 +116,17 @@
                 confirmed -> context.timer().schedule(0, () -> {
                     requestOpen = false;
                     if (confirmed) {
-                        confirmed(names);
+                        removeMachines(names);
                         requestRelease();
                     }
                 }));
     }
 
-    private void confirmed(List<String> names) {
+    private void removeMachines(List<String> names) {
         LOG.info("machines released: count={} machines={}", names.size(), names);
         for (String name : names) {
             Machine machine = cluster.machine(name);
-            machineGone.accept(machine);
+            onMachineRemoved.accept(machine);
             cluster.removeMachine(machine);
         }
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -15,48 +15,48 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Scales out: rents machines from the cloud, one request at a time for each pool. */
+/** Scales out: rents machines from the cloud, with at most one open request for each pool. */
 final class MachineRenter {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final long RETRY_MS = 1000;
-    /** A pool that has been refused is not asked for again for this part of its boot time. */
+    /** After the cloud has refused machines of a pool, none are requested there for this fraction of its boot time. */
     private static final double REFUSAL_BOOT_RATIO = 0.7;
 
     private final TermContext context;
     private final CloudClient cloud;
-    private final Runnable refused;
+    private final Runnable onShortfall;
     private final String requestPrefix;
-    private final Map<NodePool, Long> refusedUntil = new HashMap<>();
-    private final Set<NodePool> requested = new HashSet<>();
-    private long lastRequest;
+    private final Map<NodePool, Long> refusedUntilMs = new HashMap<>();
+    private final Set<NodePool> poolsBeingRequested = new HashSet<>();
+    private long lastRequestNumber;
 
-    /** @param refused is run when the cloud has given less than was asked for */
-    MachineRenter(TermContext context, CloudClient cloud, Runnable refused) {
+    /** @param onShortfall is run when the cloud has rented out fewer machines than requested */
+    MachineRenter(TermContext context, CloudClient cloud, Runnable onShortfall) {
         this.context = context;
         this.cloud = cloud;
-        this.refused = refused;
-        // The term belongs to one controller and one of its incarnations, so the names are never used again.
+        this.onShortfall = onShortfall;
+        // A term belongs to one incarnation of one controller, so these request names are never reused.
         this.requestPrefix = context.deployment().node() + "-" + context.number() + "-";
     }
 
-    /** Whether the cloud has lately given less of the pool than was asked for. */
+    /** Whether the cloud has recently rented out fewer machines of the pool than requested. */
     boolean wasRefused(NodePool pool) {
-        return refusedUntil.getOrDefault(pool, 0L) > context.now();
+        return refusedUntilMs.getOrDefault(pool, 0L) > context.now();
     }
 
     /** Rents machines of the pool, unless a request for it is still open. */
     void rent(NodePool pool, int count) {
-        if (requested.add(pool)) {
-            rentNext(pool, count);
+        if (poolsBeingRequested.add(pool)) {
+            requestBatch(pool, count);
         }
     }
 
-    private void rentNext(NodePool pool, int count) {
-        rent(requestPrefix + ++lastRequest, pool, count, MAX_TRIES);
+    private void requestBatch(NodePool pool, int count) {
+        rent(requestPrefix + ++lastRequestNumber, pool, count, MAX_ATTEMPTS);
     }
 
-    private void rent(String request, NodePool pool, int count, int tries) {
+    private void rent(String request, NodePool pool, int count, int attemptsLeft) {
         int batch = Math.min(count, CloudClient.MAX_RENT);
         cloud.rent(
                 request,
@@ -66,20 +66,20 @@
                 batch,
                 result -> context.timer().schedule(0, () -> {
                     if (result instanceof Rented rented) {
-                        rented(pool, count, batch, rented.machines());
+                        handleRented(pool, count, batch, rented.machines());
                     } else if (result instanceof NoCapacity) {
-                        rented(pool, count, batch, List.of());
-                    } else if (tries > 1) {
-                        // Idempotent by the same name: if the first request did rent, this tells what.
-                        context.timer().schedule(RETRY_MS, () -> rent(request, pool, count, tries - 1));
+                        handleRented(pool, count, batch, List.of());
+                    } else if (attemptsLeft > 1) {
+                        // Idempotent by its name: a retry returns the machines that the first attempt rented.
+                        context.timer().schedule(RETRY_MS, () -> rent(request, pool, count, attemptsLeft - 1));
                     } else {
-                        requested.remove(pool);
+                        poolsBeingRequested.remove(pool);
                     }
                 }));
     }
 
-    private void rented(NodePool pool, int count, int batch, List<String> machines) {
-        long now = context.now();
+    private void handleRented(NodePool pool, int count, int batch, List<String> machines) {
+        long nowMs = context.now();
         LOG.info(
                 "machines rented: count={} requested={} type={} zone={} spot={}",
                 machines.size(),
@@ -91,22 +91,22 @@
             context.cluster()
                     .machineOrAdd(
                             name,
-                            n -> new Machine(n, pool, context.machineTypes().size(pool.type()), now));
+                            n -> new Machine(n, pool, context.machineTypes().size(pool.type()), nowMs));
         }
         if (machines.size() < batch) {
             double bootMs = context.machineTypes().bootMs(pool.type());
-            refusedUntil.put(pool, now + (long) (bootMs * REFUSAL_BOOT_RATIO));
-            requested.remove(pool);
-            // What the cloud does not give is to be had elsewhere, and boots no sooner for waiting.
-            refused.run();
+            refusedUntilMs.put(pool, nowMs + (long) (bootMs * REFUSAL_BOOT_RATIO));
+            poolsBeingRequested.remove(pool);
+            // The missing machines have to come from another pool, and waiting would only delay their boot.
+            onShortfall.run();
         } else if (count > batch) {
-            // All pools together stay within the rate that the cloud takes.
+            // Keeps the requests of all pools together within the cloud's rate limit.
             long delayMs = (long) (Milliseconds.PER_SECOND
-                    * requested.size()
+                    * poolsBeingRequested.size()
                     / context.deployment().cloudRps());
-            context.timer().schedule(delayMs, () -> rentNext(pool, count - batch));
+            context.timer().schedule(delayMs, () -> requestBatch(pool, count - batch));
         } else {
-            requested.remove(pool);
+            poolsBeingRequested.remove(pool);
         }
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -14,23 +14,24 @@
 import notchpick.scheduling.NodePool;
 
 /**
- * Distinguishes a machine that never comes up from a time in which all come up late. The first is given up and
- * replaced. Doing so with the others would be in vain: each would be paid for and given up shortly before it comes up.
+ * Distinguishes a faulty machine, which never boots, from a late pool, whose machines all take longer than usual. A
+ * faulty machine is given up, so that it is replaced. Most machines of a late pool are kept: otherwise each would be
+ * paid for and given up shortly before it is ready.
  */
 final class ProvisioningMonitor {
-    /** A machine that comes at all is usually up after 1.5 boot times. */
+    /** A machine that boots at all is usually ready after 1.5 boot times. */
     private static final double OVERDUE_BOOT_TIMES = 2.5;
 
     private static final int OVERDUE_HEARTBEAT_PERIODS = 3;
-    /** While all are late, this part of a pool is replaced at a time: should none of them ever come, these will. */
+    /** The fraction of a late pool's machines that is given up at a time, in case none of them ever boots. */
     private static final double REPLACED_RATIO = 0.25;
 
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
     private final long heartbeatPeriodMs;
-    private final Map<NodePool, Long> replacedAt = new HashMap<>();
-    /** Pools in which all are late, with the age of the oldest that is awaited. */
-    private final Map<NodePool, Long> late = new HashMap<>();
+    private final Map<NodePool, Long> replacedAtMs = new HashMap<>();
+    /** The late pools, with the age of the oldest overdue machine in each, not counting faulty ones. */
+    private final Map<NodePool, Long> lateAgeMs = new HashMap<>();
 
     ProvisioningMonitor(TermContext context) {
         this.cluster = context.cluster();
@@ -38,34 +39,34 @@
         this.heartbeatPeriodMs = context.heartbeatPeriodMs();
     }
 
-    /** Whether all that is awaited from there is late; another pool may be sound. */
+    /** Whether the pool is late; other pools need not be. */
     boolean isLate(NodePool pool) {
-        return late.containsKey(pool);
+        return lateAgeMs.containsKey(pool);
     }
 
-    /** Whether what is returned now could not soon be had again. */
+    /** Whether any pool is late, so that a released machine could not be replaced soon. */
     boolean isAnyLate() {
-        return !late.isEmpty();
+        return !lateAgeMs.isEmpty();
     }
 
-    /** How long a machine of the type takes to come up at present, as far as that is known. */
+    /** The boot time of the type, or the age of the oldest overdue machine in its late pools if that is longer. */
     double expectedBootMs(String type) {
-        double expected = types.bootMs(type);
-        for (Map.Entry<NodePool, Long> entry : late.entrySet()) {
+        double expectedMs = types.bootMs(type);
+        for (Map.Entry<NodePool, Long> entry : lateAgeMs.entrySet()) {
             if (entry.getKey().type().equals(type)) {
-                expected = Math.max(expected, entry.getValue());
+                expectedMs = Math.max(expectedMs, entry.getValue());
             }
         }
-        return expected;
+        return expectedMs;
     }
 
-    /** One look at what is booting; gives the machines that need not be waited for any more. */
-    Set<Machine> review(long now) {
-        late.clear();
+    /** Checks the machines that are booting, and returns those to give up. */
+    Set<Machine> review(long nowMs) {
+        lateAgeMs.clear();
         Map<NodePool, List<Machine>> overdue = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING
-                    && now - machine.provisionedAtMs()
+                    && nowMs - machine.provisionedAtMs()
                             > OVERDUE_BOOT_TIMES * types.bootMs(machine.type())
                                     + OVERDUE_HEARTBEAT_PERIODS * heartbeatPeriodMs) {
                 overdue.computeIfAbsent(machine.pool(), pool -> new ArrayList<>())
@@ -73,39 +74,44 @@
             }
         }
         Set<Machine> givenUp = new HashSet<>();
-        overdue.forEach((pool, machines) -> givenUp.addAll(review(pool, machines, now)));
+        overdue.forEach((pool, machines) -> givenUp.addAll(reviewPool(pool, machines, nowMs)));
         return givenUp;
     }
 
-    private List<Machine> review(NodePool pool, List<Machine> overdue, long now) {
-        List<Machine> faulty = new ArrayList<>();
+    private List<Machine> reviewPool(NodePool pool, List<Machine> overdue, long nowMs) {
+        List<Machine> givenUp = new ArrayList<>();
         List<Machine> awaited = new ArrayList<>();
         for (Machine machine : overdue) {
-            (othersCame(machine, overdue) ? faulty : awaited).add(machine);
+            (isFaulty(machine, overdue) ? givenUp : awaited).add(machine);
         }
         if (!awaited.isEmpty()) {
             awaited.sort(Comparator.comparingLong(machine -> machine.provisionedAtMs()));
-            late.put(pool, now - awaited.get(0).provisionedAtMs());
-            Long last = replacedAt.get(pool);
-            if (last == null || now - last >= OVERDUE_BOOT_TIMES * types.bootMs(pool.type())) {
-                replacedAt.put(pool, now);
-                faulty.addAll(awaited.subList(0, (int) Math.ceil(awaited.size() * REPLACED_RATIO)));
+            lateAgeMs.put(pool, nowMs - awaited.get(0).provisionedAtMs());
+            Long lastReplacedAtMs = replacedAtMs.get(pool);
+            if (lastReplacedAtMs == null
+                    || nowMs - lastReplacedAtMs >= OVERDUE_BOOT_TIMES * types.bootMs(pool.type())) {
+                replacedAtMs.put(pool, nowMs);
+                givenUp.addAll(awaited.subList(0, (int) Math.ceil(awaited.size() * REPLACED_RATIO)));
             }
         }
-        return faulty;
+        return givenUp;
     }
 
-    /** Whether of its pool as many as are overdue came up that were rented with it, or any that was much later. */
-    private boolean othersCame(Machine machine, List<Machine> overdue) {
-        int came = 0;
+    /**
+     * Whether the machine itself is at fault rather than its pool late. This is assumed if the pool has a machine in
+     * service that was rented more than a boot time later, or if at least as many machines that were rented with it or
+     * later are in service as are overdue.
+     */
+    private boolean isFaulty(Machine machine, List<Machine> overdue) {
+        int booted = 0;
         for (Machine other : cluster.machines()) {
             if (other.isInService() && other.pool().equals(machine.pool())) {
                 if (other.provisionedAtMs() - machine.provisionedAtMs() > types.bootMs(machine.type())) {
                     return true;
                 }
-                came += other.provisionedAtMs() >= machine.provisionedAtMs() - heartbeatPeriodMs ? 1 : 0;
+                booted += other.provisionedAtMs() >= machine.provisionedAtMs() - heartbeatPeriodMs ? 1 : 0;
             }
         }
-        return came >= overdue.size();
+        return booted >= overdue.size();
     }
 }
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -8,9 +8,9 @@
 /** Decides which machines are released: idle ones that nothing needs, drained ones, and silent ones. */
 final class RetirementPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(RetirementPolicy.class);
-    /** A machine that is silent alone is released after this part of the worker lease. */
+    /** A machine that is silent while its zone is not counts as lost after this fraction of the worker lease. */
     private static final double LOST_LEASE_RATIO = 0.5;
-    /** An idle on-demand machine is kept for so many heartbeat periods. */
+    /** An idle on-demand machine is kept for this many heartbeat periods. */
     private static final int ON_DEMAND_IDLE_PERIODS = 2;
 
     private final ProvisioningMonitor provisioning;
@@ -24,28 +24,28 @@
     }
 
     /**
-     * Whether the machine is to be released.
+     * Whether the machine should be released now.
      *
-     * @param unneeded whether the demand can be met without it
+     * @param isUnneeded whether the demand can be met without it
      * @param silentMs how long it has been silent
-     * @param zoneIsSilent whether most machines of its zone are silent as well
+     * @param isZoneSilent whether most machines of its zone are silent as well
      */
-    boolean mustRelease(Machine machine, boolean unneeded, long silentMs, boolean zoneIsSilent, long now) {
+    boolean isDueForRelease(Machine machine, boolean isUnneeded, long silentMs, boolean isZoneSilent, long nowMs) {
         return switch (machine.state()) {
             case PROVISIONING, RELEASED -> false;
             case READY ->
-                (machine.isIdle() && unneeded && now - machine.idleSinceMs() > keepIdleMs(machine))
-                        || isLost(machine, silentMs, zoneIsSilent);
+                (machine.isIdle() && isUnneeded && nowMs - machine.idleSinceMs() > maxIdleMs(machine))
+                        || isLost(machine, silentMs, isZoneSilent);
             case DRAINING -> machine.isIdle() || silentMs > lostAfterMs();
         };
     }
 
-    private boolean isLost(Machine machine, long silentMs, boolean zoneIsSilent) {
-        boolean lost = silentMs > (zoneIsSilent ? keepSilentMs(machine) : lostAfterMs());
-        if (lost) {
+    private boolean isLost(Machine machine, long silentMs, boolean isZoneSilent) {
+        boolean isLost = silentMs > (isZoneSilent ? maxSilentMs(machine) : lostAfterMs());
+        if (isLost) {
             LOG.warn("machine lost: machine={} zone={} silentMs={}", machine.name(), machine.zone(), silentMs);
         }
-        return lost;
+        return isLost;
     }
 
     private double lostAfterMs() {
@@ -53,15 +53,15 @@
     }
 
     /**
-     * Machines that fell silent with their zone are kept until keeping them has cost as much as replacing them: what
-     * runs on them may go on for their lease, and others would first have to boot.
+     * How long a machine that is silent together with its zone is kept: until that has cost as much as replacing it.
+     * Its tasks may go on running for the worker lease, and a replacement would first have to boot.
      */
-    private double keepSilentMs(Machine machine) {
+    private double maxSilentMs(Machine machine) {
         return workerLeaseMs + provisioning.expectedBootMs(machine.type());
     }
 
-    /** A spot machine is kept for as long as another would now take to boot; an on-demand one hardly at all. */
-    private double keepIdleMs(Machine machine) {
+    /** An idle spot machine is kept for as long as a replacement would take to boot, an on-demand one only briefly. */
+    private double maxIdleMs(Machine machine) {
         return machine.isSpot() || provisioning.isLate(machine.pool())
                 ? provisioning.expectedBootMs(machine.type())
                 : ON_DEMAND_IDLE_PERIODS * heartbeatPeriodMs;
--- a/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
@@ -7,16 +7,16 @@
 import notchpick.model.Machine;
 
 /**
- * Finds out which machines have fallen silent together. Where most of a zone have, the zone is cut off and not the
- * machines are broken; where most of all have, it is this controller that is cut off. This decides only whether the
- * machines are worth keeping: what may be running on them is for their leases to say.
+ * Detects machines that are silent together. If most machines of a zone are silent, the zone is cut off rather than the
+ * machines broken; if most of all machines are, this controller is cut off. The result only decides whether the
+ * machines are worth keeping. Whether their tasks may still be running depends on the worker leases alone.
  */
 final class ZoneOutageDetector {
-    /** So few silent machines tell nothing. */
-    private static final int MAX_INSIGNIFICANT = 3;
+    /** Up to this many silent machines are no sign of an outage. */
+    private static final int MAX_ISOLATED_SILENT = 3;
 
     private final Set<String> silentZones = new HashSet<>();
-    private final boolean isEverywhere;
+    private final boolean isControllerCutOff;
 
     /** How many machines there are, and how many of them are silent. */
     private static final class Count {
@@ -29,20 +29,20 @@
         }
 
         boolean areMostSilent() {
-            return silent > MAX_INSIGNIFICANT && silent * 2 > machines;
+            return silent > MAX_ISOLATED_SILENT && silent * 2 > machines;
         }
     }
 
     /**
-     * @param awakeSince silence from before then does not count
-     * @param thresholdMs a machine that has not reported for so long counts as silent
+     * @param awakeSinceMs the end of this process's last pause; silence before then does not count
+     * @param thresholdMs a machine without a heartbeat for longer than this counts as silent
      */
-    ZoneOutageDetector(Iterable<Machine> machines, long now, long awakeSince, double thresholdMs) {
+    ZoneOutageDetector(Iterable<Machine> machines, long nowMs, long awakeSinceMs, double thresholdMs) {
         Count all = new Count();
         Map<String, Count> byZone = new HashMap<>();
         for (Machine machine : machines) {
             if (machine.state() == Machine.State.READY) {
-                boolean isSilent = now - Math.max(machine.lastHeartbeatAtMs(), awakeSince) > thresholdMs;
+                boolean isSilent = nowMs - Math.max(machine.lastHeartbeatAtMs(), awakeSinceMs) > thresholdMs;
                 byZone.computeIfAbsent(machine.zone(), zone -> new Count()).add(isSilent);
                 all.add(isSilent);
             }
@@ -52,11 +52,11 @@
                 silentZones.add(zone);
             }
         });
-        isEverywhere = all.areMostSilent();
+        isControllerCutOff = all.areMostSilent();
     }
 
-    /** Whether the machines of the zone are silent because of an outage. */
-    boolean covers(String zone) {
-        return isEverywhere || silentZones.contains(zone);
+    /** Whether the machines of the zone are unreachable together, as the zone or this controller is cut off. */
+    boolean hasOutage(String zone) {
+        return isControllerCutOff || silentZones.contains(zone);
     }
 }
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -25,26 +25,24 @@
 
     private final Map<String, Resources> usageByTeam = new HashMap<>();
     private final Map<String, Set<TaskAssignment>> assignmentsByJob = new HashMap<>();
-    private final Consumer<TaskAssignment> assignmentEnded;
+    private final Consumer<TaskAssignment> onAssignmentEnded;
 
-    /** @param assignmentEnded is notified of every assignment that has ended */
-    public ClusterState(Consumer<TaskAssignment> assignmentEnded) {
-        this.assignmentEnded = assignmentEnded;
+    /** @param onAssignmentEnded is notified of every assignment that has ended */
+    public ClusterState(Consumer<TaskAssignment> onAssignmentEnded) {
+        this.onAssignmentEnded = onAssignmentEnded;
     }
 
-    // ---- jobs ----------------------------------------------------------------------------------
-
-    /** The open jobs, in the order in which they became known. */
+    /** The open jobs, in the order in which they were added. */
     public Collection<Job> jobs() {
         return jobsView;
     }
 
-    /** The ids of the open jobs as they are now. */
+    /** A copy of the ids of the open jobs. */
     public List<String> jobIds() {
         return List.copyOf(jobs.keySet());
     }
 
-    /** The open job, or null. */
+    /** The open job with this id, or null. */
     public Job job(String id) {
         return jobs.get(id);
     }
@@ -57,7 +55,7 @@
         jobs.put(job.id(), job);
     }
 
-    /** The job has ended; gives it, or null if it was not open. */
+    /** Removes a job that has ended, and returns it; null if it was not open. */
     public Job removeJob(String id) {
         return jobs.remove(id);
     }
@@ -66,39 +64,40 @@
         jobs.clear();
     }
 
-    /** Changes how the job, and what runs of it, counts from now on; its demand must stay as it is. */
+    /**
+     * Replaces the specification of the job and of its assignments. Its team and demand must stay the same, because the
+     * resources in use are accounted by them.
+     */
     public void replaceSpec(Job job, JobSpec spec) {
         job.replaceSpec(spec);
         assignmentsByJob.getOrDefault(spec.id(), Set.of()).forEach(assignment -> assignment.replaceSpec(spec));
     }
 
-    // ---- machines ------------------------------------------------------------------------------
-
-    /** The machines, in the order in which they became known. */
+    /** The machines, in the order in which they were added. */
     public Collection<Machine> machines() {
         return machinesView;
     }
 
-    /** The machines as they are now, to be iterated over while they change. */
+    /** A copy of the machines, to be iterated over while machines are added or removed. */
     public List<Machine> copyOfMachines() {
         return List.copyOf(machines.values());
     }
 
-    /** The machine, or null. */
+    /** The machine with this name, or null. */
     public Machine machine(String name) {
         return machines.get(name);
     }
 
-    /** The machine, which is added if it is not known. */
-    public Machine machineOrAdd(String name, Function<String, Machine> maker) {
-        return machines.computeIfAbsent(name, maker);
+    /** The machine with this name, which is created by the factory and added if it is not known. */
+    public Machine machineOrAdd(String name, Function<String, Machine> factory) {
+        return machines.computeIfAbsent(name, factory);
     }
 
     public void addMachine(Machine machine) {
         machines.put(machine.name(), machine);
     }
 
-    /** The cloud has confirmed that the machine is gone. */
+    /** Removes a machine that the cloud has confirmed to be gone. */
     public void removeMachine(Machine machine) {
         machines.remove(machine.name());
         removedMachines.add(machine.name());
@@ -124,39 +123,38 @@
         return new Resources(cores, gpus, ram);
     }
 
-    // ---- assignments ---------------------------------------------------------------------------
-
     /**
-     * Assigns the task to the machine: from now on it holds its resources there, in the place of an earlier assignment.
+     * Assigns the task to the machine, where it holds its resources from now on. An earlier assignment of the same task
+     * to the same machine ends.
      */
     public TaskAssignment assign(JobSpec spec, int task, Machine machine, long attempt, TaskAssignment.Phase phase) {
         TaskAssignment assignment = new TaskAssignment(spec, task, machine, attempt, phase);
-        TaskAssignment former = machine.assignment(assignment.taskName());
-        if (former != null) {
-            unassign(former);
+        TaskAssignment previous = machine.assignment(assignment.taskName());
+        if (previous != null) {
+            unassign(previous);
         }
         machine.add(assignment);
         assignmentsByJob.computeIfAbsent(spec.id(), id -> new LinkedHashSet<>()).add(assignment);
         usageByTeam.merge(spec.team(), spec.demand(), Resources::plus);
-        // Its fetch serves all tasks that need the same image.
+        // The image fetched for this task also serves the other tasks that need it.
         machine.addImage(spec.image());
         Job job = jobs.get(spec.id());
         if (job != null) {
-            job.assigned(task);
+            job.incrementMachines(task);
         }
         return assignment;
     }
 
-    /** The worker reports for the first time that the task runs. */
-    public void markRunning(TaskAssignment assignment, long now) {
-        assignment.markRunning(now);
+    /** Records that the worker has reported the task as running for the first time. */
+    public void markRunning(TaskAssignment assignment, long nowMs) {
+        assignment.markRunning(nowMs);
         Job job = jobs.get(assignment.spec().id());
         if (job != null) {
-            job.taskStartedRunning();
+            job.incrementRunningTasks();
         }
     }
 
-    /** The task surely is not on the machine any more. */
+    /** Ends the assignment, once it is certain that the task is no longer on the machine. No effect if it has ended. */
     public void unassign(TaskAssignment assignment) {
         if (!assignment.machine().remove(assignment)) {
             return;
@@ -170,24 +168,24 @@
         Job job = jobs.get(spec.id());
         if (job != null) {
             if (assignment.isRunning()) {
-                job.taskStoppedRunning();
+                job.decrementRunningTasks();
             }
-            job.unassigned(assignment.task());
+            job.decrementMachines(assignment.task());
         }
-        assignmentEnded.accept(assignment);
+        onAssignmentEnded.accept(assignment);
     }
 
-    /** Nothing is on the machine any more. */
+    /** Ends all assignments of a machine, once it is certain that no task is on it any more. */
     public void unassignAll(Machine machine) {
         machine.copyOfAssignments().forEach(this::unassign);
     }
 
-    /** The assignments of a job as they are now. */
+    /** A copy of the assignments of a job. */
     public Collection<TaskAssignment> assignmentsOf(String job) {
         return List.copyOf(assignmentsByJob.getOrDefault(job, Set.of()));
     }
 
-    /** What the tasks of a team hold, including those of which it is not certain that they are gone. */
+    /** The resources that the tasks of a team hold, including tasks that are not certain to have ended. */
     public Resources usage(String team) {
         return usageByTeam.getOrDefault(team, Resources.NONE);
     }
--- a/src/main/java/notchpick/model/CompletionRange.java
+++ b/src/main/java/notchpick/model/CompletionRange.java
@@ -2,12 +2,12 @@
 
 import java.util.BitSet;
 
-/** Which tasks of a contiguous range of a job's tasks are done: the unit in which completions are written. */
+/** A contiguous range of a job's tasks, and which of them are done: the unit in which completions are written. */
 public final class CompletionRange {
     private final Job job;
     private final int first;
     private final int count;
-    private BitSet written = new BitSet();
+    private BitSet lastSnapshot = new BitSet();
 
     public CompletionRange(Job job, int first, int count) {
         this.job = job;
@@ -28,14 +28,14 @@
         return count;
     }
 
-    /** The completions as they are now, which then are on their way to the state store. */
+    /** Returns which tasks are done now, to be written, and keeps it until the write is durable. */
     public BitSet takeSnapshot() {
-        written = job.doneTasks(first, count);
-        return written;
+        lastSnapshot = job.doneTasks(first, count);
+        return lastSnapshot;
     }
 
-    /** The state store has the completions of the last write. */
+    /** Marks the completions of the last snapshot as durable. */
     public void markSnapshotDurable() {
-        written.stream().forEach(task -> job.markCompletionDurable(first + task));
+        lastSnapshot.stream().forEach(task -> job.markCompletionDurable(first + task));
     }
 }
--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -12,17 +12,17 @@
 import java.util.function.Predicate;
 
 /**
- * The graph of dependencies among open jobs. That a job is not open any more says that it has ended but not how: its
- * dependents stay blocked until its outcome has been read. Outcomes never change, and neither does what follows from
- * them.
+ * The graph of dependencies among open jobs. A job that is no longer open has ended, but may have been done or
+ * cancelled: its dependents stay blocked until its outcome has been read. Outcomes are final, so a dependency that is
+ * satisfied stays so, and so does the cancellation of dependents.
  */
 public final class DependencyGraph {
     private final Predicate<String> isOpen;
-    /** By open job that has dependencies. */
+    /** The dependencies of each open job that has any. */
     private final Map<String, Dependencies> dependencies = new HashMap<>();
-    /** By job, open or not: the open jobs that depend on it directly. */
+    /** For each job, open or not, the open jobs that depend on it directly. */
     private final Map<String, Set<String>> dependents = new HashMap<>();
-    /** Jobs with open dependents that are not open any more, and whose outcome is unknown. */
+    /** Jobs that are not open, have open dependents, and whose outcome has not been read. */
     private final Set<String> unresolved = new LinkedHashSet<>();
     /** Open jobs that depend on a cancelled one, directly or transitively. */
     private final Set<String> cancelledByDependency = new LinkedHashSet<>();
@@ -39,14 +39,14 @@
         }
     }
 
-    /** @param isOpen whether a job is open, as far as the owner of the graph has read */
+    /** @param isOpen whether the owner of the graph has read that a job is open */
     public DependencyGraph(Predicate<String> isOpen) {
         this.isOpen = isOpen;
     }
 
     /** Adds an open job with its dependencies; idempotent. */
     public void addJob(String job, List<String> dependsOn) {
-        // Pages of a listing may be read in any order, a dependent before the job that it depends on.
+        // The pages of a listing may be read in any order: if a dependent came first, this job was taken to have ended.
         unresolved.remove(job);
         if (dependsOn.isEmpty() || dependencies.containsKey(job)) {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Removes a job that is not open any more; if others depend on it, its outcome is unresolved. */
+    /** Removes a job that is no longer open; if open jobs depend on it, its outcome has to be read. */
     public void removeJob(String job) {
         Dependencies removed = dependencies.remove(job);
         cancelledByDependency.remove(job);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Applies the outcome of a job; returns the dependents all of whose dependencies are satisfied by it. */
+    /** Applies the outcome of a job; returns the dependents whose last unsatisfied dependency it was. */
     public Collection<String> applyOutcome(String job, JobRecord outcome) {
         unresolved.remove(job);
         Set<String> ready = new LinkedHashSet<>();
@@ -102,7 +102,7 @@
         return ready;
     }
 
-    /** Without recursion: chains may be as long as there are jobs. */
+    /** Iterative, because a chain may be as long as the number of jobs, and recursion would overflow the stack. */
     private void cancelWithDependents(String job) {
         Deque<String> queue = new ArrayDeque<>(List.of(job));
         while (!queue.isEmpty()) {
@@ -113,13 +113,16 @@
         }
     }
 
-    /** Whether a dependency of the job is unsatisfied; it may be so forever, as one of them was cancelled. */
+    /** Whether a dependency of the job is unsatisfied; it stays so if a dependency was cancelled. */
     public boolean isBlocked(String job) {
         Dependencies own = dependencies.get(job);
         return own != null && !own.unsatisfied.isEmpty();
     }
 
-    /** Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known. */
+    /**
+     * Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known to be. The
+     * job must be open and have dependencies.
+     */
     public long lastEndedAtMs(String job) {
         return dependencies.get(job).lastEndedAtMs;
     }
@@ -134,7 +137,7 @@
         return cancelledByDependency;
     }
 
-    /** The jobs whose outcomes have to be read before their dependents can be judged. */
+    /** The jobs whose outcomes have to be read before their dependents can be unblocked or cancelled. */
     public Set<String> unresolved() {
         return unresolved;
     }
--- a/src/main/java/notchpick/model/Job.java
+++ b/src/main/java/notchpick/model/Job.java
@@ -9,9 +9,9 @@
 
 /** An open job and the state of its tasks: pending, leased for placement, assigned, or done. */
 public final class Job {
-    /** So many machines must have failed a job before the fault is taken to be its own. */
+    /** Tasks must have failed on this many machines before the job itself is suspected to be faulty. */
     private static final int FAILED_MACHINES_TO_SUSPECT = 3;
-    /** So many tasks at a time show whether a suspected job can run after all. */
+    /** A suspected job runs this many tasks at a time, to find out whether it can run after all. */
     private static final int TRIAL_TASKS = 2;
     /** The backoff between trials doubles up to this many heartbeat periods. */
     private static final int MAX_BACKOFF_PERIODS = 16;
@@ -21,21 +21,21 @@
     private final BitSet durablyDone;
     private final BitSet pending;
     private final BitSet leased = new BitSet();
-    /** How many machines each unfinished task is, or may be, on. */
-    private final Map<Integer, Integer> assigned = new HashMap<>();
+    /** How many machines each task is, or may be, on; a task that is on none has no entry. */
+    private final Map<Integer, Integer> machineCounts = new HashMap<>();
 
-    private final Set<String> failedMachines = new HashSet<>();
+    private final Set<String> machinesWithFailures = new HashSet<>();
     private JobSpec spec;
     private int runningTasks;
     private boolean blocked;
     private int backoffPeriods = 1;
-    private long notBefore;
+    private long notBeforeMs;
     private long skippedSinceMs;
     private long deferredSinceMs;
     private boolean spotTooSlow;
     private boolean spotUnavailable;
 
-    /** @param version of its description in the state store, which is deleted when the job ends */
+    /** @param version the version of the job's description in the state store, which is deleted when the job ends */
     public Job(JobSpec spec, long version) {
         this.spec = spec;
         this.version = version;
@@ -45,7 +45,7 @@
         this.pending.set(0, spec.tasks());
     }
 
-    /** What its user asked for, with the priority and deadline inherited from the jobs that depend on it. */
+    /** The specification as submitted, with the priority and deadline inherited from the jobs that depend on it. */
     public JobSpec spec() {
         return spec;
     }
@@ -63,8 +63,6 @@
         return version;
     }
 
-    // ---- completion ----------------------------------------------------------------------------
-
     public boolean isTaskDone(int task) {
         return done.get(task);
     }
@@ -81,7 +79,7 @@
         return !spec.isService() && done.cardinality() == spec.tasks();
     }
 
-    /** The task has completed; false if that was known, or the job has no such task. */
+    /** Marks the task as done; false if it already was, if the job has no such task, or if the job is a service. */
     public boolean complete(int task) {
         if (task >= spec.tasks() || done.get(task) || spec.isService()) {
             return false;
@@ -91,17 +89,17 @@
         return true;
     }
 
-    /** The state store has the completion of the task. */
+    /** Records that the state store has the completion of the task. */
     public void markCompletionDurable(int task) {
         durablyDone.set(task);
     }
 
-    /** How many completions the state store has. */
+    /** How many tasks are done and have their completion in the state store. */
     public int durablyDoneTasks() {
         return durablyDone.cardinality();
     }
 
-    /** Whether a worker may forget that the task has completed there. */
+    /** Whether a worker may drop its record of the completed task: the completion is durable, or of no use. */
     public boolean canForgetCompletion(int task) {
         return spec.isService() || task >= spec.tasks() || durablyDone.get(task);
     }
@@ -111,8 +109,6 @@
         return done.get(first, first + count);
     }
 
-    // ---- placement -----------------------------------------------------------------------------
-
     public int pendingTasks() {
         return pending.cardinality();
     }
@@ -130,35 +126,35 @@
         return leased.cardinality();
     }
 
-    /** The task is to be placed under a resource lease. */
+    /** Sets the pending task aside to be placed under a resource lease. */
     public void leaseTask(int task) {
         pending.clear(task);
         leased.set(task);
     }
 
-    /** The resource lease of the task has ended. */
+    /** Ends the resource lease of the task, which is pending again unless it is done or assigned. */
     public void returnLeasedTask(int task) {
         leased.clear(task);
-        if (!done.get(task) && !assigned.containsKey(task)) {
+        if (!done.get(task) && !machineCounts.containsKey(task)) {
             pending.set(task);
         }
     }
 
     /** Whether a task that a worker reports unexpectedly can be taken over as it is. */
     public boolean canAdopt(int task) {
-        return task < spec.tasks() && !done.get(task) && !assigned.containsKey(task) && !leased.get(task);
+        return task < spec.tasks() && !done.get(task) && !machineCounts.containsKey(task) && !leased.get(task);
     }
 
-    /** The task is, or may be, on one more machine. */
-    void assigned(int task) {
-        assigned.merge(task, 1, Integer::sum);
+    /** Records that the task is, or may be, on one more machine. */
+    void incrementMachines(int task) {
+        machineCounts.merge(task, 1, Integer::sum);
         pending.clear(task);
     }
 
-    /** The task surely is not on one of its machines any more; it is pending again if that was the last. */
-    void unassigned(int task) {
-        assigned.computeIfPresent(task, (t, count) -> count == 1 ? null : count - 1);
-        if (!assigned.containsKey(task) && !done.get(task) && task < spec.tasks()) {
+    /** Records that the task is no longer on one of its machines; it is pending again if that was the last. */
+    void decrementMachines(int task) {
+        machineCounts.computeIfPresent(task, (t, count) -> count == 1 ? null : count - 1);
+        if (!machineCounts.containsKey(task) && !done.get(task) && task < spec.tasks()) {
             pending.set(task);
         }
     }
@@ -167,17 +163,15 @@
         return runningTasks;
     }
 
-    void taskStartedRunning() {
+    void incrementRunningTasks() {
         runningTasks++;
     }
 
-    void taskStoppedRunning() {
+    void decrementRunningTasks() {
         runningTasks--;
     }
 
-    // ---- scheduling ----------------------------------------------------------------------------
-
-    /** Whether it waits for dependencies, and therefore takes no part in scheduling. */
+    /** Whether the job waits for dependencies, and therefore takes no part in scheduling. */
     public boolean isBlocked() {
         return blocked;
     }
@@ -191,82 +185,85 @@
         return !blocked && !pending.isEmpty() && (!isSuspectedFaulty() || startableTasks() > 0);
     }
 
-    /** How many of its tasks are to run side by side, as far as there are resources. */
+    /** How many tasks of the job should run at once if there are enough resources. */
     public int desiredTasks() {
         return isSuspectedFaulty() ? Math.min(TRIAL_TASKS, unfinishedTasks()) : unfinishedTasks();
     }
 
-    /** How many more of its tasks may be started. */
+    /** How many more tasks of the job may be started. */
     public int startableTasks() {
         return isSuspectedFaulty()
-                ? Math.max(0, TRIAL_TASKS - assigned.size() - leased.cardinality())
+                ? Math.max(0, TRIAL_TASKS - machineCounts.size() - leased.cardinality())
                 : pending.cardinality();
     }
 
-    /** A task of it has failed on the machine. */
-    public void recordTaskFailure(String machine, long now, long heartbeatPeriodMs) {
-        failedMachines.add(machine);
-        // What fails of the same trial does not make the backoff any longer.
-        if (isSuspectedFaulty() && now >= notBefore) {
+    /** Records that a task of the job has failed on the machine. */
+    public void recordTaskFailure(String machine, long nowMs, long heartbeatPeriodMs) {
+        machinesWithFailures.add(machine);
+        // Further failures in the same trial do not extend the backoff.
+        if (isSuspectedFaulty() && nowMs >= notBeforeMs) {
             backoffPeriods = Math.min(MAX_BACKOFF_PERIODS, 2 * backoffPeriods);
-            notBefore = now + heartbeatPeriodMs * backoffPeriods;
+            notBeforeMs = nowMs + heartbeatPeriodMs * backoffPeriods;
         }
     }
 
-    /** Whether a task of it ever failed, so that some machine may be avoided. */
+    /** Whether a task of the job has ever failed, so that the job may be avoiding some machine. */
     public boolean hasTaskFailures() {
-        return !failedMachines.isEmpty();
+        return !machinesWithFailures.isEmpty();
     }
 
     /**
-     * Whether it was probably submitted with a mistake: several machines have failed it and none has completed
-     * anything. Such a job gets a trial of few tasks now and then; with its full width it would take resources from
-     * work that can run, and have sound machines quarantined.
+     * Whether the job was probably submitted with a mistake: its tasks have failed on several machines, and none has
+     * completed. Such a job only gets trials of a few tasks. If all its tasks were started, they would take resources
+     * from jobs that can run, and cause healthy machines to be quarantined.
      */
     public boolean isSuspectedFaulty() {
-        return failedMachines.size() >= FAILED_MACHINES_TO_SUSPECT && done.isEmpty() && !spec.isService();
+        return machinesWithFailures.size() >= FAILED_MACHINES_TO_SUSPECT && done.isEmpty() && !spec.isService();
     }
 
-    /** None of its tasks is launched before then. */
+    /** Prevents launches of the job's tasks before this time. */
     public void backOffUntil(long atMs) {
-        notBefore = atMs;
+        notBeforeMs = atMs;
     }
 
-    public boolean isBackingOff(long now) {
-        return notBefore > now;
+    public boolean isBackingOff(long nowMs) {
+        return notBeforeMs > nowMs;
     }
 
-    /** Since when its next task has been skipped for want of resources; 0: it has not. */
+    /** Since when the job's next task has been skipped for lack of resources; 0 if it has not been skipped. */
     public long skippedSinceMs() {
         return skippedSinceMs;
     }
 
-    /** Its next task has been skipped, or has found resources (0). */
+    /** Sets since when the job's next task has been skipped; 0 once it has found resources. */
     public void setSkippedSinceMs(long atMs) {
         skippedSinceMs = atMs;
     }
 
-    /** Since when other jobs have gone first where its image is missing; 0: they have not. */
+    /** Since when jobs whose image was already on a machine have been placed before this one; 0 if none has. */
     public long deferredSinceMs() {
         return deferredSinceMs;
     }
 
-    /** Another job has gone first, or its own turn has come (0). */
+    /** Sets since when other jobs have been placed before this one; 0 once it has been placed itself. */
     public void setDeferredSinceMs(long atMs) {
         deferredSinceMs = atMs;
     }
 
-    /** Whether it would be late on spot machines alone. */
+    /** Sets whether spot machines alone are too slow: the job is guaranteed its resources, or it would be late. */
     public void setSpotTooSlow(boolean value) {
         spotTooSlow = value;
     }
 
-    /** No spot machine was to be had that could run it; this stays so, lest its machine be released again. */
+    /**
+     * Records that no spot machine is available that can run the job. This is never reset: the on-demand machine rented
+     * for the job would otherwise be released again.
+     */
     public void markSpotUnavailable() {
         spotUnavailable = true;
     }
 
-    /** On-demand machines are for jobs that need them, by their users' word or to meet their objective. */
+    /** Whether the job may use on-demand machines: its user chose them, or it needs them to run or to be on time. */
     public boolean canUseOnDemand() {
         return spotTooSlow || spotUnavailable || !spec.spot();
     }
--- a/src/main/java/notchpick/model/JobRecord.java
+++ b/src/main/java/notchpick/model/JobRecord.java
@@ -3,7 +3,7 @@
 import notchpick.scheduling.JobSpec;
 
 /**
- * The status of a job, and what is kept of it for good once it has ended.
+ * The status of a job. The record of an ended job is kept permanently.
  *
  * @param endedAtMs wall-clock time of its end, in milliseconds; 0 if an earlier version wrote the record
  */
@@ -18,7 +18,7 @@
         return new JobRecord(JobStatus.DONE, spec.tasks(), spec.tasks(), atMs, spec.isService());
     }
 
-    /** The same job, cancelled at this time of day. */
+    /** The record of the same job, cancelled at this wall-clock time. */
     public JobRecord cancelled(long atMs) {
         return new JobRecord(JobStatus.CANCELLED, tasks, 0, atMs, service);
     }
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -11,17 +11,17 @@
 import notchpick.scheduling.NodePool;
 import notchpick.scheduling.Resources;
 
-/** A machine as the leader knows it: its lifecycle, its worker's heartbeats, and the resources taken on it. */
+/** The leader's view of a machine: its lifecycle, its worker's heartbeats, and the resources in use on it. */
 public final class Machine implements CandidateNode {
     /** The lifecycle of a machine, in order. */
     public enum State {
         /** Rented; its worker has not reported yet. */
         PROVISIONING,
-        /** Its worker reports. */
+        /** Its worker has reported, or a former leader launched tasks on it. */
         READY,
-        /** To be released once nothing runs on it; it gets no new tasks. */
+        /** Gets no new tasks, and is released once nothing runs on it. */
         DRAINING,
-        /** Its release may have been requested: never to be used again. */
+        /** Its release may have been requested, so it is never used again. */
         RELEASED
     }
 
@@ -53,13 +53,13 @@
     private Resources held = Resources.NONE;
     private Resources free;
 
-    public Machine(String name, NodePool pool, Resources size, long now) {
+    public Machine(String name, NodePool pool, Resources size, long nowMs) {
         this.name = name;
         this.pool = pool;
         this.size = size;
-        this.provisionedAtMs = now;
-        this.idleSinceMs = now;
-        this.lastHeartbeatAtMs = now;
+        this.provisionedAtMs = nowMs;
+        this.idleSinceMs = nowMs;
+        this.lastHeartbeatAtMs = nowMs;
         this.free = size;
     }
 
@@ -86,8 +86,6 @@
         return pool.spot();
     }
 
-    // ---- lifecycle -----------------------------------------------------------------------------
-
     public State state() {
         return state;
     }
@@ -97,25 +95,25 @@
         return state == State.READY || state == State.DRAINING;
     }
 
-    /** The worker has reported for the first time, or a former leader launched tasks there. */
-    public void markReady(long now) {
+    /** Marks the machine as ready: its worker has reported, or a former leader launched tasks on it. */
+    public void markReady(long nowMs) {
         requireState(State.PROVISIONING);
         state = State.READY;
-        idleSinceMs = now;
+        idleSinceMs = nowMs;
     }
 
-    /** No new tasks are placed here, and the machine is released once it is idle. */
+    /** Prevents new tasks on the machine, which is released once it is idle. */
     public void drain() {
         requireState(State.READY);
         state = State.DRAINING;
     }
 
-    /** The machine is never used again, and its release is to be recorded and requested. */
+    /** Marks the machine as released: it is never used again, and its release has to be recorded and requested. */
     public void release() {
         state = State.RELEASED;
     }
 
-    /** The decision to release the machine is durable, so that the release may be requested. */
+    /** Marks the decision to release the machine as durable, so that the release may be requested. */
     public void markReleaseDurable() {
         requireState(State.RELEASED);
         releaseDurable = true;
@@ -123,7 +121,7 @@
 
     private void requireState(State required) {
         if (state != required) {
-            throw new IllegalStateException("machine " + name + " is " + state + ", not " + required);
+            throw new IllegalStateException("machine " + name + " is in state " + state + ", expected " + required);
         }
     }
 
@@ -136,7 +134,7 @@
         return provisionedAtMs;
     }
 
-    /** The cloud lists a machine of this age that was not known. */
+    /** Sets when the machine was rented, if it was first seen in the cloud's list. */
     public void setProvisionedAtMs(long atMs) {
         provisionedAtMs = atMs;
     }
@@ -146,14 +144,12 @@
         return idleSinceMs;
     }
 
-    /** The machine has just become idle. */
-    public void markIdle(long now) {
-        idleSinceMs = now;
+    /** Records that the machine has just become idle. */
+    public void markIdle(long nowMs) {
+        idleSinceMs = nowMs;
     }
 
-    // ---- heartbeats ----------------------------------------------------------------------------
-
-    /** The worker's incarnation, which rises each time its lease expires. */
+    /** The worker's incarnation, which it increments each time its lease expires. */
     public long incarnation() {
         return incarnation;
     }
@@ -169,21 +165,21 @@
                 || (heartbeatIncarnation == incarnation && heartbeatSequence <= sequence);
     }
 
-    /** Takes over what identifies the newest heartbeat. */
-    public void recordHeartbeat(long newIncarnation, long newSequence, Double newReclaimNoticeS, long now) {
+    /** Records an accepted heartbeat as the newest one. */
+    public void recordHeartbeat(long newIncarnation, long newSequence, Double newReclaimNoticeS, long nowMs) {
         everReported = true;
         incarnation = newIncarnation;
         sequence = newSequence;
         reclaimNoticeS = newReclaimNoticeS;
-        lastHeartbeatAtMs = now;
+        lastHeartbeatAtMs = nowMs;
     }
 
-    /** A reply that may renew the worker's lease goes out, though the heartbeat itself did not count. */
-    public void recordPossibleLeaseRenewal(long now) {
-        lastHeartbeatAtMs = now;
+    /** Records that a reply may renew the worker's lease, although its heartbeat was not accepted. */
+    public void recordPossibleLeaseRenewal(long nowMs) {
+        lastHeartbeatAtMs = nowMs;
     }
 
-    /** When the newest heartbeat came; the worker's lease runs out some time after that at the latest. */
+    /** When the last heartbeat came whose reply may renew the worker's lease, in milliseconds of the steady clock. */
     public long lastHeartbeatAtMs() {
         return lastHeartbeatAtMs;
     }
@@ -211,7 +207,7 @@
         awaitingReply = waiting;
     }
 
-    /** Whether all that is on the machine has been reported, and no command of a former leader can reach it any more. */
+    /** Whether all tasks on the machine have been reported, and no command of a former leader can reach it any more. */
     public boolean isReconciled() {
         return reconciled;
     }
@@ -225,7 +221,7 @@
         return formerLeaderLaunches;
     }
 
-    /** A launch record of a former leader names the machine. */
+    /** Records that a launch record of a former leader names the machine. */
     public void markFormerLeaderLaunches() {
         formerLeaderLaunches = true;
     }
@@ -235,23 +231,21 @@
         return reclaimNoticeS;
     }
 
-    /** What is known of how well tasks run on the machine, and commands reach it. */
+    /** How well tasks run on the machine, and whether commands reach it. */
     public MachineHealth health() {
         return health;
     }
 
     /** Whether tasks may be launched on the machine. */
-    public boolean isSchedulable(long now, long heartbeatPeriodMs) {
+    public boolean isSchedulable(long nowMs, long heartbeatPeriodMs) {
         return state == State.READY
                 && reconciled
                 && reclaimNoticeS == null
-                && health.permitsLaunches(now)
-                // A machine that has missed heartbeats may be gone; what is launched there would only wait.
-                && now - lastHeartbeatAtMs < 2 * heartbeatPeriodMs;
+                && health.isLaunchPermitted(nowMs)
+                // A machine that has missed a heartbeat may be gone; a task launched there would only wait.
+                && nowMs - lastHeartbeatAtMs < 2 * heartbeatPeriodMs;
     }
 
-    // ---- assignments and resources -------------------------------------------------------------
-
     public Resources size() {
         return size;
     }
@@ -266,7 +260,7 @@
         return imagesView;
     }
 
-    /** The image is on the machine, or will be fetched by a task that is assigned to it. */
+    /** Records that the image is on the machine, or will be fetched for a task that is assigned to it. */
     public void addImage(String image) {
         images.add(image);
     }
@@ -275,34 +269,34 @@
         return assignmentsView;
     }
 
-    /** The assignments as they are now, to be iterated over while they change. */
+    /** A copy of the assignments, to be iterated over while they change. */
     public List<TaskAssignment> copyOfAssignments() {
         return List.copyOf(assignments.values());
     }
 
-    /** The assignment of a task, or null. */
+    /** The assignment of the task to this machine, or null. */
     public TaskAssignment assignment(String taskName) {
         return assignments.get(taskName);
     }
 
-    /** Whether this very assignment still stands. */
+    /** Whether this assignment is current: it has neither ended nor been replaced by another of the same task. */
     public boolean hasAssignment(TaskAssignment assignment) {
         return assignments.get(assignment.taskName()) == assignment;
     }
 
-    /** Takes the resources that the task needs. */
+    /** Adds an assignment, and takes the resources that its task needs. */
     void add(TaskAssignment assignment) {
         assignments.put(assignment.taskName(), assignment);
         held = held.plus(assignment.spec().demand());
         free = free.minus(assignment.spec().demand());
     }
 
-    /** Gives back the resources that the task held; false if the assignment does not stand any more. */
+    /** Removes an assignment, and frees the resources that its task held; false if it is not current. */
     boolean remove(TaskAssignment assignment) {
         if (!assignments.remove(assignment.taskName(), assignment)) {
             return false;
         }
-        // Sums of decimals drift; with nothing left they start afresh.
+        // Rounding errors add up in the sum, so it is reset when no assignment is left.
         held = assignments.isEmpty()
                 ? Resources.NONE
                 : held.minus(assignment.spec().demand());
@@ -321,7 +315,7 @@
         free = free.minus(resources);
     }
 
-    /** Leased resources come back. */
+    /** Returns leased resources. */
     public void returnLeased(Resources resources) {
         leased = leased.minus(resources);
         if (leased.cores() < Resources.EPSILON && leased.ram() < Resources.EPSILON) {
--- a/src/main/java/notchpick/model/MachineHealth.java
+++ b/src/main/java/notchpick/model/MachineHealth.java
@@ -4,78 +4,73 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is known of how well tasks run on a machine, and commands reach it; it suppresses launches where they don't. */
+/** How well tasks run on a machine and whether commands reach it; suppresses launches where either is in doubt. */
 public final class MachineHealth {
     private static final int MAX_SUPPRESSION_DOUBLINGS = 3;
 
     private final Map<String, Long> taskFailures = new HashMap<>();
-    private long quarantinedUntil;
+    private long quarantinedUntilMs;
     private long suspectedSinceMs;
     private int missedReplies;
-    private long launchesSuppressedUntil;
+    private long launchesSuppressedUntilMs;
 
-    /** Whether tasks may be launched as far as the machine's health goes. */
-    boolean permitsLaunches(long now) {
-        return quarantinedUntil <= now && launchesSuppressedUntil <= now;
+    /** Whether launches are neither prevented by a quarantine nor suppressed after missed replies. */
+    boolean isLaunchPermitted(long nowMs) {
+        return quarantinedUntilMs <= nowMs && launchesSuppressedUntilMs <= nowMs;
     }
 
-    // ---- replies -------------------------------------------------------------------------------
-
     /**
-     * A reply with launch commands was lost, as the next heartbeat shows. Launches are suppressed for a time that
-     * doubles with each reply missed: on a machine that hears nothing they would take resources in vain.
+     * Records that a reply with launch commands was lost, as the next heartbeat has shown. Launches are suppressed for a
+     * time that doubles with each missed reply, because on a machine that commands do not reach, planned tasks would
+     * hold resources without running.
      */
-    public void recordMissedReply(long now, long heartbeatPeriodMs) {
+    public void recordMissedReply(long nowMs, long heartbeatPeriodMs) {
         missedReplies = Math.min(missedReplies + 1, MAX_SUPPRESSION_DOUBLINGS);
-        launchesSuppressedUntil = now + (heartbeatPeriodMs << missedReplies);
+        launchesSuppressedUntilMs = nowMs + (heartbeatPeriodMs << missedReplies);
     }
 
-    /** A reply has surely arrived. */
+    /** Records that the worker has certainly received a reply. */
     public void recordReceivedReply() {
         missedReplies = 0;
-        launchesSuppressedUntil = 0;
+        launchesSuppressedUntilMs = 0;
     }
 
-    // ---- task failures -------------------------------------------------------------------------
-
-    /** The last failure of each job whose tasks have failed here since one succeeded, in milliseconds. */
+    /** For each job with failures here since any task last succeeded: the time of its last one, in milliseconds. */
     public Map<String, Long> taskFailures() {
         return Collections.unmodifiableMap(taskFailures);
     }
 
-    /** A task of the job has failed here. */
-    public void recordTaskFailure(String job, long now) {
-        taskFailures.put(job, now);
+    /** Records that a task of the job has failed here. */
+    public void recordTaskFailure(String job, long nowMs) {
+        taskFailures.put(job, nowMs);
     }
 
-    /** A task has succeeded here. */
+    /** Records that a task has succeeded here, which clears all failures. */
     public void recordTaskSuccess() {
         taskFailures.clear();
     }
 
-    /** Whether a task of the job failed here within this time. */
-    public boolean hasFailedWithin(String job, long now, long withinMs) {
-        Long failedAt = taskFailures.get(job);
-        return failedAt != null && now - failedAt < withinMs;
+    /** Whether a task of the job failed here less than this long ago, and none has succeeded here since. */
+    public boolean hasFailedWithin(String job, long nowMs, long withinMs) {
+        Long failedAtMs = taskFailures.get(job);
+        return failedAtMs != null && nowMs - failedAtMs < withinMs;
     }
 
-    // ---- quarantine ----------------------------------------------------------------------------
-
-    /** No tasks are launched on the machine until then. */
+    /** Prevents launches on the machine until this time. */
     public void quarantine(long untilMs) {
-        quarantinedUntil = untilMs;
+        quarantinedUntilMs = untilMs;
     }
 
-    /** The machine is quarantined until it has been found sound or faulty. */
-    public void suspect(long now) {
-        suspectedSinceMs = now;
-        quarantinedUntil = Long.MAX_VALUE;
+    /** Quarantines the machine until it has been found healthy or faulty. */
+    public void suspect(long nowMs) {
+        suspectedSinceMs = nowMs;
+        quarantinedUntilMs = Long.MAX_VALUE;
     }
 
-    /** The machine is found to be sound. */
-    public void clearSuspicion(long now) {
+    /** Ends the quarantine of a machine that has been found healthy. */
+    public void clearSuspicion(long nowMs) {
         suspectedSinceMs = 0;
-        quarantinedUntil = now;
+        quarantinedUntilMs = nowMs;
     }
 
     public boolean isSuspected() {
--- a/src/main/java/notchpick/model/MachineTypeCatalog.java
+++ b/src/main/java/notchpick/model/MachineTypeCatalog.java
@@ -9,14 +9,14 @@
 import notchpick.scheduling.Milliseconds;
 import notchpick.scheduling.Resources;
 
-/** The machine types that the cloud offers, as far as they are known. */
+/** The machine types that the cloud offers, as last read from it. */
 public final class MachineTypeCatalog {
     /** A machine of an unknown type is expected to take this long to boot. */
     private static final double UNKNOWN_BOOT_MS = 60_000;
 
     private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-    /** Adds types, or replaces what was known of them. */
+    /** Adds types, and replaces those of the same name. */
     public void update(List<MachineType> known) {
         known.forEach(type -> types.put(type.name(), type));
     }
@@ -35,13 +35,13 @@
         return known == null ? Resources.NONE : known.size();
     }
 
-    /** How many GB of images a machine of this type fetches in a second; 0 if the type is unknown. */
+    /** The rate at which a machine of this type fetches images, in GB per second; 0 if the type is unknown. */
     public double fetchGbPerS(String type) {
         MachineType known = types.get(type);
         return known == null ? 0 : known.fetchGbPerS();
     }
 
-    /** How many seconds an image of this size takes on the slowest type. */
+    /** The seconds that the slowest type takes to fetch an image of this size; 0 if no rate is known. */
     public double fetchS(double imageGb) {
         double slowest = types.values().stream()
                 .mapToDouble(MachineType::fetchGbPerS)
@@ -51,7 +51,7 @@
         return imageGb / slowest;
     }
 
-    /** How many milliseconds a machine of this type usually takes to boot. */
+    /** The usual boot time of a machine of this type, in milliseconds. */
     public double bootMs(String type) {
         MachineType known = types.get(type);
         return known == null ? UNKNOWN_BOOT_MS : known.bootS() * Milliseconds.PER_SECOND;
--- a/src/main/java/notchpick/model/TaskAssignment.java
+++ b/src/main/java/notchpick/model/TaskAssignment.java
@@ -3,10 +3,11 @@
 import notchpick.scheduling.JobSpec;
 
 /**
- * An attempt of a task that is, or may be, on a machine. It holds its resources there until it surely is not.
+ * An attempt to run a task, which is or may be on a machine. It holds resources there until it is certain that the task
+ * is not there any more.
  */
 public final class TaskAssignment {
-    /** How far the launch of the task has come. */
+    /** The progress of the task's launch. */
     public enum Phase {
         /** A former leader may have sent the launch command. */
         INHERITED,
@@ -20,7 +21,7 @@
         REPORTED
     }
 
-    /** A start counts for the users' objectives only if the task then runs undisturbed for half a minute. */
+    /** A start counts for the users' objectives only if the task then runs without interruption for half a minute. */
     private static final long MIN_UNDISTURBED_RUN_MS = 35_000;
 
     private final int task;
@@ -45,7 +46,7 @@
         this.phase = phase;
     }
 
-    /** The specification of its job, with the priority and deadline that count at present. */
+    /** The specification of the job, with its current priority and deadline. */
     public JobSpec spec() {
         return spec;
     }
@@ -75,27 +76,28 @@
         return phase;
     }
 
-    /** Whether a launch command is, or may be, on its way or carried out: only the worker can tell what became of it. */
+    /** Whether the launch command has, or may have, been sent, so that only the worker's reports show its effect. */
     public boolean canBeOnWorker() {
         return phase == Phase.INHERITED || phase == Phase.SENT || phase == Phase.REPORTED;
     }
 
-    /** The launch record has become durable. */
+    /** Marks the launch record as durable, so that the launch command may be sent. */
     public void markLaunchDurable() {
         requirePhase(Phase.PLANNED);
         phase = Phase.DURABLE;
     }
 
-    /** The launch command goes out. */
+    /** Marks the launch command as sent. */
     public void markLaunchSent() {
         requirePhase(Phase.DURABLE);
         phase = Phase.SENT;
     }
 
-    /** The worker has reported this attempt. */
+    /** Records that the worker has reported this attempt. */
     public void markReported(long reportedAttempt) {
         if (!canBeOnWorker()) {
-            throw new IllegalStateException("task " + taskName + " is reported before its launch in phase " + phase);
+            throw new IllegalStateException(
+                    "task " + taskName + " was reported before its launch was sent, in phase " + phase);
         }
         attempt = reportedAttempt;
         phase = Phase.REPORTED;
@@ -103,7 +105,7 @@
 
     private void requirePhase(Phase required) {
         if (phase != required) {
-            throw new IllegalStateException("task " + taskName + " is in phase " + phase + ", not " + required);
+            throw new IllegalStateException("task " + taskName + " is in phase " + phase + ", expected " + required);
         }
     }
 
@@ -111,13 +113,13 @@
         return running;
     }
 
-    /** The task has its image and runs. */
-    void markRunning(long now) {
+    /** Records that the task has its image and runs. */
+    void markRunning(long nowMs) {
         running = true;
-        runningSinceMs = now;
+        runningSinceMs = nowMs;
     }
 
-    /** When the task was first reported as running, in milliseconds; 0 if it was not. */
+    /** When the task was first reported as running, in milliseconds of the steady clock; 0 if it has not been. */
     public long runningSinceMs() {
         return runningSinceMs;
     }
@@ -134,21 +136,21 @@
         return stopRequested;
     }
 
-    /** The time to write a checkpoint that goes with the command to stop, in seconds. */
+    /** The time that the stop command leaves the task to write a checkpoint, in seconds. */
     public double stopGraceS() {
         return stopGraceS;
     }
 
-    /** Has the task write a checkpoint and stop. */
+    /** Requests that the task write a checkpoint and stop. */
     public void requestCheckpointAndStop() {
         stopRequested = true;
         stopGraceS = Math.ceil(spec.checkpointWriteS());
     }
 
     /**
-     * The job has ended: the task is to stop at once.
+     * Requests that the task stop at once, because its job has ended.
      *
-     * @param openUntilMs a time at which the job surely had not been cancelled yet
+     * @param openUntilMs a time at which the job had certainly not been cancelled yet
      */
     public void requestImmediateStop(long openUntilMs) {
         stopRequested = true;
@@ -156,17 +158,17 @@
         jobOpenUntilMs = openUntilMs;
     }
 
-    /** If the job has ended, a time at which it surely had not been cancelled yet. */
+    /** If the job has ended, a time at which it had certainly not been cancelled yet. */
     public long jobOpenUntilMs() {
         return jobOpenUntilMs;
     }
 
-    /** Whether stopping the task now loses neither its work nor its users' count of its start. */
-    public boolean isPreemptible(long now) {
+    /** Whether the task can be stopped now without losing its work, and with its start still counting. */
+    public boolean isPreemptible(long nowMs) {
         return spec.checkpointIntervalS() > 0
                 && running
                 && !checkpointing
                 && !stopRequested
-                && now - runningSinceMs >= MIN_UNDISTURBED_RUN_MS;
+                && nowMs - runningSinceMs >= MIN_UNDISTURBED_RUN_MS;
     }
 }
--- a/src/main/java/notchpick/model/package-info.java
+++ b/src/main/java/notchpick/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The cluster as the leader knows it: jobs, machines and task assignments, and the graph of dependencies among jobs.
+ * The leader's view of the cluster: jobs, machines and task assignments, and the graph of dependencies among jobs.
  * {@link notchpick.model.ClusterState} is the entry point. Nothing here sends or stores anything.
  */
 package notchpick.model;
--- a/src/test/java/notchpick/model/DependencyGraphTest.java
+++ b/src/test/java/notchpick/model/DependencyGraphTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Blocked and ready jobs, and cascading cancellation. */
+/** Tests which jobs are blocked, and the cancellation of dependents. */
 class DependencyGraphTest {
     private static final JobRecord CANCELLED = new JobRecord(JobStatus.CANCELLED, 1, 0, 0, false);
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void blocksAJobUntilAllItsDependenciesAreKnownToBeDone() {
+    void blocksJobUntilAllDependenciesAreDone() {
         open("a");
         open("b");
         open("c", "a", "b");
@@ -39,7 +39,7 @@
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.applyOutcome("a", done(700)).isEmpty());
         close("b");
-        assertTrue(dependencies.isBlocked("c"), "ended, with an unknown outcome");
+        assertTrue(dependencies.isBlocked("c"), "b has ended, but its outcome has not been read");
         assertEquals(Set.of("c"), dependencies.applyOutcome("b", done(500)));
         assertFalse(dependencies.isBlocked("c"));
         assertEquals(700, dependencies.lastEndedAtMs("c"));
@@ -72,14 +72,14 @@
     }
 
     @Test
-    void forgetsUnresolvedJobsWithoutDependents() {
+    void dropsUnresolvedJobsWithoutDependents() {
         open("b", "a");
         close("b");
         assertTrue(dependencies.unresolved().isEmpty());
     }
 
     @Test
-    void addingAJobIsIdempotent() {
+    void addsJobsIdempotently() {
         open("a");
         open("b", "a");
         close("a");
--- a/src/test/java/notchpick/model/TaskAssignmentTest.java
+++ b/src/test/java/notchpick/model/TaskAssignmentTest.java
@@ -12,7 +12,7 @@
 import notchpick.scheduling.TestJobs;
 import org.junit.jupiter.api.Test;
 
-/** A launch command may be sent only once its record is durable, and only what was sent can be reported. */
+/** A launch command may be sent only once its record is durable, and only a sent launch can be reported. */
 class TaskAssignmentTest {
     private static final long UNDISTURBED_MS = 35_000;
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aLaunchIsRecordedThenSentThenReported() {
+    void passesThroughLaunchPhases() {
         TaskAssignment assignment = assignment(Phase.PLANNED);
         assertFalse(assignment.canBeOnWorker());
         assignment.markLaunchDurable();
@@ -39,13 +39,13 @@
     }
 
     @Test
-    void aLaunchThatIsNotDurableIsNotSent() {
+    void rejectsSendingBeforeRecordIsDurable() {
         assertThrows(
                 IllegalStateException.class, () -> assignment(Phase.PLANNED).markLaunchSent());
     }
 
     @Test
-    void aTaskThatWasNotSentCannotBeReported() {
+    void rejectsReportBeforeLaunchIsSent() {
         assertThrows(
                 IllegalStateException.class, () -> assignment(Phase.PLANNED).markReported(7));
         assertThrows(
@@ -53,14 +53,14 @@
     }
 
     @Test
-    void anInheritedTaskTakesOverTheReportedAttempt() {
+    void adoptsReportedAttemptOfInheritedTask() {
         TaskAssignment assignment = assignment(Phase.INHERITED);
         assignment.markReported(9);
         assertEquals(9, assignment.attempt());
     }
 
     @Test
-    void aTaskIsPreemptedOnlyAfterAnUndisturbedRun() {
+    void isPreemptibleOnlyAfterUndisturbedRun() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
         assertFalse(assignment.isPreemptible(UNDISTURBED_MS));
         assignment.markRunning(1000);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aTaskThatIsAlreadyStoppingIsNotPreempted() {
+    void isNotPreemptibleOnceStopIsRequested() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
         assignment.markRunning(0);
         assignment.requestCheckpointAndStop();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aTaskOfAnEndedJobStopsAtOnce() {
+    void stopsTaskOfEndedJobImmediately() {
         TaskAssignment assignment = assignment(Phase.REPORTED);
         assignment.requestCheckpointAndStop();
         assignment.requestImmediateStop(500);
