--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known to be. The
-     * job must be open and have dependencies.
+     * Wall-clock time at which the last dependency known to be done ended, in milliseconds; 0 if none is known to be
+     * done. The job must be open and have dependencies.
      */
     public long lastEndedAtMs(String job) {
         return dependencies.get(job).lastEndedAtMs;
--- a/src/main/java/notchpick/model/MachineHealth.java
+++ b/src/main/java/notchpick/model/MachineHealth.java
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Records that a reply with launch commands was lost, as the next heartbeat has shown. Launches are suppressed for a
-     * time that doubles with each missed reply, because on a machine that commands do not reach, planned tasks would
-     * hold resources without running.
+     * Records that a reply with launch commands was lost, as the next heartbeat has shown. Launches are suppressed for
+     * a time that doubles with each missed reply: on a machine that commands do not reach, planned tasks would hold
+     * resources without running.
      */
     public void recordMissedReply(long nowMs, long heartbeatPeriodMs) {
         missedReplies = Math.min(missedReplies + 1, MAX_SUPPRESSION_DOUBLINGS);
--- a/src/test/java/notchpick/model/DependencyGraphTest.java
+++ b/src/test/java/notchpick/model/DependencyGraphTest.java
@@ -26,8 +26,8 @@
         dependencies.removeJob(job);
     }
 
-    private static JobRecord done(long at) {
-        return new JobRecord(JobStatus.DONE, 1, 1, at, false);
+    private static JobRecord done(long endedAtMs) {
+        return new JobRecord(JobStatus.DONE, 1, 1, endedAtMs, false);
     }
 
     @Test
@@ -39,7 +39,7 @@
         assertEquals(Set.of("a"), dependencies.unresolved());
         assertTrue(dependencies.applyOutcome("a", done(700)).isEmpty());
         close("b");
-        assertTrue(dependencies.isBlocked("c"), "b has ended, but its outcome has not been read");
+        assertTrue(dependencies.isBlocked("c"), "b has ended with an unknown outcome");
         assertEquals(Set.of("c"), dependencies.applyOutcome("b", done(500)));
         assertFalse(dependencies.isBlocked("c"));
         assertEquals(700, dependencies.lastEndedAtMs("c"));
