--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -72,9 +72,9 @@
         for (Job job : cluster.jobs()) {
             if (!job.isBlocked()) {
                 double runS = context.runtimes().runS(job.spec());
-                double remainingS =
+                double remainingCoreS =
                         job.desiredTasks() * runS * job.spec().demand().cores();
-                waiting.add(new WaitingJob<>(job, job.spec(), remainingS, runS));
+                waiting.add(new WaitingJob<>(job, job.spec(), remainingCoreS, runS));
             }
         }
         return waiting;
