--- a/src/main/java/notchpick/scheduling/CandidateNode.java
+++ b/src/main/java/notchpick/scheduling/CandidateNode.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** A machine, or resources leased on one, as far as the choice of a node for a task depends on it. */
+/** The properties of a machine, or of resources leased on one, that decide whether a task is placed there. */
 public interface CandidateNode {
     /** The name of its machine type. */
     String type();
@@ -11,9 +11,9 @@
 
     boolean isSpot();
 
-    /** What tasks may still be given. */
+    /** The resources that can still be assigned to tasks. */
     Resources freeResources();
 
-    /** The container images in its cache, which tasks need not fetch. */
+    /** The container images in its cache; tasks that use them need not fetch them. */
     Set<String> images();
 }
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Chooses machines to drain: those whose tasks can write a checkpoint and go on elsewhere, so that they can be returned. */
+/** Selects machines to drain and return: those whose tasks can write a checkpoint and continue on other machines. */
 public final class Consolidation {
     private Consolidation() {}
 
     /**
-     * A machine that could be drained, or take over the tasks of one that is.
+     * A machine that could be drained, or could take over the tasks of a drained machine.
      *
-     * @param movableTasks its tasks; empty if one of them can't be moved now
+     * @param movableTasks the tasks of the machine; empty if at least one of them can't be moved now
      */
     public record Candidate<N extends CandidateNode>(N node, Optional<List<JobSpec>> movableTasks) {
         private boolean isInUse() {
@@ -38,28 +38,29 @@
         }
     }
 
-    /** Above this part of the cores in use, one machine is drained at a time. */
+    /** If more than this fraction of the cores is in use, only one machine is drained at a time. */
     private static final double DENSE_USE_RATIO = 0.7;
-    /** Of the machines that would be spared at that use, this part is drained at a time. */
+    /** At {@link #DENSE_USE_RATIO} some machines could be spared; this fraction of them is drained at a time. */
     private static final double CONCURRENT_DRAIN_RATIO = 0.2;
-    /** So many candidates are tried for each machine wanted: where those can't be drained, fuller ones hardly can. */
+    /** How many candidates are tried per machine to drain; later ones are fuller and thus harder to drain. */
     private static final int TRIES_PER_MACHINE = 32;
 
     /**
-     * How many machines may be draining at a time: one, and more the less is in use. What is paid for in vain grows with
-     * the number, and the work that comes next must find enough machines.
+     * The maximum number of machines that may be draining at the same time: at least one, and more if fewer cores are
+     * in use. Draining machines are paid for without taking new work, and enough others must be left for the work that
+     * arrives next.
      *
-     * @param usedRatio the part of all cores that is in use
+     * @param usedRatio the fraction of all cores that is in use
      */
     public static int maxDraining(int machines, double usedRatio) {
         return (int) Math.max(1, machines * (DENSE_USE_RATIO - usedRatio) * CONCURRENT_DRAIN_RATIO);
     }
 
     /**
-     * The emptiest machines whose tasks the others can take over without fetching an image.
+     * Selects the emptiest machines whose tasks fit on other machines that already have the images in their caches.
      *
-     * @param moving tasks that are being moved already, and need free resources first
-     * @param maxMachines at most so many are chosen
+     * @param moving tasks that are already being moved; resources are reserved for them first
+     * @param maxMachines the maximum number of machines to select
      */
     public static <N extends CandidateNode> List<N> selectForDraining(
             Collection<Candidate<N>> candidates, Collection<JobSpec> moving, int maxMachines) {
@@ -82,7 +83,7 @@
         return draining;
     }
 
-    /** On-demand machines first, as they cost most, then by the cores in use. */
+    /** On-demand machines first, because they cost most, then by ascending number of cores in use. */
     private static <N extends CandidateNode> List<Candidate<N>> inDrainingOrder(Collection<Candidate<N>> candidates) {
         List<Candidate<N>> movable = new ArrayList<>();
         for (Candidate<N> candidate : candidates) {
@@ -96,10 +97,10 @@
         return movable;
     }
 
-    /** Machines in use with free cores, on which resources are reserved for the tasks of others; the fullest first. */
+    /** Machines in use with free cores, fullest first, on which resources are reserved for tasks of other machines. */
     private static final class Targets<N extends CandidateNode> {
         private final Set<N> available = new LinkedHashSet<>();
-        /** What is left after the reservations, of the machines that have any. */
+        /** The free resources left after reservations, for each machine with at least one reservation. */
         private final Map<N, Resources> unreserved = new HashMap<>();
 
         private final Set<N> reserved = new HashSet<>();
@@ -124,29 +125,29 @@
         }
 
         /**
-         * Reserves resources for all of these tasks, or for none.
+         * Reserves resources for all of the tasks or, if they don't all fit, for none of them.
          *
-         * @param drained the machine that they run on, or null for those that are being moved already
-         * @return whether all of them fit
+         * @param drained the machine that the tasks run on; null if they are already being moved
+         * @return whether all of the tasks fit
          */
         private boolean reserve(Collection<JobSpec> tasks, N drained) {
-            Map<N, Resources> left = new HashMap<>();
+            Map<N, Resources> remaining = new HashMap<>();
             for (JobSpec task : tasks) {
-                N target = target(task, drained, left);
+                N target = findTarget(task, drained, remaining);
                 if (target == null) {
                     return false;
                 }
-                left.put(target, free(target, left).minus(task.demand()));
+                remaining.put(target, free(target, remaining).minus(task.demand()));
             }
-            unreserved.putAll(left);
-            reserved.addAll(left.keySet());
+            unreserved.putAll(remaining);
+            reserved.addAll(remaining.keySet());
             return true;
         }
 
-        private N target(JobSpec task, N drained, Map<N, Resources> left) {
+        private N findTarget(JobSpec task, N drained, Map<N, Resources> remaining) {
             for (N node : available) {
                 if (node != drained
-                        && task.demand().fitsIn(free(node, left))
+                        && task.demand().fitsIn(free(node, remaining))
                         && node.images().contains(task.image())
                         && isAsCheap(node, drained)
                         && task.allows(node.type(), node.zone(), node.isSpot())) {
@@ -156,13 +157,13 @@
             return null;
         }
 
-        /** What runs on a spot instance is not moved to an on-demand machine. */
+        /** Tasks on a spot instance are not moved to an on-demand machine. */
         private boolean isAsCheap(N node, N drained) {
             return drained == null || node.isSpot() || !drained.isSpot();
         }
 
-        private Resources free(N node, Map<N, Resources> left) {
-            Resources free = left.get(node);
+        private Resources free(N node, Map<N, Resources> remaining) {
+            Resources free = remaining.get(node);
             if (free == null) {
                 free = unreserved.get(node);
             }
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -11,15 +11,16 @@
 import notchpick.scheduling.JobSpec.Priority;
 
 /**
- * The effective priority and deadline of open jobs, which they inherit from their dependents: the highest priority, and
- * the earliest due time less what the stages after them will still take (the backward pass of the critical path method).
- * The dependencies have no cycles. A change costs as much as there are jobs whose effective values it changes.
+ * Computes the effective priority and deadline of open jobs. A job inherits from its dependents the highest priority,
+ * and the earliest due time minus the expected duration of the stages after it (the backward pass of the critical path
+ * method). The dependencies must not have cycles. The cost of a change is proportional to the number of jobs whose
+ * effective values it changes.
  */
 public final class CriticalPath {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private final Map<String, Node> nodes = new HashMap<>();
-    /** By job, open or not: the open ones that depend on it. */
+    /** For each job, open or not, the ids of the open jobs that depend on it. */
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
     /** An open job with its effective priority and due time. */
@@ -44,9 +45,9 @@
     /**
      * Adds an open job.
      *
-     * @param spec with the priority and deadline that its user gave it
-     * @param stageS how long it will take from being ready to its end
-     * @return the jobs whose effective priority or deadline changes, this one if it inherits any
+     * @param spec with the priority and deadline that its user set
+     * @param stageS the expected time from when it is ready until it ends, in seconds
+     * @return the ids of the jobs whose effective priority or deadline changes, including this one if it inherits any
      */
     public Set<String> add(JobSpec spec, double stageS) {
         nodes.put(spec.id(), new Node(spec, stageS));
@@ -63,7 +64,7 @@
         return changed;
     }
 
-    /** Removes a job that is not open any more; gives those whose effective priority or deadline changes. */
+    /** Removes a job that is no longer open. Returns the ids of the jobs whose effective values change. */
     public Set<String> remove(String id) {
         Node node = nodes.remove(id);
         if (node == null) {
@@ -78,7 +79,7 @@
         return propagate(node.spec.dependencies());
     }
 
-    /** An added job with its effective priority and deadline. */
+    /** The job, which must have been added, with its effective priority and deadline. */
     public JobSpec effective(JobSpec spec) {
         Node node = nodes.get(spec.id());
         Double deadlineS =
@@ -86,7 +87,7 @@
         return spec.withEffectivePriority(node.priority, deadlineS);
     }
 
-    /** Updates these jobs and, as far as something changes, those that they depend on. */
+    /** Updates these jobs and, for each job that changes, its dependencies. Returns the ids of the changed jobs. */
     private Set<String> propagate(Collection<String> from) {
         Set<String> changed = new HashSet<>();
         Deque<String> queue = new ArrayDeque<>(from);
@@ -106,7 +107,7 @@
         return changed;
     }
 
-    /** Whether the job's effective priority or due time has changed. */
+    /** Recomputes a job's effective priority and due time, and returns whether either changed. */
     private boolean updateNode(String id) {
         Node node = nodes.get(id);
         Priority priority = node.spec.priority();
--- a/src/main/java/notchpick/scheduling/FleetPlanner.java
+++ b/src/main/java/notchpick/scheduling/FleetPlanner.java
@@ -11,18 +11,18 @@
 import java.util.function.Predicate;
 
 /**
- * Plans how the fleet scales: packs the demand on the owned machines first-fit, rents for what is left, and finds the
- * idle machines that nothing was packed on.
+ * Plans how the fleet scales: packs the demand onto the owned machines first-fit, plans rentals for the rest, and finds
+ * the idle machines that no demand was packed onto.
  */
 public final class FleetPlanner {
-    /** An owned machine with what is packed on it. */
+    /** An owned machine with the demand packed onto it. */
     private record PackedOwned(OwnedMachine machine, double pricePerCore, PackedMachine packed) {}
 
     private final Map<String, MachineType> types;
     private final double horizonS;
     private final PoolSelector pools;
     private final Map<NodePool, Integer> scaleOut = new LinkedHashMap<>();
-    /** Machines with cores for at least the smallest task. */
+    /** Owned and planned machines with enough free cores for at least the smallest task. */
     private final List<PackedMachine> open = new ArrayList<>();
 
     private FleetPlanner(
@@ -33,13 +33,13 @@
     }
 
     /**
-     * Plans for this demand.
+     * Plans the fleet for this demand.
      *
-     * @param demands in the order in which they are served
-     * @param types by name
-     * @param horizonS the backlog should be worked off in this time
-     * @param refused pools that the cloud has lately refused
-     * @param late pools whose machines come up late at present
+     * @param demands the demand of each job, in the order in which the jobs are served
+     * @param types the machine types by name
+     * @param horizonS the time in which the backlog should be completed, in seconds
+     * @param refused matches pools that the cloud has recently refused
+     * @param late matches pools whose machines currently take too long to become ready
      */
     public static ScalingPlan plan(
             List<JobDemand> demands,
@@ -55,7 +55,7 @@
         List<PackedOwned> machines = inPackingOrder(owned);
         for (PackedOwned machine : machines) {
             open.add(machine.packed());
-            pools.machineAdded(machine.machine().pool());
+            pools.countMachine(machine.machine().pool());
         }
         double leastCores = demands.stream()
                 .mapToDouble(demand -> demand.spec().demand().cores())
@@ -63,7 +63,7 @@
                 .orElse(0);
         for (JobDemand demand : demands) {
             int unpacked = packOnOpen(demand, demand.concurrentTasks(horizonS));
-            scaleOut(demand, unpacked);
+            planRentals(demand, unpacked);
             open.removeIf(machine -> !machine.hasCores(leastCores));
         }
         Set<String> unneeded = new HashSet<>();
@@ -75,7 +75,7 @@
         return new ScalingPlan(scaleOut, unneeded);
     }
 
-    /** Busy machines first, then by price, so that idle and dear ones stay unused and can be returned. */
+    /** Busy machines first, then by ascending price, so that idle, expensive ones stay unused and can be returned. */
     private List<PackedOwned> inPackingOrder(List<OwnedMachine> owned) {
         List<PackedOwned> machines = new ArrayList<>();
         for (OwnedMachine machine : owned) {
@@ -91,7 +91,7 @@
         return machines;
     }
 
-    /** Packs tasks on machines there are, or will be, and gives how many found no place. */
+    /** Packs tasks onto owned and planned machines, and returns how many did not fit. */
     private int packOnOpen(JobDemand demand, int tasks) {
         int unpacked = tasks;
         for (PackedMachine machine : open) {
@@ -103,8 +103,8 @@
         return unpacked;
     }
 
-    /** Plans machines for these tasks, as far as a pool can be scaled out. */
-    private void scaleOut(JobDemand demand, int tasks) {
+    /** Plans rentals for these tasks until all are packed or no pool can be scaled out for them. */
+    private void planRentals(JobDemand demand, int tasks) {
         int unpacked = tasks;
         while (unpacked > 0) {
             Optional<PoolSelector.Offer> offer = pools.select(demand, unpacked);
@@ -120,7 +120,7 @@
             unpacked -= packed;
             open.add(machine);
             scaleOut.merge(pool, 1, Integer::sum);
-            pools.machineAdded(pool);
+            pools.countMachine(pool);
         }
     }
 }
--- a/src/main/java/notchpick/scheduling/JobDemand.java
+++ b/src/main/java/notchpick/scheduling/JobDemand.java
@@ -1,16 +1,16 @@
 package notchpick.scheduling;
 
 /**
- * The machines that one job could use.
+ * The demand of one job for machines.
  *
- * @param tasks its unfinished tasks, running ones included
- * @param runS the expected run time of one task
- * @param onDemandAllowed whether a job that accepts spot instances may have others too
- * @param runsAllTasksConcurrently whether all its tasks should run side by side, however short they are
+ * @param tasks the number of its unfinished tasks, including running ones
+ * @param runS the expected run time of one task, in seconds
+ * @param onDemandAllowed whether the job may use on-demand machines even if it accepts spot instances
+ * @param runsAllTasksConcurrently whether all its tasks should run at the same time even if they are short
  */
 public record JobDemand(
         JobSpec spec, int tasks, double runS, boolean onDemandAllowed, boolean runsAllTasksConcurrently) {
-    /** How many tasks must run side by side for all to end within the horizon. */
+    /** How many tasks must run at the same time for all of them to end within the horizon. */
     int concurrentTasks(double horizonS) {
         if (runsAllTasksConcurrently || spec.isService()) {
             return tasks;
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -7,39 +7,40 @@
 import java.util.PriorityQueue;
 
 /**
- * The order in which the jobs of one team are served. Urgent jobs come first, by priority, then by slack. The others are
- * ordered by slack alone as long as all can be on time, so that a job of low priority precedes one of higher priority that
- * can wait. Where not all can, the lowest and largest are deferred, so that as many as possible are on time.
+ * Sorts the jobs of one team in the order in which they are served. Urgent jobs come first, by priority, then by slack.
+ * The other jobs are ordered by slack alone as long as all of them can be on time, so that a job of low priority
+ * precedes one of higher priority that can wait. If not all of them can be on time, the largest jobs of the lowest
+ * priority are deferred, so that as many jobs as possible are on time.
  */
 public final class JobOrder {
-    /** Estimates are often wrong: the planned work must fit into this part of the slack. */
+    /** The planned work must fit into this fraction of the slack, because estimates are often wrong. */
     private static final double PLANNED_SLACK_RATIO = 0.8;
-    /** How many times a job's own work counts in the order by due time. */
+    /** The weight of a job's own remaining work in the order by due time. */
     private static final double WORK_WEIGHT = 2;
 
     private JobOrder() {}
 
     /**
-     * One waiting job.
+     * A waiting job.
      *
      * @param job the caller's reference to it
-     * @param remainingCoreS core-seconds that its unfinished tasks are expected to need
-     * @param runS the expected run time of one of its tasks
+     * @param remainingCoreS the core-seconds that its unfinished tasks are expected to need
+     * @param runS the expected run time of one of its tasks, in seconds
      */
     public record WaitingJob<J>(J job, JobSpec spec, double remainingCoreS, double runS) {}
 
     /**
-     * A job with its sort keys, computed once rather than at each comparison.
+     * A job with its sort keys, which are computed once instead of at each comparison.
      *
-     * @param slackS for how long it may wait and still be on time
-     * @param workS how long all cores together would need for its unfinished tasks
+     * @param slackS how long the job may wait and still be on time, in seconds; negative if it is late
+     * @param workS the time in which all cores together would complete its unfinished tasks, in seconds
      */
     private record RankedJob<J>(WaitingJob<J> waiting, JobSpec.Priority priority, double slackS, double workS) {
         private boolean isLate() {
             return slackS < 0;
         }
 
-        /** Of jobs with equal slack, the one with less work left comes first. */
+        /** The due time used as sort key: of jobs with equal slack, the one with less remaining work comes first. */
         private double dueS() {
             return slackS + WORK_WEIGHT * workS;
         }
@@ -54,10 +55,10 @@
     }
 
     /**
-     * The jobs in the order in which they are served.
+     * Returns the jobs in the order in which they are served.
      *
      * @param wallTimeMs the time of day, in milliseconds since the epoch
-     * @param cores how many cores there are to work on them
+     * @param cores the number of cores on which the jobs can run
      */
     public static <J> List<WaitingJob<J>> sorted(
             Collection<WaitingJob<J>> jobs, long wallTimeMs, ServiceObjectives objectives, double cores) {
@@ -101,7 +102,7 @@
                 .thenComparing(RankedJob::id);
     }
 
-    /** Late jobs come last within their priority, lest they make others late too. */
+    /** Late jobs come last within their priority, so that they don't make other jobs late too. */
     private static <J> Comparator<RankedJob<J>> byPriority() {
         return Comparator.<RankedJob<J>, JobSpec.Priority>comparing(RankedJob::priority)
                 .thenComparing(RankedJob::isLate)
@@ -109,11 +110,11 @@
     }
 
     /**
-     * As many jobs as can be on time one after the other (Moore-Hodgson algorithm): whenever the next one would be late,
-     * the largest so far of the lowest priority is deferred.
+     * Selects as many jobs as can be on time when they run one after the other (Moore-Hodgson algorithm): whenever the
+     * next one would be late, the largest of the selected jobs with the lowest priority is deferred.
      *
-     * @param precedingWorkS the work that comes before all of these
-     * @param deferred takes the jobs that are left out
+     * @param precedingWorkS the duration of the work that precedes all of these jobs, in seconds
+     * @param deferred receives the jobs that are not selected
      */
     private static <J> List<RankedJob<J>> selectOnTime(
             List<RankedJob<J>> jobs, double precedingWorkS, List<RankedJob<J>> deferred) {
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 
 /**
- * What a user asked for.
+ * The specification of a job that a user submitted.
  *
- * @param jobClass the class by which objectives are set and run times are learnt
+ * @param jobClass the class of jobs for which service-level objectives are set and run times are learnt
  * @param demand the resources of one task
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null for any
  * @param colocated whether all tasks must be in the same zone
  * @param spread whether no zone may have more than half of the tasks
  * @param spot whether the job accepts spot instances
- * @param estimateS the user's estimate of one task's run time; 0 if there is none
- * @param checkpointIntervalS 0 if the tasks write no checkpoints
- * @param deadlineS the time from submission to completion that the user asks for, or null
- * @param submittedAtMs wall-clock time of the acceptance, in milliseconds since the epoch
- * @param dependencies the jobs that must be complete before any task of this one starts
- * @param readyAtMs since when it waits for resources alone: its submission, or the end of its last dependency
+ * @param estimateS the user's estimate of one task's run time, in seconds; 0 if there is none
+ * @param checkpointIntervalS the time between checkpoints, in seconds; 0 if the tasks write none
+ * @param deadlineS the requested time from submission to completion, in seconds, or null
+ * @param submittedAtMs the wall-clock time at which the job was accepted, in milliseconds since the epoch
+ * @param dependencies the ids of the jobs that must be complete before any task of this one starts
+ * @param readyAtMs the wall-clock time since which the job waits for nothing but resources, in milliseconds since the
+ *     epoch: its submission, or the end of its last dependency
  */
 public record JobSpec(
         String id,
@@ -43,12 +44,12 @@
         List<String> dependencies,
         long readyAtMs) {
 
-    /** Begins a specification of a job without demand, constraints, deadline and dependencies. */
+    /** Returns a builder for a job without demand, constraints, deadline or dependencies. */
     public static Builder builder(String id) {
         return new Builder(id);
     }
 
-    /** Begins a copy of this specification, of which parts can be replaced. */
+    /** Returns a builder that holds a copy of this specification. */
     public Builder toBuilder() {
         Builder builder = new Builder(id);
         builder.jobClass = jobClass;
@@ -74,7 +75,7 @@
         return builder;
     }
 
-    /** Builds specifications; each setter sets the component of the same name. */
+    /** Builds a specification; each setter sets the component of the same name. */
     public static final class Builder {
         private final String id;
         private String jobClass = "";
@@ -102,19 +103,19 @@
             this.id = id;
         }
 
-        /** Sets the class by which objectives are set and run times are learnt. */
+        /** Sets the class of jobs for which service-level objectives are set and run times are learnt. */
         public Builder jobClass(String value) {
             jobClass = value;
             return this;
         }
 
-        /** Sets the team whose share and quota the job counts in. */
+        /** Sets the team whose share and quota the job counts towards. */
         public Builder team(String value) {
             team = value;
             return this;
         }
 
-        /** Sets how the tasks relate. */
+        /** Sets whether the tasks are independent runs or replicas of a service. */
         public Builder form(Form value) {
             form = value;
             return this;
@@ -180,43 +181,43 @@
             return this;
         }
 
-        /** Sets the user's estimate of one task's run time; 0 if there is none. */
+        /** Sets the user's estimate of one task's run time in seconds; 0 if there is none. */
         public Builder estimateS(double value) {
             estimateS = value;
             return this;
         }
 
-        /** Sets the time between checkpoints; 0 if the tasks write none. */
+        /** Sets the time between checkpoints in seconds; 0 if the tasks write none. */
         public Builder checkpointIntervalS(double value) {
             checkpointIntervalS = value;
             return this;
         }
 
-        /** Sets how long a task takes to write a checkpoint. */
+        /** Sets how long a task takes to write a checkpoint, in seconds. */
         public Builder checkpointWriteS(double value) {
             checkpointWriteS = value;
             return this;
         }
 
-        /** Sets the time from submission to completion that the user asks for, or null. */
+        /** Sets the requested time from submission to completion in seconds, or null. */
         public Builder deadlineS(Double value) {
             deadlineS = value;
             return this;
         }
 
-        /** Sets the wall-clock time of the acceptance, in milliseconds since the epoch. */
+        /** Sets the wall-clock time at which the job was accepted, in milliseconds since the epoch. */
         public Builder submittedAtMs(long value) {
             submittedAtMs = value;
             return this;
         }
 
-        /** Sets the jobs that must be complete before any task of this one starts. */
+        /** Sets the ids of the jobs that must be complete before any task of this one starts. */
         public Builder dependencies(List<String> value) {
             dependencies = value;
             return this;
         }
 
-        /** Sets since when the job waits for resources alone; by default its submission. */
+        /** Sets the wall-clock time since which the job waits for nothing but resources; by default its submission. */
         public Builder readyAtMs(long value) {
             readyAtMs = value;
             return this;
@@ -249,39 +250,39 @@
         }
     }
 
-    /** The same job with the priority and deadline that it inherits from its dependents. */
+    /** Returns a copy with the priority and deadline that the job inherits from its dependents. */
     public JobSpec withEffectivePriority(Priority effective, Double effectiveDeadlineS) {
         return toBuilder().priority(effective).deadlineS(effectiveDeadlineS).build();
     }
 
-    /** The same job, blocked by its dependencies until this time. */
+    /** Returns a copy that is blocked by its dependencies until this time. */
     public JobSpec withReadyAtMs(long newReadyAtMs) {
         return toBuilder().readyAtMs(newReadyAtMs).build();
     }
 
     /**
-     * The time since it is ready, waiting for resources or running.
+     * The time since the job became ready, in seconds; it may have waited or run since then.
      *
-     * @param wallTimeMs the time of day, in milliseconds since the epoch
+     * @param wallTimeMs the current wall-clock time, in milliseconds since the epoch
      */
     public double ageS(long wallTimeMs) {
         return (wallTimeMs - readyAtMs) / Milliseconds.PER_SECOND;
     }
 
-    /** How long its dependencies blocked it, a time that counts towards its deadline. */
+    /** How long its dependencies blocked the job, in seconds; this time counts towards its deadline. */
     public double blockedS() {
         return (readyAtMs - submittedAtMs) / Milliseconds.PER_SECOND;
     }
 
-    /** How the tasks of a job relate. */
+    /** How the tasks of a job run. */
     public enum Form {
-        /** Tasks that run to completion, each by itself. */
+        /** Independent tasks that each run to completion. */
         ARRAY,
-        /** Replicas that run side by side. */
+        /** Replicas that run at the same time. */
         SERVICE
     }
 
-    /** The priorities, the highest first. */
+    /** The priorities, highest first. */
     public enum Priority {
         PRODUCTION,
         HIGH,
@@ -294,7 +295,7 @@
         return job + "/" + task;
     }
 
-    /** Whether it may preempt work of lower priority. */
+    /** Whether the job may preempt work of lower priority. */
     public boolean isUrgent() {
         return priority.compareTo(Priority.HIGH) <= 0;
     }
@@ -303,15 +304,15 @@
         return form == Form.SERVICE;
     }
 
-    /** Whether the zones of its other tasks restrict where a task may run. */
+    /** Whether the zones of the job's other tasks restrict where a task may run. */
     public boolean hasZoneConstraint() {
         return colocated || spread;
     }
 
     /**
-     * Whether its zone constraint allows one more task in this zone.
+     * Whether colocation and spreading allow one more task in this zone.
      *
-     * @param tasksByZone how many of the job's tasks are, or may be, in each zone
+     * @param tasksByZone the number of the job's tasks that are, or may be, in each zone
      */
     public boolean allowsZoneAmongTasks(String taskZone, Map<String, Integer> tasksByZone) {
         if (colocated && !tasksByZone.isEmpty() && !tasksByZone.containsKey(taskZone)) {
@@ -320,7 +321,7 @@
         return !spread || tasksByZone.getOrDefault(taskZone, 0) < maxTasksPerZone();
     }
 
-    /** How many of the tasks may be in one zone. */
+    /** The maximum number of the job's tasks in one zone. */
     public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
@@ -333,7 +334,7 @@
         return zone == null || zone.equals(taskZone);
     }
 
-    /** Whether a machine of this type, zone and kind may run its tasks, its zone constraint aside. */
+    /** Whether a task may run on such a machine; colocation and spreading of the tasks are not considered. */
     public boolean allows(String type, String taskZone, boolean onSpot) {
         return allowsType(type) && allowsZone(taskZone) && (spot || !onSpot);
     }
--- a/src/main/java/notchpick/scheduling/MachineType.java
+++ b/src/main/java/notchpick/scheduling/MachineType.java
@@ -5,12 +5,12 @@
 /**
  * A type of machine that the cloud rents out.
  *
- * @param cacheGb the size of its image cache
- * @param fetchGbPerS how fast it fetches images
- * @param price what an on-demand machine costs for each unit of time
- * @param spotPrice what a spot instance costs for the same time
- * @param bootS how long a machine takes from its order to its first heartbeat
- * @param zones where it can be rented
+ * @param cacheGb the size of its image cache, in GB
+ * @param fetchGbPerS how fast it fetches images, in GB per second
+ * @param price the price of an on-demand machine per unit of time
+ * @param spotPrice the price of a spot instance for the same time
+ * @param bootS the time from ordering a machine to its first heartbeat, in seconds
+ * @param zones the zones in which it can be rented
  */
 public record MachineType(
         String name,
@@ -21,7 +21,7 @@
         double spotPrice,
         double bootS,
         List<String> zones) {
-    /** What a machine costs, as a spot instance or on demand. */
+    /** The price of a spot instance or of an on-demand machine. */
     double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/notchpick/scheduling/PackedMachine.java
+++ b/src/main/java/notchpick/scheduling/PackedMachine.java
@@ -1,6 +1,6 @@
 package notchpick.scheduling;
 
-/** A machine, owned or to be rented, on which demand is packed. */
+/** A machine, owned or to be rented, onto which demand is packed. */
 final class PackedMachine {
     private final NodePool pool;
     private Resources freeResources;
@@ -11,7 +11,7 @@
         this.freeResources = size;
     }
 
-    /** Packs up to so many of the job's tasks, and gives how many it has packed. */
+    /** Packs up to {@code tasks} of the job's tasks, and returns how many it packed. */
     int pack(JobDemand demand, int tasks) {
         JobSpec spec = demand.spec();
         if (!hasCores(spec.demand().cores())
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -11,22 +11,22 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Chooses nodes for tasks by best fit: a spot instance if the job accepts one, then a node that has the image, then the one
- * with the fewest free cores, so that others fall idle and can be returned. The nodes are kept sorted by their free cores,
- * so that few are examined for each task.
+ * Chooses nodes for tasks by best fit. It prefers a spot instance if the job accepts one, then a node that has the
+ * image, then the node with the fewest free cores, so that other nodes become idle and can be returned. The nodes are
+ * kept sorted by their free cores, so that only a few of them are examined for each task.
  */
 public final class PlacementIndex<N extends CandidateNode> {
     private static final Comparator<Entry<?>> BY_FREE_CORES =
             Comparator.<Entry<?>>comparingDouble(Entry::freeCores).thenComparingInt(Entry::number);
 
     /**
-     * A node as it is sorted.
+     * A node with its sort keys.
      *
-     * @param number its place among the nodes that the index was made of, which decides between equals
+     * @param number its position in the collection from which the index was built, which breaks ties
      */
     private record Entry<N>(double freeCores, int number, N node) {}
 
-    /** Nodes, all of them spot instances or none: sorted as a whole and, once asked for, those with an image. */
+    /** Either the spot instances or the on-demand nodes. The subset that has an image is built on first use. */
     private static final class SortedNodes<N extends CandidateNode> {
         private final TreeSet<Entry<N>> all = new TreeSet<>(BY_FREE_CORES);
         private final Map<String, NavigableSet<Entry<N>>> byImage = new HashMap<>();
@@ -80,11 +80,11 @@
         nodesLike(entry.node()).add(entry);
     }
 
-    /** Runs a change of a node's free resources or images. A node that has been removed may change, and stays removed. */
+    /** Runs a change of a node's free resources or images and sorts the node anew; a removed node stays removed. */
     public void update(N node, Runnable change) {
         Entry<N> entry = entries.get(node);
         if (entry == null) {
-            // It was chosen, then reserved for another job before the lease was granted.
+            // The node was chosen, then reserved for another job before the lease was granted.
             change.run();
             return;
         }
@@ -93,7 +93,7 @@
         put(new Entry<>(node.freeResources().cores(), entry.number(), node));
     }
 
-    /** Removes a node, if it is there. */
+    /** Removes a node if it is in the index. */
     public void remove(N node) {
         Entry<N> entry = entries.remove(node);
         if (entry != null) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** The nodes in the order in which they were given. */
+    /** The nodes in the order in which they were passed to the constructor. */
     public Collection<N> nodes() {
         return entries.values().stream()
                 .sorted(Comparator.comparingInt(Entry::number))
@@ -109,21 +109,20 @@
                 .toList();
     }
 
-    /** How many nodes have been examined in all, each as often as it was. */
+    /** The total number of examinations; a node that is examined twice counts twice. */
     public long examined() {
         return examined;
     }
 
-    /** The best node for one task, or null if none will do. */
+    /** The best node for one task, or null if none is suitable. */
     public N choose(JobSpec spec, Predicate<N> admits) {
         return choose(spec, admits, null);
     }
 
     /**
-     * The node on which the task can start soonest, among those that are equal but for their free cores; null if none will
-     * do.
+     * Like {@link #choose(JobSpec, Predicate)}, but prefers the shortest start delay to the fewest free cores.
      *
-     * @param startDelay a node's delay; 0 or less can't be improved
+     * @param startDelay the delay on a node; the search ends at the first suitable node whose delay is 0 or less
      */
     public N chooseSoonest(JobSpec spec, Predicate<N> admits, ToLongFunction<N> startDelay) {
         return choose(spec, admits, startDelay);
--- a/src/main/java/notchpick/scheduling/PoolSelector.java
+++ b/src/main/java/notchpick/scheduling/PoolSelector.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** Chooses the pool to scale out for a job: the cheapest by the cores that the job would use, spot instances first. */
+/** Chooses the pool to scale out for a job: spot instances first, then the lowest price per core the job would use. */
 final class PoolSelector {
-    /** By how much a pool whose machines come up late at present counts as dearer. */
+    /** The factor on the price of a pool whose machines currently take too long to become ready. */
     private static final double LATE_PRICE_FACTOR = 2;
-    /** Keeps the price per core finite for jobs that ask for no cores. */
+    /** Keeps the price per core finite for jobs that request no cores. */
     private static final double MIN_USED_CORES = 1e-3;
 
     private final Collection<MachineType> types;
@@ -19,8 +19,8 @@
     private final Map<NodePool, Integer> machines = new HashMap<>();
 
     /**
-     * @param refused pools that the cloud has lately refused
-     * @param late pools whose machines come up late at present
+     * @param refused matches pools that the cloud has recently refused
+     * @param late matches pools whose machines currently take too long to become ready
      */
     PoolSelector(Collection<MachineType> types, Predicate<NodePool> refused, Predicate<NodePool> late) {
         this.types = types;
@@ -28,21 +28,21 @@
         this.late = late;
     }
 
-    /** A pool that can be scaled out, and its machines' type. */
+    /** A pool that can be scaled out, and the type of its machines. */
     record Offer(NodePool pool, MachineType type) {}
 
     /** Counts one more machine of the pool, owned or to be rented. */
-    void machineAdded(NodePool pool) {
+    void countMachine(NodePool pool) {
         machines.merge(pool, 1, Integer::sum);
     }
 
-    /** The pool for one machine more, which could run up to so many of the job's tasks; empty if none will do. */
+    /** The pool for one more machine to run up to {@code tasks} of the job's tasks; empty if none is suitable. */
     Optional<Offer> select(JobDemand demand, int tasks) {
         Optional<Offer> spot = cheapest(demand, tasks, true);
         return spot.isPresent() || !demand.mayUseOnDemand() ? spot : cheapest(demand, tasks, false);
     }
 
-    /** Among pools of one price the one with fewest machines, lest one reclaim wave or outage take all. */
+    /** Of equally cheap pools the one with the fewest machines, so that no reclaim wave or outage takes them all. */
     private Optional<Offer> cheapest(JobDemand demand, int tasks, boolean spot) {
         Offer best = null;
         double bestPrice = 0;
@@ -70,7 +70,7 @@
                 && !refused.test(pool);
     }
 
-    /** The price of a whole machine, shared by those of its cores that the job would use. */
+    /** The price of a whole machine, divided by the number of its cores that the job would use. */
     private double pricePerUsedCore(JobSpec spec, int tasks, MachineType type, NodePool pool) {
         int packed = Math.min(tasks, spec.demand().copiesFittingIn(type.size()));
         double usedCores = Math.max(packed * spec.demand().cores(), MIN_USED_CORES);
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -8,17 +8,17 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Chooses the running tasks to preempt for pending work that must not wait for them: work within its team's guarantee
- * preempts what other teams run beyond theirs, and urgent work preempts what has a lower priority.
+ * Chooses the running tasks to preempt for pending work that must not wait until they end. Work within its team's
+ * guarantee preempts tasks that other teams run beyond theirs; urgent work preempts tasks of lower priority.
  */
 public final class Preemption {
     private Preemption() {}
 
     /**
-     * A job with tasks that found no free resources.
+     * A job with pending tasks, for which there are no free resources.
      *
-     * @param tasks how many of its tasks are pending
-     * @param isGuaranteed whether they are within their team's guarantee
+     * @param tasks the number of its pending tasks
+     * @param isGuaranteed whether the pending tasks are within their team's guarantee
      */
     public record Preemptor(JobSpec spec, int tasks, boolean isGuaranteed) {
         private double pendingCores() {
@@ -27,7 +27,7 @@
     }
 
     /**
-     * A running task that can write a checkpoint, so that next to nothing is lost when it stops.
+     * A running task that can write a checkpoint, so that almost no work is lost when it stops.
      *
      * @param task the caller's reference to it
      * @param type the type of its machine
@@ -39,22 +39,22 @@
     }
 
     /**
-     * The tasks to preempt; those of the lowest priority come first.
+     * Chooses the tasks to preempt, those of the lowest priority first.
      *
-     * @param beingFreedCores cores that will be free soon without it
-     * @param coresBeyondGuarantee by team, how many cores it holds beyond its guarantee
+     * @param coresBeingFreed the number of cores that will soon be free without preemption
+     * @param coresBeyondGuarantee the number of cores that a team holds beyond its guarantee
      */
     public static <T> List<T> choose(
             List<Preemptor> preemptors,
             List<Victim<T>> victims,
-            double beingFreedCores,
+            double coresBeingFreed,
             ToDoubleFunction<String> coresBeyondGuarantee) {
         List<Victim<T>> remaining = new ArrayList<>(victims);
         remaining.sort(Comparator.comparing((Victim<T> victim) -> victim.spec().priority())
                 .reversed());
         Map<String, Double> beyondGuarantee = new HashMap<>();
         List<T> chosen = new ArrayList<>();
-        double freedCores = beingFreedCores;
+        double freedCores = coresBeingFreed;
         for (Preemptor preemptor : preemptors) {
             double missingCores = preemptor.pendingCores();
             double used = Math.min(freedCores, missingCores);
--- a/src/main/java/notchpick/scheduling/ScalingPlan.java
+++ b/src/main/java/notchpick/scheduling/ScalingPlan.java
@@ -6,7 +6,7 @@
 /**
  * How the fleet should change.
  *
- * @param scaleOut how many machines to rent in each pool, in the order in which they were found wanting
- * @param unneeded the names of idle machines that no demand was packed on
+ * @param scaleOut the number of machines to rent in each pool, in the order in which the pools were chosen
+ * @param unneeded the names of the idle machines that no demand was packed onto
  */
 public record ScalingPlan(Map<NodePool, Integer> scaleOut, Set<String> unneeded) {}
--- a/src/main/java/notchpick/scheduling/ServiceObjectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The service-level objectives that the operators have set, by class of jobs. */
+/** The service-level objectives set by the operators, by class of jobs. */
 public record ServiceObjectives(Map<String, List<Objective>> byClass) {
     public static final ServiceObjectives NONE = new ServiceObjectives(Map.of());
-    /** A job without objectives is due after so many of its run times. */
+    /** A job without objectives is due after this multiple of its run time. */
     private static final double DEFAULT_DUE_RUNS = 10;
 
     /** What an objective bounds. */
@@ -20,7 +20,7 @@
         DEADLINE
     }
 
-    /** An upper bound for a class of jobs, in the unit that its kind names. */
+    /** An upper bound for a class of jobs, in the unit given by its kind. */
     public record Objective(Kind kind, double limit) {
         private double slackS(JobSpec spec, double ageS, double runS) {
             return switch (kind) {
@@ -35,8 +35,8 @@
         }
     }
 
-    /** The objectives of the job's class, and its own deadline in any case. */
-    private List<Objective> of(JobSpec spec) {
+    /** The objectives of the job's class, and the job's own deadline unless a deadline objective is among them. */
+    private List<Objective> objectivesFor(JobSpec spec) {
         List<Objective> objectives = byClass.getOrDefault(spec.jobClass(), List.of());
         if (spec.deadlineS() == null || objectives.stream().anyMatch(objective -> objective.kind() == Kind.DEADLINE)) {
             return objectives;
@@ -49,11 +49,11 @@
     /**
      * Whether the job has an objective that can still be met.
      *
-     * @param ageS the time since the job is ready
-     * @param runS the expected run time of one of its tasks
+     * @param ageS the time since the job became ready, in seconds
+     * @param runS the expected run time of one of its tasks, in seconds
      */
     public boolean isAttainable(JobSpec spec, double ageS, double runS) {
-        for (Objective objective : of(spec)) {
+        for (Objective objective : objectivesFor(spec)) {
             if (objective.appliesTo(spec) && objective.slackS(spec, ageS, runS) >= 0) {
                 return true;
             }
@@ -62,16 +62,16 @@
     }
 
     /**
-     * For how many seconds the job may wait and still meet the nearest objective that can be met; negative if none can
-     * be met any more.
+     * How many seconds the job may wait and still meet the nearest objective that can be met; negative if none can be
+     * met any more.
      *
-     * @param ageS the time since the job is ready
-     * @param runS the expected run time of one of its tasks
+     * @param ageS the time since the job became ready, in seconds
+     * @param runS the expected run time of one of its tasks, in seconds
      */
     public double slackS(JobSpec spec, double ageS, double runS) {
         double nearestS = Double.POSITIVE_INFINITY;
         double latestS = Double.NEGATIVE_INFINITY;
-        for (Objective objective : of(spec)) {
+        for (Objective objective : objectivesFor(spec)) {
             if (!objective.appliesTo(spec)) {
                 continue;
             }
--- a/src/main/java/notchpick/scheduling/StatefulDrf.java
+++ b/src/main/java/notchpick/scheduling/StatefulDrf.java
@@ -1,14 +1,13 @@
 package notchpick.scheduling;
 
 /**
- * The arithmetic of Stateful Dominant Resource Fairness: shares, overuse above the equal share, and commitments that
- * follow overuse with an exponential memory (paper, sections 3.4 and 5.1). Shares, overuse and commitments are fractions
- * of the whole of each resource.
+ * The formulas of Stateful Dominant Resource Fairness: shares, overuse above the equal share, and commitments that
+ * follow overuse with exponential memory (paper, sections 3.4 and 5.1). All are fractions of a resource's total.
  */
 public final class StatefulDrf {
     private StatefulDrf() {}
 
-    /** The share of each resource that is held; 0 of a resource of which there is none. */
+    /** The share of each resource that is held; 0 for a resource whose total is 0. */
     public static Resources share(Resources held, Resources total) {
         return new Resources(
                 fraction(held.cores(), total.cores()),
@@ -16,7 +15,7 @@
                 fraction(held.ram(), total.ram()));
     }
 
-    /** Equation 7: the share beyond an equal one, 0 where it is smaller. */
+    /** Equation 7: the part of the share above the equal share, or 0 if the share is smaller. */
     public static Resources overuse(Resources share, int teams) {
         double equalShare = 1.0 / Math.max(1, teams);
         return new Resources(
@@ -26,18 +25,18 @@
     }
 
     /**
-     * Equation 12: the commitment after overuse was constant for some time.
+     * Equation 12: the commitment after a period of constant overuse.
      *
-     * @param previous the commitment at the beginning of that time
-     * @param elapsedS its length; a clock that went back counts as none
-     * @param tauS the time constant of the decay
+     * @param previous the commitment at the start of the period
+     * @param elapsedS the length of the period, in seconds; negative values, from a clock that was set back, count as 0
+     * @param tauS the time constant of the decay, in seconds
      */
     public static Resources commitment(Resources previous, Resources overuse, double elapsedS, double tauS) {
         double delta = Math.exp(-Math.max(elapsedS, 0) / tauS);
         return overuse.times(1 - delta).plus(previous.times(delta));
     }
 
-    /** Algorithm 1, line 5: dominant share plus dominant commitment. The team with the lowest is served first. */
+    /** Algorithm 1, line 5: dominant share plus dominant commitment. The team with the lowest sum is served first. */
     public static double rank(Resources share, Resources commitment) {
         return dominant(share) + dominant(commitment);
     }
