--- a/src/main/java/notchpick/transport/Actor.java
+++ b/src/main/java/notchpick/transport/Actor.java
@@ -5,10 +5,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns state that nothing else accesses, and is sent messages. All actors of a process share one event loop, which runs
- * one piece of work at a time; it owns the queue of messages, and an actor has no thread of its own.
+ * Base class for objects whose state is accessed only on the event loop, by the messages sent to them and by their
+ * callbacks and timers. All actors of a process share one event loop, which queues the messages and runs one piece of
+ * work at a time; an actor has no thread of its own.
  *
- * @param <M> the messages that it receives
+ * @param <M> the type of the messages that it receives
  */
 public abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
@@ -19,7 +20,7 @@
         this.loop = loop;
     }
 
-    /** Sends it a message, from any thread. */
+    /** Sends the actor a message; may be called from any thread. */
     public final void tell(M message) {
         loop.execute(() -> runGuarded(() -> receive(message)));
     }
@@ -27,7 +28,7 @@
     /** Handles a message, on the event loop. */
     protected abstract void receive(M message);
 
-    /** Stops the actor: messages, callbacks and timers that are still due are dropped. */
+    /** Stops the actor: pending messages, callbacks and timers are dropped. */
     protected final void stop() {
         stopped = true;
     }
@@ -36,7 +37,7 @@
         return stopped;
     }
 
-    /** A callback, for any thread to call, that runs on the event loop, and no more once the actor has stopped. */
+    /** Wraps a callback so that any thread may call it: it runs on the event loop, unless the actor has stopped. */
     protected final <T> Consumer<T> onLoop(Consumer<T> callback) {
         return value -> loop.execute(() -> runGuarded(() -> callback.accept(value)));
     }
@@ -46,7 +47,7 @@
         loop.schedule(delayMs, () -> runGuarded(work));
     }
 
-    /** Runs work on the event loop with this delay before each run, until the actor stops. */
+    /** Runs work on the event loop again and again, with this delay before each run, until the actor stops. */
     protected final void scheduleRepeatedly(long delayMs, Runnable work) {
         schedule(delayMs, () -> {
             try {
@@ -64,7 +65,7 @@
         try {
             work.run();
         } catch (RuntimeException e) {
-            // A message that can't be handled must end neither the actor nor the process.
+            // A failure to handle one message must stop neither the actor nor the process.
             log.error("message dropped: reason={}", e.toString(), e);
         }
     }
--- a/src/main/java/notchpick/transport/CallbackExecutor.java
+++ b/src/main/java/notchpick/transport/CallbackExecutor.java
@@ -2,9 +2,9 @@
 
 import java.util.function.Consumer;
 
-/** Runs the callbacks of requests in the turn of the actor that sent them, where its state may be touched. */
+/** Runs the callbacks of requests on the event loop of the actor that sent them, where they may access its state. */
 @FunctionalInterface
 public interface CallbackExecutor {
-    /** A callback that runs the given one in the actor's turn. */
+    /** Wraps a callback so that any thread may call it: it runs on the event loop, unless the actor has stopped. */
     <T> Consumer<T> onLoop(Consumer<T> callback);
 }
--- a/src/main/java/notchpick/transport/EventLoop.java
+++ b/src/main/java/notchpick/transport/EventLoop.java
@@ -1,16 +1,16 @@
 package notchpick.transport;
 
 /**
- * Runs the work of a process's actors, one piece at a time, and reads its clocks. The implementation owns the queue of
- * waiting work and the timers; tests have one in simulated time.
+ * Runs the work of all actors of a process, one piece at a time, and provides the clocks. The implementation owns the
+ * queue of waiting work and the timers; tests use an implementation with simulated time.
  */
 public interface EventLoop extends Timer {
-    /** The steady clock, in milliseconds; only differences are meaningful, within one process. */
+    /** The monotonic clock, in milliseconds; only differences within one process are meaningful. */
     long nowMs();
 
-    /** The time of day, in milliseconds since the epoch; it may be off, and be set back. */
+    /** The wall-clock time, in milliseconds since the epoch; it may be wrong, and may be set back. */
     long wallTimeMs();
 
-    /** Runs work once all that was queued before has run; may be called from any thread. */
+    /** Runs work after all work that was queued before; may be called from any thread. */
     void execute(Runnable work);
 }
--- a/src/main/java/notchpick/transport/HttpHandler.java
+++ b/src/main/java/notchpick/transport/HttpHandler.java
@@ -7,7 +7,7 @@
     /**
      * Handles one request, on a thread that must not be blocked.
      *
-     * @param reply takes the response, once; now or later, from any thread
+     * @param reply accepts the response exactly once, immediately or later, from any thread
      */
     void handle(HttpCaller.Request request, Consumer<HttpCaller.Response> reply);
 }
--- a/src/main/java/notchpick/transport/IdleConnectionLimit.java
+++ b/src/main/java/notchpick/transport/IdleConnectionLimit.java
@@ -5,31 +5,33 @@
 import org.eclipse.jetty.server.ConnectionLimit;
 
 /**
- * Accepts no more than so many connections; while there are that many, idle ones end sooner.
+ * Limits the number of connections. While the limit is reached, all connections have a shorter idle timeout.
  *
- * <p>Jetty counts a connection when it is accepted, but opens it a moment later, in another thread, and shortens the idle
- * timeout of those alone that are open when the limit is reached. If none is open yet, all keep the long timeout, and
- * the connector accepts nobody for as long. Therefore those that open while the limit holds get the shorter one here.
+ * <p>Jetty counts a connection when it is accepted, but opens it slightly later, in another thread. When the limit is
+ * reached, Jetty shortens the idle timeout only of connections that are already open. If none is open yet, all of them
+ * keep the long timeout, and until it expires the connector accepts no other connection. Therefore this class also
+ * shortens the idle timeout of connections that open while the limit is reached.
  */
 final class IdleConnectionLimit extends ConnectionLimit {
     private final AbstractConnector connector;
-    private volatile boolean limiting;
+    private volatile boolean limitReached;
 
-    /** @param limitedIdleTimeoutMs the idle timeout while there are as many connections as allowed */
-    IdleConnectionLimit(int maxConnections, AbstractConnector connector, long limitedIdleTimeoutMs) {
+    /** @param idleTimeoutAtLimitMs the idle timeout while the limit is reached */
+    IdleConnectionLimit(int maxConnections, AbstractConnector connector, long idleTimeoutAtLimitMs) {
         super(maxConnections, connector);
         this.connector = connector;
-        setIdleTimeout(limitedIdleTimeoutMs);
+        setIdleTimeout(idleTimeoutAtLimitMs);
     }
 
     @Override
     public void onOpened(Connection connection) {
         super.onOpened(connection);
-        // The connection is among the connector's now: a later change of the limit reaches it.
-        // An earlier one is made up for here.
-        // No lock: a connection that is idle already ends within the call, and is counted out.
+        // The connector now includes this connection in later changes of the idle timeout.
+        // The loop applies a change that was made before, and repeats if there is another one meanwhile.
+        // No lock is held, because setIdleTimeout() may close an idle connection within the call,
+        // which may call unlimit().
         boolean limited = false;
-        while (limited != limiting) {
+        while (limited != limitReached) {
             limited = !limited;
             connection.getEndPoint().setIdleTimeout(limited ? getIdleTimeout() : connector.getIdleTimeout());
         }
@@ -37,13 +39,13 @@
 
     @Override
     protected void limit() {
-        limiting = true;
+        limitReached = true;
         super.limit();
     }
 
     @Override
     protected void unlimit() {
-        limiting = false;
+        limitReached = false;
         super.unlimit();
     }
 }
--- a/src/main/java/notchpick/transport/JettyHttpCaller.java
+++ b/src/main/java/notchpick/transport/JettyHttpCaller.java
@@ -17,15 +17,15 @@
 import org.eclipse.jetty.util.thread.ThreadPool;
 
 /**
- * Sends requests by Jetty's client, over a bounded number of connections to each target. The threads and the scheduler
- * belong to whoever makes it; closing it ends the connections only.
+ * Sends requests with Jetty's client, over a bounded number of connections to each target. The thread pool and the
+ * scheduler are owned by the code that creates this object; {@link #close} closes only the connections.
  */
 public final class JettyHttpCaller implements HttpCaller, AutoCloseable {
-    /** Nothing is called over TLS; reading the trusted certificates would delay the start. */
+    /** Does not load the trusted certificates: TLS is not used, and loading them would delay the start. */
     private static final class NoTls extends SslContextFactory.Client {
         @Override
         protected void doStart() {
-            // Nothing to read.
+            // Loads no certificates.
         }
     }
 
@@ -37,7 +37,7 @@
     }
 
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
-    /** A connection outlives the request's own timeout by this much, so that it is the latter that ends a request. */
+    /** The idle timeout exceeds the request timeout by this margin, so that the request timeout is always the first. */
     private static final long IDLE_TIMEOUT_MARGIN_MS = 1000;
 
     private final HttpClient client;
@@ -62,7 +62,7 @@
         client.getProtocolHandlers().clear();
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     @Override
     public void close() {
         LifeCycle.stop(client);
--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -20,13 +20,13 @@
 import org.eclipse.jetty.util.thread.ThreadPool;
 
 /**
- * Serves HTTP by Jetty, with one connector for each address. The threads and the scheduler belong to whoever makes it;
- * closing it ends the connections only.
+ * Serves HTTP with Jetty, with one connector for each address. The thread pool and the scheduler are owned by the code
+ * that creates this object; {@link #close} stops only the server and its connections.
  */
 public final class JettyHttpServer implements AutoCloseable {
-    /** The protocol's limit for a request body. */
+    /** The limit that the protocol sets for request bodies of users and workers. */
     private static final int MAX_BODY_BYTES = 64 << 10;
-    /** Between controllers a grant may be longer than what users may send. */
+    /** Higher, because grants between controllers may be longer than what users may send. */
     private static final int MAX_PEER_BODY_BYTES = 4 << 20;
 
     private static final int OUTPUT_BUFFER_BYTES = 8 << 10;
@@ -39,18 +39,21 @@
      * An address to serve.
      *
      * @param address {@code host:port}
-     * @param maxConnections how many connections are accepted, or {@link #NO_CONNECTION_LIMIT}
-     * @param limitedIdleTimeoutMs the idle timeout while there are as many
+     * @param maxConnections the maximum number of connections, or {@link #NO_CONNECTION_LIMIT}
+     * @param idleTimeoutAtLimitMs the idle timeout while this maximum is reached
      */
     public record Endpoint(
-            String address, HttpHandler handler, int maxBodyBytes, int maxConnections, long limitedIdleTimeoutMs) {
-        /** For users and workers, who must keep neither other controllers out nor this one's own requests in. */
+            String address, HttpHandler handler, int maxBodyBytes, int maxConnections, long idleTimeoutAtLimitMs) {
+        /**
+         * An endpoint for users and workers. The number of their connections is limited, so that other controllers can
+         * still connect and this controller can still send requests.
+         */
         public static Endpoint forClients(
-                String address, HttpHandler handler, int maxConnections, long limitedIdleTimeoutMs) {
-            return new Endpoint(address, handler, MAX_BODY_BYTES, maxConnections, limitedIdleTimeoutMs);
+                String address, HttpHandler handler, int maxConnections, long idleTimeoutAtLimitMs) {
+            return new Endpoint(address, handler, MAX_BODY_BYTES, maxConnections, idleTimeoutAtLimitMs);
         }
 
-        /** For the other controllers. */
+        /** An endpoint for the other controllers, without a connection limit. */
         public static Endpoint forPeers(String address, HttpHandler handler) {
             return new Endpoint(address, handler, MAX_PEER_BODY_BYTES, NO_CONNECTION_LIMIT, 0);
         }
@@ -64,7 +67,7 @@
         }
     }
 
-    /** Makes a server that is not started yet. */
+    /** Creates a server without starting it. */
     public JettyHttpServer(
             ThreadPool threads,
             Scheduler scheduler,
@@ -84,12 +87,12 @@
         server.setHandler(new Dispatcher(endpointsByAddress));
     }
 
-    /** Begins to listen; fails if an address can't be bound. */
+    /** Starts listening; fails if an address can't be bound. */
     public void start() throws Exception {
         server.start();
     }
 
-    /** Ends all connections and stops listening. */
+    /** Stops listening and closes all connections. */
     @Override
     public void close() {
         LifeCycle.stop(server);
@@ -99,7 +102,7 @@
         HttpConfiguration config = new HttpConfiguration();
         config.setSendServerVersion(false);
         config.setSendDateHeader(false);
-        // Each connection would keep 100 KB for its cache of header fields, and there are thousands.
+        // The header cache would take 100 KB for each connection, and there are thousands of connections.
         config.setHeaderCacheSize(0);
         config.setOutputBufferSize(OUTPUT_BUFFER_BYTES);
         return config;
@@ -113,11 +116,11 @@
         connector.setAcceptQueueSize(ACCEPT_QUEUE_LENGTH);
         if (endpoint.maxConnections() != NO_CONNECTION_LIMIT) {
             connector.addBean(
-                    new IdleConnectionLimit(endpoint.maxConnections(), connector, endpoint.limitedIdleTimeoutMs()));
+                    new IdleConnectionLimit(endpoint.maxConnections(), connector, endpoint.idleTimeoutAtLimitMs()));
         }
     }
 
-    /** Passes requests to the handler of the address at which they came in. */
+    /** Passes each request to the handler of the address at which it arrived. */
     private static final class Dispatcher extends Handler.Abstract.NonBlocking {
         private final Map<String, Endpoint> endpointsByAddress;
 
@@ -133,7 +136,7 @@
         }
     }
 
-    // Jetty 12.0 has no successor yet that gives the body as an array.
+    // asByteArrayAsync is deprecated, but Jetty 12.0 has no replacement that returns the body as an array.
     @SuppressWarnings("removal")
     private static void serve(Endpoint endpoint, Request request, Response response, Callback callback) {
         if (request.getLength() > endpoint.maxBodyBytes()) {
@@ -161,7 +164,7 @@
                 });
     }
 
-    /** Refuses a request whose body is too long or incomplete; the rest of it makes the connection unusable. */
+    /** Refuses a request with a too long or incomplete body, and closes the connection, where the rest is unread. */
     private static void refuse(Response response, Callback callback) {
         send(HttpCaller.Response.empty(HttpStatus.BAD_REQUEST).closingConnection(), response, callback);
     }
--- a/src/main/java/notchpick/transport/ResultCollector.java
+++ b/src/main/java/notchpick/transport/ResultCollector.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Collects the results of a batch and passes all of them on once they are complete, or once no more is waited for. To be
- * used on one event loop.
+ * Collects the results of a batch and passes all of them to a callback when they are complete, or when
+ * {@link #complete} is called. Not thread-safe: all calls must be made on one event loop.
  */
 public final class ResultCollector<T> {
     private final List<T> results;
@@ -18,10 +18,10 @@
     private boolean complete;
 
     /**
-     * Waits for so many results.
+     * Creates a collector for this many results.
      *
-     * @param missingResult stands for each that is missing when no more is waited for
-     * @param callback takes the results, once
+     * @param missingResult takes the place of each result that is missing when {@link #complete} is called
+     * @param callback accepts the results, exactly once
      */
     public ResultCollector(int count, T missingResult, Consumer<List<T>> callback) {
         this.results = new ArrayList<>(Collections.nCopies(count, missingResult));
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Takes a result; of several with one index the first counts. */
+    /** Stores a result; if there are several for one index, the first one counts. */
     public void put(int index, T result) {
         if (!complete && !received.get(index)) {
             received.set(index);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Passes on what has been received, and waits for no more. */
+    /** Passes on the results received so far; later results are ignored. */
     public void complete() {
         if (!complete) {
             complete = true;
--- a/src/main/java/notchpick/transport/SerialEventLoop.java
+++ b/src/main/java/notchpick/transport/SerialEventLoop.java
@@ -9,17 +9,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The event loop of a real process. It owns the queue of waiting work, and the thread "actors" of its timers, which lives
- * as long as the process. The queue is emptied by the thread that adds to it while it is empty: work runs serially, as on
- * one thread, but a request is not handed from the thread that has read it to another and back, which would cost more than
- * handling most requests.
+ * The event loop of a real process. It owns the queue of waiting work and the timer thread "actors", which lives as
+ * long as the process. A thread that adds work to the empty queue runs all queued work until the queue is empty again.
+ * So work runs serially, as on a single thread, but a request is not handed over from the thread that read it to
+ * another thread and back, which would cost more than handling most requests.
  */
 public final class SerialEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SerialEventLoop.class);
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final Queue<Runnable> queue = new ConcurrentLinkedQueue<>();
-    /** The length of the queue, the piece of work that is running included. */
+    /** The length of the queue, including the piece of work that is running. */
     private final AtomicInteger pending = new AtomicInteger();
 
     private final ScheduledThreadPoolExecutor timers;
@@ -62,7 +62,7 @@
         try {
             work.run();
         } catch (Throwable e) {
-            // Whatever is thrown, the rest of the queue must run.
+            // Catches everything, because the rest of the queue must still run.
             LOG.error("uncaught error: reason={}", e.toString(), e);
         }
     }
--- a/src/main/java/notchpick/transport/TokenBucket.java
+++ b/src/main/java/notchpick/transport/TokenBucket.java
@@ -1,6 +1,6 @@
 package notchpick.transport;
 
-/** A token bucket: limits a rate, and allows bursts up to its capacity. It is not safe for use by several threads. */
+/** A token bucket: limits a rate, and allows bursts up to its capacity. Not thread-safe. */
 public final class TokenBucket {
     private static final double MS_PER_S = 1000;
 
@@ -8,31 +8,31 @@
     private final double tokensPerMs;
     private final double capacity;
     private double tokens;
-    private long refilledAt;
+    private long refilledAtMs;
 
-    /** @param initial how many tokens there are at first */
-    public TokenBucket(EventLoop loop, double tokensPerS, double capacity, double initial) {
+    /** @param initialTokens the number of tokens at the start */
+    public TokenBucket(EventLoop loop, double tokensPerS, double capacity, double initialTokens) {
         this.loop = loop;
         this.tokensPerMs = tokensPerS / MS_PER_S;
         this.capacity = capacity;
-        this.tokens = initial;
-        this.refilledAt = loop.nowMs();
+        this.tokens = initialTokens;
+        this.refilledAtMs = loop.nowMs();
     }
 
-    /** How many tokens there are now; negative while more have been taken than there were. */
+    /** The number of tokens now; negative if more have been taken than were available. */
     public double available() {
-        long now = loop.nowMs();
-        tokens = Math.min(capacity, tokens + (now - refilledAt) * tokensPerMs);
-        refilledAt = now;
+        long nowMs = loop.nowMs();
+        tokens = Math.min(capacity, tokens + (nowMs - refilledAtMs) * tokensPerMs);
+        refilledAtMs = nowMs;
         return tokens;
     }
 
-    /** Takes tokens, be there enough or not. */
+    /** Takes tokens, even if there are not enough. */
     public void take(double count) {
         tokens -= count;
     }
 
-    /** In how many milliseconds there will be this many tokens, if none is taken. */
+    /** The number of milliseconds until this many tokens are available, if none are taken until then. */
     public long msUntil(double count) {
         return (long) Math.ceil((count - available()) / tokensPerMs);
     }
--- a/src/test/java/notchpick/scheduling/ConsolidationTest.java
+++ b/src/test/java/notchpick/scheduling/ConsolidationTest.java
@@ -11,7 +11,7 @@
 import notchpick.scheduling.Consolidation.Candidate;
 import org.junit.jupiter.api.Test;
 
-/** Half-empty machines are drained onto others, more at a time the more there are. */
+/** Half-empty machines are drained onto others; more of them at a time if less is in use. */
 class ConsolidationTest {
     private record Node(String name, Resources freeResources) implements CandidateNode {
         @Override
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void drainsNoMoreThanAllowedAndNeverATarget() {
+    void drainsAtMostTheMaximumAndNeverATarget() {
         assertEquals(
                 5, Consolidation.selectForDraining(halfEmpty(10), List.of(), 9).size());
         assertEquals(2, new HashSet<>(Consolidation.selectForDraining(halfEmpty(10), List.of(), 2)).size());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void reservesResourcesForTasksThatAreMovingAlready() {
+    void reservesResourcesForTasksThatAreAlreadyMoving() {
         assertEquals(
                 1,
                 Consolidation.selectForDraining(halfEmpty(4), List.of(task(), task()), 9)
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void drainsMoreAtATimeTheLessIsInUse() {
+    void drainsMoreMachinesAtATimeIfLessIsInUse() {
         assertEquals(1, Consolidation.maxDraining(300, 0.95));
         assertEquals(1, Consolidation.maxDraining(3, 0.1));
         assertTrue(Consolidation.maxDraining(300, 0.3) > Consolidation.maxDraining(300, 0.5));
--- a/src/test/java/notchpick/scheduling/CriticalPathTest.java
+++ b/src/test/java/notchpick/scheduling/CriticalPathTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theTightestPathToTheDeadlineApplies() {
+    void appliesTheTightestPathToTheDeadline() {
         add("root", Priority.LOW, null, 10);
         add("long", Priority.LOW, null, 30, "root");
         add("short", Priority.NORMAL, null, 5, "root");
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aRemovedJobPassesNothingOn() {
+    void removedJobNoLongerAffectsItsDependencies() {
         add("root", Priority.LOW, 500.0, 10);
         add("one", Priority.PRODUCTION, 50.0, 8, "root");
         add("other", Priority.NORMAL, 300.0, 8, "root");
@@ -63,21 +63,21 @@
     }
 
     @Test
-    void noDeadlineIsInheritedFromJobsWithoutOne() {
+    void inheritsNoDeadlineFromJobsWithoutOne() {
         add("root", Priority.LOW, null, 10);
         assertEquals(Set.of(), add("next", Priority.LOW, null, 10, "root"));
         assertNull(effective("root").deadlineS());
     }
 
     @Test
-    void aJobAddedBeforeItsDependencyPassesItsValuesOn() {
+    void dependencyAddedAfterItsDependentInheritsItsValues() {
         add("last", Priority.HIGH, 100.0, 8, "root");
         assertEquals(Set.of("root"), add("root", Priority.LOW, null, 10));
         assertEquals(92, effective("root").deadlineS());
     }
 
     @Test
-    void incrementalChangesGiveTheSameAsARebuild() {
+    void incrementalChangesMatchARebuild() {
         Random random = new Random(7);
         for (int round = 0; round < 50; round++) {
             CriticalPath incremental = new CriticalPath();
@@ -111,13 +111,13 @@
     }
 
     @Test
-    void aChangeUpdatesOnlyWhatItAffects() {
+    void changesOnlyAffectedJobs() {
         add("j0", Priority.LOW, null, 1);
         for (int i = 1; i < 500; i++) {
             add("j" + i, Priority.LOW, null, 1, "j" + (i - 1));
         }
         assertEquals(500, add("end", Priority.HIGH, 1000.0, 1, "j499").size());
-        // A second dependent that is less urgent changes nothing along the whole chain.
+        // A less urgent second dependent changes no job of the chain.
         Collection<String> changed = add("other", Priority.NORMAL, 2000.0, 1, "j499");
         assertEquals(Set.of(), changed);
     }
--- a/src/test/java/notchpick/scheduling/FleetPlannerTest.java
+++ b/src/test/java/notchpick/scheduling/FleetPlannerTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void onDemandMachinesOnlyForJobsThatMayOrMustUseThem() {
+    void rentsOnDemandMachinesOnlyForJobsThatMayOrMustUseThem() {
         Predicate<NodePool> noSpot = NodePool::spot;
         assertEquals(
                 Map.of(),
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void idleMachinesWithoutUseAreNotNeeded() {
+    void idleMachinesWithoutDemandAreUnneeded() {
         NodePool pool = new NodePool("small", "east", true);
         List<OwnedMachine> owned = List.of(
                 new OwnedMachine("m-1", pool, SMALL.size(), false),
--- a/src/test/java/notchpick/scheduling/JobOrderTest.java
+++ b/src/test/java/notchpick/scheduling/JobOrderTest.java
@@ -35,14 +35,14 @@
     }
 
     @Test
-    void aJobOfLowPriorityPrecedesOneOfHigherPriorityThatCanWait() {
+    void lowPriorityJobPrecedesHigherPriorityJobThatCanWait() {
         assertEquals(
                 List.of("low", "normal"),
                 sorted(job("normal", "count", Priority.NORMAL, 10, 300), job("low", "prune", Priority.LOW, 180, 200)));
     }
 
     @Test
-    void whereNotAllCanBeOnTimeTheLowestAndLargestIsDeferred() {
+    void defersTheLargestOfTheLowestPriorityIfNotAllCanBeOnTime() {
         assertEquals(
                 List.of("small", "normal", "large"),
                 sorted(
--- a/src/test/java/notchpick/scheduling/PlacementIndexTest.java
+++ b/src/test/java/notchpick/scheduling/PlacementIndexTest.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** The index chooses the best of all nodes, and examines few for it. */
+/** The index chooses the best of all nodes and examines only a few of them. */
 class PlacementIndexTest {
     private static final class Node implements CandidateNode {
         private final String type;
@@ -131,13 +131,13 @@
         assertSame(full, index.choose(spec, any -> true));
         assertSame(empty, index.chooseSoonest(spec, any -> true, node -> node == full ? 900 : 100));
         full.images.add("i");
-        // An image in the cache saves more than a heartbeat period.
+        // Fetching an image takes longer than a heartbeat period, so the node with the image is preferred.
         PlacementIndex<Node> withImage = new PlacementIndex<>(List.of(full, empty));
         assertSame(full, withImage.chooseSoonest(spec, any -> true, node -> node == full ? 900 : 100));
     }
 
     @Test
-    void aRemovedNodeMayChangeAndStaysRemoved() {
+    void updateDoesNotAddARemovedNode() {
         Random random = new Random(1);
         Node node = new Node("small", "east", true, new Resources(8, 0, 64));
         PlacementIndex<Node> index = new PlacementIndex<>(List.of(node));
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void examinesFewNodesHoweverManyThereAre() {
+    void examinesFewNodesPerTask() {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             nodes.add(new Node("small", "east", true, new Resources(8, 0, 64)));
--- a/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
+++ b/src/test/java/notchpick/scheduling/ServiceObjectivesTest.java
@@ -27,14 +27,14 @@
     }
 
     @Test
-    void afterAMissedObjectiveTheNextApplies() {
+    void appliesTheNextObjectiveAfterAMissedOne() {
         assertEquals(60, OBJECTIVES.slackS(job("import", null), 100, 40));
         assertEquals(90, OBJECTIVES.slackS(job("import", null), 170, 40));
         assertTrue(OBJECTIVES.slackS(job("import", null), 270, 40) < 0);
     }
 
     @Test
-    void anObjectiveForTheStartLeavesTheRunTimeAside() {
+    void startObjectiveIgnoresTheRunTime() {
         assertEquals(10, OBJECTIVES.slackS(job("sweep", null), 190, 100));
     }
 
@@ -53,12 +53,12 @@
     }
 
     @Test
-    void jobsWithoutObjectivesAreDueByTheirRunTime() {
+    void jobsWithoutObjectivesAreDueAfterAMultipleOfTheirRunTime() {
         assertEquals(260, OBJECTIVES.slackS(job("other", null), 100, 40));
     }
 
     @Test
-    void agesBeginWhenTheJobIsReadyAndDeadlinesAtSubmission() {
+    void measuresAgeFromReadinessAndDeadlineFromSubmission() {
         JobSpec blocked = job("credit", 100.0).withReadyAtMs(30_000);
         assertEquals(30, OBJECTIVES.slackS(blocked, blocked.ageS(30_000), 40));
         JobSpec waiting = job("import", null).withReadyAtMs(30_000);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aJobsOwnDeadlineAppliesBesideTheObjectivesOfItsClass() {
+    void ownDeadlineAppliesInAdditionToObjectivesOfTheClass() {
         assertEquals(10, OBJECTIVES.slackS(job("import", 150.0), 100, 40));
         assertEquals(60, OBJECTIVES.slackS(job("import", 700.0), 100, 40));
     }
--- a/src/test/java/notchpick/scheduling/StatefulDrfTest.java
+++ b/src/test/java/notchpick/scheduling/StatefulDrfTest.java
@@ -11,13 +11,13 @@
     private static final double TOLERANCE = 1e-12;
 
     @Test
-    void shareOfAResourceOfWhichThereIsNoneIsZero() {
+    void shareOfAResourceWithoutTotalIsZero() {
         Resources share = StatefulDrf.share(new Resources(4, 0, 8), new Resources(16, 0, 64));
         assertEquals(new Resources(0.25, 0, 0.125), share);
     }
 
     @Test
-    void overuseIsTheShareBeyondAnEqualOne() {
+    void overuseIsTheShareAboveTheEqualShare() {
         Resources share = new Resources(0.75, 0, 0.25);
         assertEquals(new Resources(0.25, 0, 0), StatefulDrf.overuse(share, 2));
         // One team alone can't overuse; with a third team the equal share shrinks.
@@ -28,24 +28,24 @@
     @Test
     void commitmentFollowsOveruseWithExponentialMemory() {
         Resources over = new Resources(0.5, 0, 0);
-        double tau = 120;
+        double tauS = 120;
         assertEquals(
                 0.5 * (1 - Math.exp(-1)),
-                StatefulDrf.commitment(Resources.NONE, over, tau, tau).cores(),
+                StatefulDrf.commitment(Resources.NONE, over, tauS, tauS).cores(),
                 TOLERANCE);
         assertEquals(
                 0.4 * Math.exp(-0.5),
-                StatefulDrf.commitment(new Resources(0.4, 0, 0), Resources.NONE, 60, tau)
+                StatefulDrf.commitment(new Resources(0.4, 0, 0), Resources.NONE, 60, tauS)
                         .cores(),
                 TOLERANCE);
-        // No time, no change; and time that seems to run backwards changes nothing either.
+        // The commitment changes neither after no time nor after a clock was set back.
         assertEquals(
                 0.4,
-                StatefulDrf.commitment(new Resources(0.4, 0, 0), over, 0, tau).cores(),
+                StatefulDrf.commitment(new Resources(0.4, 0, 0), over, 0, tauS).cores(),
                 TOLERANCE);
         assertEquals(
                 0.4,
-                StatefulDrf.commitment(new Resources(0.4, 0, 0), over, -5, tau).cores(),
+                StatefulDrf.commitment(new Resources(0.4, 0, 0), over, -5, tauS).cores(),
                 TOLERANCE);
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void ofEqualSharesTheLowerCommitmentRanksFirst() {
+    void lowerCommitmentRanksFirstForEqualShares() {
         Resources share = new Resources(0.2, 0, 0.1);
         Resources committed = new Resources(0, 0, 0.3);
         assertEquals(0.5, StatefulDrf.rank(share, committed), TOLERANCE);
--- a/src/test/java/notchpick/transport/SocketTest.java
+++ b/src/test/java/notchpick/transport/SocketTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Server and client over real sockets. */
+/** Tests the server and the client over real sockets. */
 class SocketTest {
-    private static final int MOST = 20;
+    private static final int MAX_CONNECTIONS = 20;
     private final HoldingThreadPool threads = new HoldingThreadPool();
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private String address;
     private JettyHttpServer server;
     private JettyHttpCaller caller;
 
-    /** Can hold work back, as a machine does whose processors are busy. */
+    /** A thread pool that can delay work, as it happens on a machine with busy processors. */
     private static final class HoldingThreadPool extends QueuedThreadPool {
         private final List<Runnable> held = new ArrayList<>();
         private final Semaphore heldCount = new Semaphore(0);
@@ -98,22 +98,22 @@
                 threads,
                 scheduler,
                 new ArrayByteBufferPool(),
-                List.of(JettyHttpServer.Endpoint.forClients(address, echo, MOST, 500)),
+                List.of(JettyHttpServer.Endpoint.forClients(address, echo, MAX_CONNECTIONS, 500)),
                 30_000);
         server.start();
         caller = new JettyHttpCaller(threads, scheduler, 4, 1000);
     }
 
-    /** A crowd must not take every connection that the process may hold; idle ones make room for others. */
+    /** At the limit, idle connections must be closed, or else many idle clients would keep all others out. */
     @Test
-    void idleConnectionsGiveWayWhenThereAreTooMany() throws Exception {
+    void closesIdleConnectionsAtTheLimit() throws Exception {
         ExecutorService reading = Executors.newCachedThreadPool();
         List<Socket> idle = new ArrayList<>();
         int colon = address.lastIndexOf(':');
-        for (int i = 0; i < MOST; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             idle.add(new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
         }
-        // All are taken, and would be for half a minute if nothing were done.
+        // All connections are in use. Without the shorter timeout at the limit they would stay open for 30 s.
         List<CompletableFuture<Integer>> ends = idle.stream()
                 .map(socket -> CompletableFuture.supplyAsync(
                         () -> {
@@ -141,15 +141,15 @@
      * while none is open: each must get the shorter idle timeout when it opens.
      */
     @Test
-    void idleConnectionsThatOpenAfterTheLimitIsReachedEndSooner() throws Exception {
+    void closesIdleConnectionsThatOpenAfterTheLimitIsReached() throws Exception {
         ExecutorService readers = Executors.newCachedThreadPool();
         List<Socket> idle = new ArrayList<>();
         int colon = address.lastIndexOf(':');
         threads.hold();
-        for (int i = 0; i < MOST; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             idle.add(new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
         }
-        assertTrue(threads.heldCount.tryAcquire(MOST, 20, TimeUnit.SECONDS));
+        assertTrue(threads.heldCount.tryAcquire(MAX_CONNECTIONS, 20, TimeUnit.SECONDS));
         threads.release();
         CompletableFuture<?>[] ends = idle.stream()
                 .map(socket -> CompletableFuture.supplyAsync(() -> readByte(socket), readers))
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void anAnswerMayEndItsConnection() throws Exception {
+    void closesTheConnectionAfterAClosingResponse() throws Exception {
         Socket socket = new Socket(
                 InetAddress.getLoopbackAddress(), Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
         socket.setSoTimeout(20_000);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void noAnswerInTimeIsToldFromNoServer() throws Exception {
+    void distinguishesTimeoutFromRefusedConnection() throws Exception {
         assertEquals(Response.UNANSWERED, call("GET", "/never", null, 200));
         address = "127.0.0.1:1";
         assertEquals(Response.CONNECTION_REFUSED, call("GET", "/x", null, 2000));
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void aHandlerThatFailsEndsItsRequestOnly() throws Exception {
+    void handlerExceptionFailsOnlyItsRequest() throws Exception {
         assertEquals(500, call("GET", "/broken", null, 20_000).status());
         assertEquals(201, call("GET", "/x", null, 20_000).status());
     }
--- a/src/test/java/notchpick/transport/TokenBucketTest.java
+++ b/src/test/java/notchpick/transport/TokenBucketTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void moreMayBeTakenThanThereIs() {
+    void allowsTakingMoreTokensThanAvailable() {
         bucket.take(8);
         assertEquals(-3, bucket.available());
         assertEquals(40, bucket.msUntil(1));
