--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -42,7 +42,7 @@
     private static final double DENSE_USE_RATIO = 0.7;
     /** At {@link #DENSE_USE_RATIO} some machines could be spared; this fraction of them is drained at a time. */
     private static final double CONCURRENT_DRAIN_RATIO = 0.2;
-    /** How many candidates are tried per machine to drain; later ones are fuller and thus harder to drain. */
+    /** How many candidates are tried per machine to drain: if these can't be drained, fuller ones hardly can either. */
     private static final int TRIES_PER_MACHINE = 32;
 
     /**
@@ -100,7 +100,7 @@
     /** Machines in use with free cores, fullest first, on which resources are reserved for tasks of other machines. */
     private static final class Targets<N extends CandidateNode> {
         private final Set<N> available = new LinkedHashSet<>();
-        /** The free resources left after reservations, for each machine with at least one reservation. */
+        /** The free resources that remain after reservations, for each machine with at least one reservation. */
         private final Map<N, Resources> unreserved = new HashMap<>();
 
         private final Set<N> reserved = new HashSet<>();
--- a/src/main/java/notchpick/scheduling/JobOrder.java
+++ b/src/main/java/notchpick/scheduling/JobOrder.java
@@ -57,7 +57,7 @@
     /**
      * Returns the jobs in the order in which they are served.
      *
-     * @param wallTimeMs the time of day, in milliseconds since the epoch
+     * @param wallTimeMs the current wall-clock time, in milliseconds since the epoch
      * @param cores the number of cores on which the jobs can run
      */
     public static <J> List<WaitingJob<J>> sorted(
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -80,7 +80,7 @@
         nodesLike(entry.node()).add(entry);
     }
 
-    /** Runs a change of a node's free resources or images and sorts the node anew; a removed node stays removed. */
+    /** Runs a change of a node's free resources or images, then updates the index; a removed node stays removed. */
     public void update(N node, Runnable change) {
         Entry<N> entry = entries.get(node);
         if (entry == null) {
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -15,7 +15,7 @@
     private Preemption() {}
 
     /**
-     * A job with pending tasks, for which there are no free resources.
+     * A job with pending tasks that found no free resources.
      *
      * @param tasks the number of its pending tasks
      * @param isGuaranteed whether the pending tasks are within their team's guarantee
--- a/src/main/java/notchpick/transport/Actor.java
+++ b/src/main/java/notchpick/transport/Actor.java
@@ -47,7 +47,7 @@
         loop.schedule(delayMs, () -> runGuarded(work));
     }
 
-    /** Runs work on the event loop again and again, with this delay before each run, until the actor stops. */
+    /** Runs work on the event loop repeatedly, with this delay before each run, until the actor stops. */
     protected final void scheduleRepeatedly(long delayMs, Runnable work) {
         schedule(delayMs, () -> {
             try {
--- a/src/main/java/notchpick/transport/HttpCaller.java
+++ b/src/main/java/notchpick/transport/HttpCaller.java
@@ -62,7 +62,7 @@
             return status == CONNECTION_REFUSED.status;
         }
 
-        /** Whether there was no response, whether or not the connection was refused. */
+        /** Whether there was no response; also true if the connection was refused. */
         public boolean isUnanswered() {
             return status <= 0;
         }
--- a/src/main/java/notchpick/transport/JettyHttpCaller.java
+++ b/src/main/java/notchpick/transport/JettyHttpCaller.java
@@ -37,7 +37,7 @@
     }
 
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
-    /** The idle timeout exceeds the request timeout by this margin, so that the request timeout is always the first. */
+    /** The idle timeout exceeds the request timeout by this margin, so that the request timeout expires first. */
     private static final long IDLE_TIMEOUT_MARGIN_MS = 1000;
 
     private final HttpClient client;
