--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -97,7 +97,7 @@
             entry("outage", (cluster, step) -> cluster.setOutage(step.isOn(0))),
             entry("refuse", (cluster, step) -> cluster.setRefused(controller(cluster, step.subject()), step.isOn(1))),
             entry(
-                    "refuse-none",
+                    "accept-all",
                     (cluster, step) -> cluster.controllers()
                             .nodes()
                             .forEach(node -> cluster.stateStore().setRefused(node, false))),
@@ -140,20 +140,24 @@
             entry(
                     "unhang-all",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
-            entry("deaf", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
-            entry("mute", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
+            entry(
+                    "lose-incoming",
+                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
+            entry(
+                    "lose-heartbeats",
+                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
             entry(
                     "heal-machines",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
                         worker.setDeaf(false);
                         worker.setMute(false);
                     })),
-            entry("sick", (cluster, step) -> worker(cluster, step).setSick()));
+            entry("fail-all-tasks", (cluster, step) -> worker(cluster, step).setSick()));
 
     private static final Map<String, Verb> CHECK_VERBS = Map.of(
             "expect", ScenarioExpectations::check,
             "reset-longest-pause", (cluster, step) -> cluster.invariants().resetLongestPause(),
-            "faults-over", (cluster, step) -> cluster.faultsOver());
+            "faults-ended", (cluster, step) -> cluster.faultsOver());
 
     private ScenarioVerbs() {}
 
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -29,9 +29,9 @@
             "zone",
             "one-zone",
             "apart",
-            "ordinary",
+            "on-demand",
             "expected",
-            "saves",
+            "checkpoint-interval",
             "due",
             "types",
             "class",
@@ -146,9 +146,9 @@
                 .put("site", options.get("zone"))
                 .put("oneZone", options.containsKey("one-zone"))
                 .put("apart", options.containsKey("apart"))
-                .put("borrowed", !options.containsKey("ordinary"))
+                .put("borrowed", !options.containsKey("on-demand"))
                 .put("expectedS", Double.parseDouble(options.getOrDefault("expected", "20")))
-                .put("bookmarkS", Double.parseDouble(options.getOrDefault("saves", "0")))
+                .put("bookmarkS", Double.parseDouble(options.getOrDefault("checkpoint-interval", "0")))
                 .put("bookmarkWriteS", 1.0);
         if (options.containsKey("due")) {
             body.put("dueS", Double.parseDouble(options.get("due")));
