--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -6,7 +6,9 @@
 import notchpick.simulation.SimulatedNetwork.Cut;
 import notchpick.simulation.SimulatedWorker;
 
-/** What can go wrong by itself. Seeds of {@link FaultCombinationTest} rest on the order, so new ones go to the end. */
+/**
+ * Faults that {@link FaultCombinationTest} injects. Its seeds select them by their position, so new ones go to the end.
+ */
 enum Fault {
     LEADER_CRASHES((run, leader, durationMs) -> run.controllers().crash(leader, run.between(200, 8000))),
     CONTROLLER_CRASHES((run, leader, durationMs) -> run.controllers().crash(run.anyNode(), run.between(200, 8000))),
@@ -17,40 +19,45 @@
     LEADER_FREEZES((run, leader, durationMs) -> run.controllers().freeze(leader, Math.min(durationMs, 25_000))),
     LEADER_REFUSED((run, leader, durationMs) -> {
         run.stateStore().setRefused(leader, true);
-        run.later(
-                durationMs, leader + " is served again", () -> run.stateStore().setRefused(leader, false));
+        run.runLater(
+                durationMs,
+                "the state store accepts " + leader + " again",
+                () -> run.stateStore().setRefused(leader, false));
     }),
     OUTAGE((run, leader, durationMs) -> {
         run.stateStore().setOutage(true);
-        run.later(durationMs, "the outage is over", () -> run.stateStore().setOutage(false));
+        run.runLater(durationMs, "outage ended", () -> run.stateStore().setOutage(false));
     }),
     WRITES_APPLIED_LATE((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, false)),
     WRITES_UNANSWERED((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, true)),
     HEARTBEATS_DUPLICATED((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, false)),
     HEARTBEATS_DUPLICATED_FOR_NEXT_LEADER((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, true)),
-    MACHINES_DEAF((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setDeaf)),
-    MACHINES_MUTE((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setMute)),
+    MACHINES_LOSE_INCOMING((run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setDeaf)),
+    MACHINES_LOSE_HEARTBEATS((run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setMute)),
     MACHINES_HANG((run, leader, durationMs) -> run.workers().stream()
             .limit(run.between(1, 6))
             .forEach(worker -> run.cluster().fleet().hang(worker, Math.min(durationMs, 30_000)))),
     LEADER_LOSES_STATE_AND_PEERS((run, leader, durationMs) -> {
         run.cut(leader, "state", durationMs);
-        run.nodesBut(leader).forEach(node -> run.cut(leader, node, durationMs));
+        run.nodesExcept(leader).forEach(node -> run.cut(leader, node, durationMs));
     }),
     ZONE_CUT((run, leader, durationMs) -> run.cut("zone-east", "outside-east", durationMs)),
     LEADER_LOSES_WORKERS((run, leader, durationMs) -> run.cut(leader, "workers", durationMs)),
     ANSWERS_HELD((run, leader, durationMs) -> {
         run.network().cutOneWay(leader, "workers", Cut.HOLD);
-        run.later(
-                Math.min(durationMs, 6000), "answers pass", () -> run.network().heal(leader, "workers"));
+        run.runLater(
+                Math.min(durationMs, 6000),
+                "answers are delivered again",
+                () -> run.network().heal(leader, "workers"));
     }),
     WATCHES_HANG((run, leader, durationMs) -> {
         run.stateStore().setWatchesHanging(true);
-        run.later(durationMs, "watches are answered", () -> run.stateStore().setWatchesHanging(false));
+        run.runLater(
+                durationMs, "watches are answered again", () -> run.stateStore().setWatchesHanging(false));
     }),
     LISTS_SLOW((run, leader, durationMs) -> {
         run.stateStore().setListDelay(run.between(500, 4000));
-        run.later(durationMs, "lists are quick", () -> run.stateStore().setListDelay(0));
+        run.runLater(durationMs, "list delay ended", () -> run.stateStore().setListDelay(0));
     }),
     MACHINES_DIE((run, leader, durationMs) -> run.reclaimMachines(8)),
     LINKS_SLOW((run, leader, durationMs) -> {
@@ -71,12 +78,13 @@
     MACHINES_REPLACED_QUICKLY((run, leader, durationMs) -> {
         run.cloud().setBootTimeFactor(0.1);
         run.reclaimMachines(6);
-        run.later(durationMs, "boots take their time", () -> run.cloud().setBootTimeFactor(1));
+        run.runLater(
+                durationMs, "boot times are normal again", () -> run.cloud().setBootTimeFactor(1));
     }),
     INVALID_REQUESTS((run, leader, durationMs) -> Submissions.sendInvalid(run.cluster(), FaultRun.JOBS.get(0))),
-    /** Teams are divided among the controllers that send heartbeats: some stop for a while. */
+    /** The resource leases of teams are divided among the controllers that send heartbeats; some of these stop. */
     OTHER_CONTROLLERS_LOSE_POWER((run, leader, durationMs) -> {
-        List<String> others = new ArrayList<>(run.nodesBut(leader));
+        List<String> others = new ArrayList<>(run.nodesExcept(leader));
         Collections.shuffle(others, run.random());
         others.stream()
                 .limit(run.between(1, 3))
@@ -88,7 +96,7 @@
         run.controllers().freeze(leader, run.between(2000, 9000));
     });
 
-    /** What a fault does to the cluster. */
+    /** Applies a fault to the cluster. */
     private interface Injection {
         void inject(FaultRun run, String leader, long durationMs);
     }
@@ -100,10 +108,10 @@
     }
 
     /**
-     * Begins the fault and schedules its end.
+     * Starts the fault and schedules its end.
      *
-     * @param leader the leader, or any controller while nobody leads
-     * @param durationMs how long it lasts, where the fault itself sets no shorter bound
+     * @param leader the leader, or any controller while there is no leader
+     * @param durationMs how long the fault lasts, unless the fault sets a shorter bound
      */
     void inject(FaultRun run, String leader, long durationMs) {
         injection.inject(run, leader, durationMs);
@@ -111,11 +119,13 @@
 
     private static void leaveWritesUnanswered(FaultRun run, long durationMs, boolean appliedImmediately) {
         run.stateStore().setUnansweredCommits(0.4, appliedImmediately);
-        run.later(durationMs, "writes are answered", () -> run.stateStore().setUnansweredCommits(0, false));
+        run.runLater(
+                durationMs, "writes are answered again", () -> run.stateStore().setUnansweredCommits(0, false));
     }
 
     private static void duplicateHeartbeats(FaultRun run, long durationMs, boolean forNextLeader) {
         run.cluster().duplicateHeartbeats(0.5, forNextLeader);
-        run.later(durationMs, "no more copies", () -> run.cluster().duplicateHeartbeats(0, false));
+        run.runLater(
+                durationMs, "heartbeat duplication ended", () -> run.cluster().duplicateHeartbeats(0, false));
     }
 }
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Seeded random runs over pairs and triples of faults, the second of which begins close to an election, a confirmed
- * cancellation, a task's completion or a machine's boot, while users cancel jobs and read at all controllers. Seeds go
- * through all pairs in turn; {@code -Dmeetings=FIRST-LAST} plays others. A seed that fails prints its event log, and
- * with {@code -Dstory=true} each does.
+ * Seeded random runs over pairs and triples of faults. The second fault begins close to an election, a confirmed
+ * cancellation, a task's completion or a machine's boot, while users cancel jobs and read at all controllers. Seeds
+ * cover all pairs in turn; {@code -Dmeetings=FIRST-LAST} selects other seeds. A seed that fails prints its event log;
+ * with {@code -Dstory=true} every seed does.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class FaultCombinationTest {
-    /** How many controllers there are, and the workers' periods. */
+    /** The number of controllers and the workers' periods. */
     private record Setting(int controllers, WorkerTiming timing) {}
 
-    /** Seeds take these in turn, so that each pair gets another one in the next round of all pairs. */
+    /** Seeds take these in turn; in the next round of all pairs, each pair gets another setting. */
     private static final List<Setting> SETTINGS = List.of(
             new Setting(5, new WorkerTiming(5, 22, 42)),
             new Setting(7, new WorkerTiming(5, 29, 54)),
@@ -37,18 +37,18 @@
 
     private static final Fault[] FAULTS = Fault.values();
     private static final int PAIRS = FAULTS.length * (FAULTS.length + 1) / 2;
-    /** After this time every fault has ended. */
+    /** Every fault ends within this time. */
     private static final long LONGEST_FAULT_MS = 75_000;
 
     private static final long SETTLING_MS = 300_000;
 
-    /** The seeds to play. */
+    /** The seeds to run. */
     static IntStream seeds() {
         String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-", 2);
         return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]));
     }
 
-    /** The pair that a seed is about; a fault may be paired with itself. */
+    /** The pair of faults of a seed; a fault may be paired with itself. */
     private static List<Fault> pair(int seed) {
         int rest = Math.floorMod(seed - 1, PAIRS);
         int first = 0;
@@ -65,7 +65,7 @@
 
     @ParameterizedTest(name = "seed {0}")
     @MethodSource("seeds")
-    void noRuleIsBrokenWhereFaultsCombine(int seed) throws InvalidMessageException {
+    void invariantsHoldWhenFaultsCombine(int seed) throws InvalidMessageException {
         Setting setting = setting(seed);
         FaultRun run = new FaultRun(seed, setting.controllers(), setting.timing());
         try (Transcript transcript = Transcript.open("fault-combination-" + seed)) {
@@ -73,11 +73,11 @@
             injectFaults(run, faults(seed, run));
             settle(run);
             print(seed, run);
-            assertNoRuleBroken(seed, run);
+            assertInvariantsHold(seed, run);
         }
     }
 
-    /** The seed's pair in either order, and for two thirds of the seeds a third fault. */
+    /** The seed's pair in random order, followed for two thirds of the seeds by a third fault. */
     private static List<Fault> faults(int seed, FaultRun run) {
         List<Fault> faults = new ArrayList<>(pair(seed));
         if (run.random().nextBoolean()) {
@@ -85,7 +85,7 @@
         }
         switch (run.random().nextInt(3)) {
             case 0 -> faults.add(FAULTS[run.random().nextInt(FAULTS.length)]);
-            // Most violations came about where an outage of the state store was the last fault.
+            // Most violations were found with an outage of the state store as the last fault.
             case 1 -> faults.add(Fault.OUTAGE);
             default -> {}
         }
@@ -111,7 +111,7 @@
 
     private static void settle(FaultRun run) {
         run.cluster().runFor(LONGEST_FAULT_MS);
-        run.log("faults are over");
+        run.log("all faults ended");
         run.cluster().users().setCancelAtCompletionShare(0);
         run.cluster().faultsOver();
         run.cluster().runFor(SETTLING_MS);
@@ -123,7 +123,7 @@
         }
         InvariantChecker invariants = run.cluster().invariants();
         System.out.printf(
-                "seed %d: gone %d ms and ordered %d ms after a cancellation at the latest, %d orders, %d starts%n",
+                "seed %d: after cancellations, longest run %d ms and start order %d ms, %d start orders, %d starts%n",
                 seed,
                 invariants.longestRunAfterCancelMs(),
                 invariants.longestStartOrderAfterCancelMs(),
@@ -131,7 +131,7 @@
                 invariants.startsAfterCancel());
     }
 
-    private static void assertNoRuleBroken(int seed, FaultRun run) {
+    private static void assertInvariantsHold(int seed, FaultRun run) {
         SimulatedCluster cluster = run.cluster();
         String eventLog = "seed " + seed + ": " + run.eventLog() + "\n";
         assertEquals(List.of(), cluster.invariants().violations(), eventLog);
--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -22,12 +22,12 @@
 import notchpick.simulation.Transcript;
 import notchpick.simulation.WorkerTiming;
 
-/** One run of {@link FaultCombinationTest}: a cluster with work, all random decisions, and a log of what happened. */
+/** One run of {@link FaultCombinationTest}: a cluster with work, all random decisions, and a log of the events. */
 final class FaultRun {
-    /** Jobs that run long, for users to cancel. */
+    /** Long jobs, which users cancel. */
     private static final int LONG_JOBS = 6;
 
-    /** The jobs that every run submits at its beginning. */
+    /** The jobs that every run submits at its start. */
     static final List<String> JOBS = Stream.concat(
                     Stream.of("run-000001", "run-000002", "run-000003"),
                     IntStream.range(0, LONG_JOBS).mapToObj(i -> "run-00001" + i))
@@ -37,12 +37,12 @@
     private static final int STREAM_JOBS = 25;
 
     private static final long STREAM_INTERVAL_MS = 2000;
-    /** An event that does not come about within so long is not waited for. */
+    /** The longest wait for an event. */
     private static final long MAX_WAIT_MS = 7000;
 
     private static final long WAIT_STEP_MS = 10;
 
-    /** Switches a fault of a machine on or off. */
+    /** Turns a fault of a machine on or off. */
     interface MachineFault {
         void set(SimulatedWorker worker, boolean active);
     }
@@ -52,7 +52,7 @@
     private final SimulatedCluster cluster;
     private int wideJobs;
 
-    /** A cluster of so many controllers with idle machines; nothing has been submitted. */
+    /** Creates a cluster with this number of controllers, as yet without machine capacity and without jobs. */
     FaultRun(int seed, int controllers, WorkerTiming timing) {
         random = new Random(seed);
         cluster = new SimulatedCluster(ClusterConfig.builder()
@@ -67,7 +67,7 @@
                 .build());
     }
 
-    /** Submits the jobs and lets the cluster work until faults may begin. */
+    /** Submits the jobs and runs the cluster until faults may begin. */
     void start(Transcript transcript) throws InvalidMessageException {
         cluster.record(transcript);
         cluster.setCapacity("m8", "east", true, 7);
@@ -124,7 +124,7 @@
         return random;
     }
 
-    /** A random number, both bounds included. */
+    /** A random number within the bounds, both included. */
     long between(long least, long most) {
         return least + random.nextInt((int) (most - least + 1));
     }
@@ -137,7 +137,7 @@
         return controllers().nodes();
     }
 
-    List<String> nodesBut(String excluded) {
+    List<String> nodesExcept(String excluded) {
         return nodes().stream().filter(node -> !node.equals(excluded)).toList();
     }
 
@@ -145,7 +145,7 @@
         return cluster.fleet().workers();
     }
 
-    /** What has happened so far, a line each. */
+    /** The events so far, one per line. */
     String eventLog() {
         return String.join("\n", eventLog);
     }
@@ -154,17 +154,15 @@
         eventLog.add("at " + cluster.time().now() / 1000.0 + " " + event);
     }
 
-    /** Does something later and logs it then. */
-    void later(long delayMs, String event, Runnable work) {
+    /** Schedules the work, and logs the event when it runs. */
+    void runLater(long delayMs, String event, Runnable work) {
         cluster.time().after(delayMs, () -> {
             log(event);
             work.run();
         });
     }
 
-    // ---- faults --------------------------------------------------------------------------------
-
-    /** Injects the fault for a random time. */
+    /** Injects the fault at the leader, or at any controller if there is no leader, for a random time. */
     void inject(Fault fault) {
         String leader = controllers().leader().orElseGet(this::anyNode);
         long durationMs = switch (random.nextInt(3)) {
@@ -182,34 +180,35 @@
         cluster.time().after(durationMs, () -> network().heal(one, other));
     }
 
-    /** Packets in one direction take longer for a while. */
+    /** Delays packets in one direction for a while. */
     void slowDown(String from, String to, long durationMs) {
         network().delayOneWay(from, to, between(200, 3800));
-        later(durationMs, from + " to " + to + " is quick", () -> network().delayOneWay(from, to, 0));
+        runLater(
+                durationMs,
+                from + " to " + to + " is fast again",
+                () -> network().delayOneWay(from, to, 0));
     }
 
-    /** Some machines have the fault for a while. */
-    void disturbMachines(long durationMs, MachineFault fault) {
+    /** Injects the fault into some machines for a while. */
+    void injectMachineFault(long durationMs, MachineFault fault) {
         List<SimulatedWorker> some = workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
-        later(durationMs, "machines are well", () -> some.forEach(worker -> fault.set(worker, false)));
+        runLater(durationMs, "machine fault ended", () -> some.forEach(worker -> fault.set(worker, false)));
     }
 
-    /** The cloud takes back some machines, so many at most. */
+    /** The cloud reclaims from 1 to this many machines. */
     void reclaimMachines(int most) {
         cluster.fleet().machines().stream().limit(between(1, most)).forEach(cloud()::reclaim);
     }
 
-    // ---- users ---------------------------------------------------------------------------------
-
-    /** Users cancel so many of the running jobs. */
+    /** Users cancel this many of the running jobs; returns the jobs. */
     List<String> cancelRunning(int count) {
         List<String> jobs = cluster.cancelRunning(count);
         log("users cancel " + jobs);
         return jobs;
     }
 
-    /** Users cancel some jobs, whose machines may hang then. */
+    /** Users cancel some jobs; at random, the machines of these jobs hang as well. */
     void cancelSome() {
         if (random.nextBoolean()) {
             cancelWhileStarting();
@@ -220,16 +219,14 @@
         }
     }
 
-    /** A job is submitted, and cancelled while its tasks are being started. */
+    /** Submits a job and cancels it while its tasks are being started. */
     private void cancelWhileStarting() {
         String job = String.format("run-02%04d", wideJobs++);
         submitValid(job, Map.of("tasks", "24", "team", "b", "urgency", "high", "due", "60"), 60);
-        later(between(20, 6000), "users cancel " + job, () -> cluster.users().cancel(job));
+        runLater(between(20, 6000), "users cancel " + job, () -> cluster.users().cancel(job));
     }
 
-    // ---- time ----------------------------------------------------------------------------------
-
-    /** Goes on until close to an event of a random kind, for a random time, or not at all. */
+    /** Runs the cluster until shortly after an event of a random kind or for a random time, or not at all. */
     void awaitRandomEvent() {
         switch (random.nextInt(6)) {
             case 0 -> awaitEvent("an election", () -> controllers().term());
@@ -242,14 +239,14 @@
         }
     }
 
-    /** Goes on until shortly after the event has come about once more, or has not for a while. */
+    /** Runs the cluster until shortly after the event has occurred once more, for {@link #MAX_WAIT_MS} at most. */
     private void awaitEvent(String event, IntSupplier count) {
         int before = count.getAsInt();
-        long until = cluster.time().now() + MAX_WAIT_MS;
-        while (count.getAsInt() == before && cluster.time().now() < until) {
+        long untilMs = cluster.time().now() + MAX_WAIT_MS;
+        while (count.getAsInt() == before && cluster.time().now() < untilMs) {
             cluster.runFor(WAIT_STEP_MS);
         }
-        log(count.getAsInt() == before ? "no " + event + " came" : "after " + event);
+        log(count.getAsInt() == before ? "waited without success for " + event : "after " + event);
         cluster.runFor(between(0, 400));
     }
 }
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -14,12 +14,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The layers of the sources: which packages may depend on which, and where the words of the wire may occur. */
+/** The layers of the sources: which packages may depend on which, and where names on the wire may occur. */
 class LayersTest {
     private static final Path SOURCES = Path.of("src/main/java/notchpick");
     private static final List<String> BELOW_COORDINATION =
             List.of("transport", "scheduling", "model", "protocol", "storage");
-    /** The layers, and on which others each may depend; packages below a layer are layers of their own. */
+    /** Each layer and the layers it may depend on; packages below a layer are layers of their own. */
     private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("transport", List.of()),
             Map.entry("scheduling", List.of()),
@@ -48,7 +48,7 @@
                             "coordination.leader.allocation")));
 
     private static final Pattern IMPORT = Pattern.compile("import (?:static )?notchpick\\.([a-z.]+)\\.");
-    private static final Pattern WIRE_WORD = Pattern.compile(
+    private static final Pattern WIRE_NAME = Pattern.compile(
             "\"(ref|workclass|ownerDesk|jobForm|urgency|pieces?|boxKinds?|borrowed|bundle|mandate|tryNo|orderKind"
                     + "|hireSlip|waitsOn|entryNo|ledgerNo|permit|recallS|exitCause|foreman)\"");
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The layer that a package belongs to: parts of coordination are layers, those of others are not. */
+    /** The layer of a package: subpackages of coordination are layers of their own, other subpackages are not. */
     private static String layerOf(String name) {
         return ALLOWED_DEPENDENCIES.containsKey(name) ? name : name.split("\\.", 2)[0];
     }
@@ -98,13 +98,13 @@
     }
 
     /**
-     * The health of links and peers, which is an opinion, chooses whom to ask. What releases a task, a machine or a term
-     * rests on durable facts: of the leader's parts only those that step down and that lease resources out depend on it,
-     * and those that hand the controller's collaborators to these two.
+     * The health of links and peers is an estimate, and may only decide which controller to contact. Decisions that
+     * release a task, a machine or a term must rest on durable facts. Of the leader's classes, only the two that decide
+     * when to step down and whom to lease resources may depend on membership, and the two that pass it on to these.
      */
     @Test
     void linkHealthDoesNotDecideWhatIsReleased() throws IOException {
-        List<String> asking = new ArrayList<>();
+        List<String> dependents = new ArrayList<>();
         for (String layer : ALLOWED_DEPENDENCIES.keySet()) {
             if (!layer.startsWith("coordination.leader")
                     && !List.of("model", "storage").contains(layer)) {
@@ -112,13 +112,14 @@
             }
             for (Path file : sources(layer)) {
                 if (Files.readString(file).contains("notchpick.coordination.membership.")) {
-                    asking.add(file.getFileName().toString());
+                    dependents.add(file.getFileName().toString());
                 }
             }
         }
-        asking.sort(null);
+        dependents.sort(null);
         assertEquals(
-                List.of("Leader.java", "LeaderEnvironment.java", "ResourceLeases.java", "StepDownPolicy.java"), asking);
+                List.of("Leader.java", "LeaderEnvironment.java", "ResourceLeases.java", "StepDownPolicy.java"),
+                dependents);
     }
 
     @Test
@@ -131,13 +132,13 @@
     }
 
     @Test
-    void wireWordsOccurInProtocolAlone() throws IOException {
+    void wireNamesOccurOnlyInProtocol() throws IOException {
         List<String> layers = new ArrayList<>(ALLOWED_DEPENDENCIES.keySet());
         layers.remove("protocol");
         layers.add("app");
         for (String layer : layers) {
             for (Path file : sources(layer)) {
-                Matcher matcher = WIRE_WORD.matcher(Files.readString(file));
+                Matcher matcher = WIRE_NAME.matcher(Files.readString(file));
                 assertEquals(false, matcher.find(), () -> file + ": " + matcher.group());
             }
         }
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Seeded random sequences of link faults, checked against the protocol's rules. A seed that fails fails again. */
+/** Seeded random sequences of link faults, checked against the invariants. A seed always gives the same run. */
 @Execution(ExecutionMode.CONCURRENT)
 class LinkFaultTest {
     private static final int CONTROLLERS = 5;
-    /** Keeps all its links where every request must have a path. */
+    /** The controller that keeps all its links in the test that requires a path for every request. */
     private static final String FULLY_CONNECTED = "node-4";
-    /** Workers try one controller after another, five seconds each: no more than three may be unreachable for them. */
+    /** Workers try controllers in turn, five seconds each, so that at most three may be unreachable for them. */
     private static final String REACHABLE_FOR_WORKERS = "node-2";
 
     private static final long SETTLING_MS = 260_000;
@@ -59,7 +59,11 @@
         return names.get(random.nextInt(names.size()));
     }
 
-    /** Cuts or heals a random link; the spared controller keeps its links with workers. */
+    /**
+     * Cuts or heals a random link.
+     *
+     * @param spared a controller that keeps its links with workers, or null
+     */
     private static void disturbLink(SimulatedCluster cluster, Random random, List<String> nodes, String spared) {
         String node = pick(random, nodes);
         String peer = pick(random, nodes);
@@ -90,7 +94,7 @@
         cluster.stateStore().setOutage(false);
     }
 
-    /** Ends all faults and checks that no rule was broken and that every job has ended in one of these states. */
+    /** Ends all faults and checks that all invariants held and that every job has reached one of these states. */
     private static void assertRecovers(SimulatedCluster cluster, int seed, List<String> finalStates) {
         healAll(cluster);
         cluster.runFor(SETTLING_MS);
@@ -102,7 +106,7 @@
         }
     }
 
-    /** As long as one controller keeps all its links, there is a path for every heartbeat and every request. */
+    /** As long as one controller keeps all its links, every heartbeat and every request has a path. */
     @ParameterizedTest
     @MethodSource("seeds")
     void noLeaseExpiresWhileOneControllerKeepsItsLinks(int seed) throws Exception {
@@ -125,10 +129,10 @@
         assertRecovers(cluster, seed, List.of("done"));
     }
 
-    /** Links, controllers and the state store fail together; what is lost is done again, and no rule is broken. */
+    /** Links, controllers and the state store fail together: lost tasks run again, and no invariant is violated. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void noRuleIsBrokenWhenAnythingFails(int seed) throws Exception {
+    void invariantsHoldWhenAnythingFails(int seed) throws Exception {
         try (Transcript transcript = Transcript.open("link-fault-any-" + seed)) {
             playWithAnyFault(seed, transcript);
         }
--- a/src/test/java/notchpick/ScenarioDeployment.java
+++ b/src/test/java/notchpick/ScenarioDeployment.java
@@ -10,14 +10,14 @@
 import notchpick.simulation.StateStoreLimits;
 import notchpick.simulation.WorkerTiming;
 
-/** The deployment that a scenario describes, as far as it differs from the usual one. */
+/** The deployment of a scenario: default values, except where a line of the scenario sets another. */
 final class ScenarioDeployment {
     private final ClusterConfig.Builder config = ClusterConfig.builder();
     private final List<Quota> teams = new ArrayList<>();
     private final List<MachineType> machineTypes = new ArrayList<>();
     private final List<String[]> pools = new ArrayList<>();
 
-    /** Reads one line of the scenario; one that gives a time is added to the steps. */
+    /** Reads one line of the scenario; a line with a time is added to the steps. */
     void read(String[] words, int line, List<ScenarioStep> steps) {
         switch (words[0]) {
             case "", "#" -> {}
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Starts the deployment as described. */
+    /** Starts the deployment. */
     SimulatedCluster start() {
         if (!teams.isEmpty()) {
             config.teams(teams);
--- a/src/test/java/notchpick/ScenarioExpectations.java
+++ b/src/test/java/notchpick/ScenarioExpectations.java
@@ -13,7 +13,7 @@
 import notchpick.simulation.Occurrence;
 import notchpick.simulation.SimulatedCluster;
 
-/** The verb {@code expect} of scenarios: what must have come about by then. */
+/** The verb {@code expect} of scenarios, which checks the cluster at the time of the step. */
 final class ScenarioExpectations {
     private static final List<String> JOB_STATES = List.of("queued", "running", "done", "cancelled");
 
@@ -40,7 +40,7 @@
             entry("deferred-submissions", cluster -> cluster.users().deferredSubmissions()),
             entry("transactions-over-rate", cluster -> cluster.stateStore().transactionsOverRate()));
 
-    /** Figures that a scenario gives exactly. */
+    /** Figures for which a scenario gives the exact value. */
     private static final Map<String, ToIntFunction<SimulatedCluster>> EXACT_FIGURES = Map.of(
             "deferred-without-retry-after", cluster -> cluster.users().deferredWithoutRetryAfter(),
             "transactions-too-large", cluster -> cluster.stateStore().transactionsTooLarge(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /** @param index the index of the argument {@code at-most} or {@code at-least}, which the bound follows */
+    /** @param index the index of the argument {@code at-most} or {@code at-least}; the bound is the next argument */
     private static void assertWithinBound(ScenarioStep step, int index, double figure) {
         String comparison = step.argument(index);
         double bound = step.doubleArgument(index + 1);
--- a/src/test/java/notchpick/ScenarioInputTest.java
+++ b/src/test/java/notchpick/ScenarioInputTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A mistake in a scenario is reported with its place, so that the scenario never passes without testing anything. */
+/** A mistake in a scenario must be reported with file and line: if it were ignored, the scenario might test nothing. */
 class ScenarioInputTest {
     @ParameterizedTest
     @CsvSource(
@@ -35,7 +35,7 @@
                 "at 3 expect occurred read-at-all-controllers at-least | a value is missing: at 3 expect occurred read-at-all-controllers at-least",
             })
     void mistakeIsReportedWithFileAndLine(String line, String message) {
-        List<String> lines = List.of("# a remark", "at 2 submit run-000001 tasks 1 run 1", line);
+        List<String> lines = List.of("# a comment", "at 2 submit run-000001 tasks 1 run 1", line);
         Exception e = assertThrows(IllegalArgumentException.class, () -> ScenarioRunner.play("bad.txt", lines));
         assertEquals("bad.txt:3: " + message, e.getMessage());
     }
--- a/src/test/java/notchpick/ScenarioRunner.java
+++ b/src/test/java/notchpick/ScenarioRunner.java
@@ -11,18 +11,18 @@
 import notchpick.simulation.Transcript;
 
 /**
- * Plays scenarios. A line is {@code at SECONDS VERB ARGUMENTS...}; lines without a time describe the deployment, which
- * starts when all lines have been read.
+ * Plays scenarios. A step is a line {@code at SECONDS VERB ARGUMENTS...}; lines without a time describe the deployment,
+ * which starts when all lines have been read.
  */
 final class ScenarioRunner {
     private ScenarioRunner() {}
 
-    /** Reads or plays a line of a scenario, which may be wrong. */
+    /** Reads or plays one line of a scenario; fails if the line has a mistake. */
     private interface LineAction {
         void run() throws Exception;
     }
 
-    /** Reports a mistake in a scenario with its file, its line and one sentence. */
+    /** Runs the action and reports a mistake in the scenario with its file and line. */
     private static void locateErrors(String name, int line, String text, LineAction action) throws Exception {
         String where = name + ":" + line + ": ";
         try {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Plays one scenario and checks that no rule was broken. */
+    /** Plays one scenario and checks that all invariants held. */
     static void play(String name, List<String> lines) throws Exception {
         try (Transcript transcript = Transcript.open(name)) {
             play(name, lines, transcript);
@@ -53,11 +53,11 @@
         }
         InvariantChecker invariants = cluster.invariants();
         assertEquals(List.of(), invariants.violations());
-        assertTrue(invariants.starts() > 0, "nothing_ran");
-        // Orders travel in answers to heartbeats alone: none can be held up for longer than its receiver waits.
+        assertTrue(invariants.starts() > 0, "no task was started");
+        // Orders are sent only in answers to heartbeats, so that none is delayed for longer than its receiver waits.
         assertEquals(0, cluster.directCommands(), "direct commands");
         System.out.printf(
-                "%s: gone %.1f s and ordered %.1f s after a cancellation at the latest, %d orders and %d starts after one%n",
+                "%s: after cancellations, longest run %.1f s and start order %.1f s, %d start orders, %d starts%n",
                 name,
                 invariants.longestRunAfterCancelMs() / 1000.0,
                 invariants.longestStartOrderAfterCancelMs() / 1000.0,
--- a/src/test/java/notchpick/ScenarioStep.java
+++ b/src/test/java/notchpick/ScenarioStep.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * One line of a scenario that gives a time.
+ * One line of a scenario that starts with a time.
  *
  * @param line the number of the line in its file
  * @param atS when it is carried out, in simulated seconds
@@ -17,7 +17,7 @@
         return words[VERB_INDEX];
     }
 
-    /** The line as it stands in the file. */
+    /** The line, with single spaces between its words. */
     String text() {
         return String.join(" ", words);
     }
@@ -26,7 +26,11 @@
         return FIRST_ARGUMENT_INDEX + index < words.length;
     }
 
-    /** The argument at this index, counted from 0; the line must have it. */
+    /**
+     * The argument at this index, counted from 0.
+     *
+     * @throws IndexOutOfBoundsException if the line has no such argument
+     */
     String argument(int index) {
         return words[FIRST_ARGUMENT_INDEX + index];
     }
@@ -44,12 +48,12 @@
         return Double.parseDouble(argument(index));
     }
 
-    /** An argument in seconds, in milliseconds. */
+    /** Converts an argument in seconds to milliseconds. */
     long millisArgument(int index) {
         return (long) (doubleArgument(index) * 1000);
     }
 
-    /** Whether the argument is "on"; only "off" is allowed otherwise. */
+    /** Whether the argument is "on"; the only other value allowed is "off". */
     boolean isOn(int index) {
         return switch (argument(index)) {
             case "on" -> true;
@@ -58,7 +62,7 @@
         };
     }
 
-    /** The options of a job, from this argument on. */
+    /** The options of a job, which start at this argument. */
     Map<String, String> options(int index) {
         return Submissions.options(words, FIRST_ARGUMENT_INDEX + index);
     }
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -13,9 +13,9 @@
 import notchpick.simulation.SimulatedNetwork.Cut;
 import notchpick.simulation.SimulatedWorker;
 
-/** What the verbs of scenarios do. */
+/** The verbs of the scenario language and their actions. */
 final class ScenarioVerbs {
-    /** What a verb does. */
+    /** The action of a verb. */
     private interface Verb {
         void run(SimulatedCluster cluster, ScenarioStep step) throws InvalidMessageException;
     }
@@ -68,17 +68,17 @@
                 Cut cut = Cut.valueOf(step.argument(2).toUpperCase(Locale.ROOT));
                 links(cluster, step).forEach(link -> cluster.network().cut(link.from(), link.to(), cut));
             }),
-            // Requests of the first to the second still pass.
+            // Requests from the first to the second still pass.
             entry(
                     "cut-answers",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.to(), link.from(), Cut.HOLD))),
-            // Answers of the second to the first still pass.
+            // Answers from the second to the first still pass.
             entry(
                     "cut-requests",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.from(), link.to(), Cut.HOLD))),
-            // Packets in one direction take this much longer; 0: no longer.
+            // Packets from the first to the second take this many seconds longer; 0 ends the delay.
             entry(
                     "slow",
                     (cluster, step) -> links(cluster, step)
@@ -175,7 +175,7 @@
         return step.hasArgument(1) && step.argument(1).equals(flag);
     }
 
-    /** A controller by its own name, as the present leader, or by an alias given earlier in the scenario. */
+    /** A controller by its name, as the current leader, or by an alias set earlier in the scenario. */
     private static String controller(SimulatedCluster cluster, String word) {
         return word.equals("leader")
                 ? cluster.controllers().leader().orElseThrow()
@@ -200,7 +200,7 @@
         cluster.users().submitOnce(job, Json.bytes(Submissions.submission(job, step.options(1))));
     }
 
-    /** The links between the first and the second argument, where "peers" stands for all other controllers. */
+    /** The links from the first argument to the second, where "peers" stands for all other controllers. */
     private static List<Link> links(SimulatedCluster cluster, ScenarioStep step) {
         String from = controller(cluster, step.subject());
         if (!step.argument(1).equals("peers")) {
@@ -212,7 +212,7 @@
                 .toList();
     }
 
-    /** A machine by its name, or the first one with a task. */
+    /** A machine by its name, or for "busy" the first one with a task. */
     private static String machine(SimulatedCluster cluster, String word) {
         if (!word.equals("busy")) {
             return word;
@@ -228,7 +228,11 @@
         return cluster.fleet().worker(machine(cluster, step.subject()));
     }
 
-    /** All workers, those of a zone, or the first so many. */
+    /**
+     * Selects workers.
+     *
+     * @param which "all", a zone, or a number N for the first N workers
+     */
     private static List<SimulatedWorker> workers(SimulatedCluster cluster, String which) {
         List<SimulatedWorker> all = cluster.fleet().workers();
         if (Character.isDigit(which.charAt(0))) {
@@ -239,7 +243,7 @@
                 .toList();
     }
 
-    /** The cloud takes back all machines, or those of a zone. */
+    /** The cloud reclaims all machines, or those of a zone. */
     private static void reclaimAll(SimulatedCluster cluster, String zone) {
         cluster.fleet().machines().stream()
                 .filter(name ->
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -11,9 +11,9 @@
 import notchpick.protocol.Json;
 import notchpick.simulation.SimulatedCluster;
 
-/** What users submit in tests: jobs, streams of jobs, and what must not be accepted. */
+/** Sends users' submissions in tests: jobs, streams of jobs, and submissions that must be refused. */
 final class Submissions {
-    /** The options of a job in scenario files, each with a value. */
+    /** The options of a job in scenario files; each is followed by a value. */
     private static final Set<String> OPTIONS = Set.of(
             "tasks",
             "run",
@@ -61,7 +61,7 @@
 
     private Submissions() {}
 
-    /** Submits so many jobs a second for a while, a share of which their users cancel some seconds later. */
+    /** Submits jobs at a constant rate for a while; users cancel a share of them from 0.2 to 4.2 seconds later. */
     static void stream(SimulatedCluster cluster, String prefix, Map<String, String> options)
             throws InvalidMessageException {
         double jobsPerS = Double.parseDouble(options.get("per-second"));
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Users submit a job again, and send submissions that can't run or lack a field to all controllers. */
+    /** Resubmits a job, and sends submissions that cannot run or lack a field to all controllers. */
     static void sendInvalid(SimulatedCluster cluster, String job) {
         cluster.users().resubmit(job);
         int number = 0;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Reads pairs of option and value. */
+    /** Reads pairs of option and value, beginning with the word at the start index. */
     static Map<String, String> options(String[] words, int start) {
         Map<String, String> options = new HashMap<>();
         for (int i = start; i < words.length; i += 2) {
@@ -125,7 +125,7 @@
         return options;
     }
 
-    /** A submission as users send it, with the usual values where the options name none. */
+    /** The body of a submission, with default values for options that are not set. */
     static ObjectNode submission(String job, Map<String, String> options) {
         ObjectNode body = Json.object()
                 .put("ref", job)
@@ -163,7 +163,7 @@
         return body;
     }
 
-    /** Submits a job; options that the service does not know, such as its run time, go to the stand-ins. */
+    /** Submits a job; options that are no fields of a submission, such as its run time, go to the simulation. */
     static void submit(SimulatedCluster cluster, String job, Map<String, String> options)
             throws InvalidMessageException {
         cluster.users()
