--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -105,7 +105,7 @@
         double leaderLeaseS = leaderLeaseMs / Milliseconds.PER_SECOND;
         this.cluster = new ClusterState(this::assignmentEnded);
         this.context = context(term);
-        this.authority = new LeaderAuthority(loop::nowMs, deployment, leaderLeaseS, term.leaseUntil());
+        this.authority = new LeaderAuthority(loop::nowMs, deployment, leaderLeaseS, term.leaseUntilMs());
         this.writer = writer(environment, term);
         this.autoscaler = new Autoscaler(context, environment.cloud(), writer, this::machineGone, this::reviewScaling);
         this.leases = new ResourceLeases(
--- a/src/main/java/notchpick/coordination/membership/ElectedTerm.java
+++ b/src/main/java/notchpick/coordination/membership/ElectedTerm.java
@@ -5,6 +5,6 @@
  *
  * @param number rises with each election; it is the fencing token of the term
  * @param keyVersion the version of the leader key, on which every write of the leader is conditional
- * @param leaseUntil until when the leader lease is surely held, in milliseconds of the steady clock
+ * @param leaseUntilMs until when the leader lease is surely held, in milliseconds of the steady clock
  */
-public record ElectedTerm(long number, long keyVersion, long leaseUntil) {}
+public record ElectedTerm(long number, long keyVersion, long leaseUntilMs) {}
