--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -40,7 +40,7 @@
         if (request.path().equals(HEARTBEAT_PATH)) {
             heartbeats.receive(request, reply, receivedAt);
         } else if (request.path().equals(READINESS_PATH)) {
-            links.readinessProbeReceived();
+            links.recordReadinessProbe();
             reply.accept(readiness(request));
         } else {
             routeUserRequest(request, reply);
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -74,7 +74,7 @@
         if (!relayed && machine.isReportingDirectly() && heartbeat.sequence() == machine.sequence() + 1) {
             relayedOnlySince = 0;
             machine.health().recordReceivedReply();
-            links.workerReplyDelivered(heartbeat.zone());
+            links.recordWorkerReply(heartbeat.zone());
         }
         machine.setReportingDirectly(!relayed);
     }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
@@ -75,7 +75,7 @@
         WorkerRoute route = route(heartbeat.machine(), term);
         boolean isRelayed = route.isRelayedWithin(RELAYED_PERIODS * heartbeatPeriodMs, now);
         if (isRelayed && route.isNextInSequence(heartbeat.sequence())) {
-            links.workerReplyDelivered(heartbeat.zone());
+            links.recordWorkerReply(heartbeat.zone());
         }
         route.heartbeatReceived(heartbeat.sequence(), now);
         if (shouldRedirectToLeader(heartbeat, leader, route, isRelayed, now)) {
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -44,7 +44,7 @@
     }
 
     /** The users' load balancer has asked whether this controller is ready. */
-    public void readinessProbeReceived() {
+    public void recordReadinessProbe() {
         users.messageReceived(loop.nowMs());
     }
 
@@ -52,7 +52,7 @@
      * A worker of this zone has received a reply from here: the heartbeat that follows the one replied to has come to
      * the same place. A heartbeat alone does not show that replies arrive.
      */
-    public void workerReplyDelivered(String zone) {
+    public void recordWorkerReply(String zone) {
         workersByZone
                 .computeIfAbsent(zone, name -> new LinkHealth(heartbeatPeriodMs))
                 .messageReceived(loop.nowMs());
