--- a/src/main/java/notchpick/coordination/membership/ElectionState.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionState.java
@@ -17,28 +17,28 @@
     /** Rises when this controller starts or stops to lead, so that what belongs to a former leadership is recognized. */
     private long generation;
 
-    private long holdoffUntil;
+    private long holdoffUntilMs;
     /** Since when the leader key has been missing; 0: it is not. */
-    private long vacantSince;
+    private long vacantSinceMs;
 
     ElectionState(String node) {
         this.node = node;
     }
 
     /** The leader key exists, or could not be read: then nothing says that it has been missing all the time. */
-    void leaderKeyNotMissing() {
-        vacantSince = 0;
+    void clearVacancy() {
+        vacantSinceMs = 0;
     }
 
     /** The leader key does not exist. */
-    void leaderKeyMissing(long now) {
-        if (vacantSince == 0) {
-            vacantSince = now;
+    void recordVacancy(long nowMs) {
+        if (vacantSinceMs == 0) {
+            vacantSinceMs = nowMs;
         }
     }
 
     /** Another controller holds the leader key; a term older than one known counts for nothing. */
-    void leaderRead(long observedTerm, String holder) {
+    void recordLeader(long observedTerm, String holder) {
         if (observedTerm >= term) {
             term = observedTerm;
             leader = holder;
@@ -46,7 +46,7 @@
     }
 
     /** Nobody leads, as far as is known. */
-    void leaderGone() {
+    void clearLeader() {
         leader = null;
     }
 
@@ -55,7 +55,7 @@
      *
      * @return whether it is a later one than was known
      */
-    boolean termObserved(long observedTerm, String observedLeader) {
+    boolean observeTerm(long observedTerm, String observedLeader) {
         if (observedTerm <= term) {
             return false;
         }
@@ -65,22 +65,22 @@
     }
 
     /** Whether this controller may campaign as far as the time since its last resignation goes. */
-    boolean isHoldoffOver(long now) {
-        return now >= holdoffUntil;
+    boolean isHoldoffOver(long nowMs) {
+        return nowMs >= holdoffUntilMs;
     }
 
     /** Whether leadership has been vacant for this time. */
-    boolean isVacantFor(long durationMs, long now) {
-        return now - vacantSince >= durationMs;
+    boolean isVacantFor(long durationMs, long nowMs) {
+        return nowMs - vacantSinceMs >= durationMs;
     }
 
     /** This controller does not campaign before then. */
-    void holdOffUntil(long until) {
-        holdoffUntil = until;
+    void holdOffUntil(long untilMs) {
+        holdoffUntilMs = untilMs;
     }
 
     /** This controller has been elected. */
-    void elected(long electedTerm, long leaderLease) {
+    void startLeading(long electedTerm, long leaderLease) {
         leading = true;
         generation++;
         lease = leaderLease;
@@ -89,14 +89,14 @@
     }
 
     /** This controller gives up its leadership. */
-    void resigned() {
+    void stopLeading() {
         leading = false;
         generation++;
         leader = Objects.equals(leader, node) ? null : leader;
     }
 
     /** The leader lease of this controller has expired. */
-    void leaseExpired() {
+    void loseLease() {
         leading = false;
         leader = null;
     }
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -85,9 +85,9 @@
             onResponse.accept(Response.empty(HttpStatus.SERVICE_UNAVAILABLE));
             return;
         }
-        long sentAt = loop.nowMs();
+        long sentAtMs = loop.nowMs();
         caller.call(request, timeoutMs, response -> {
-            links.stateStoreRequestCompleted(response, sentAt);
+            links.recordStateStoreRequest(response, sentAtMs);
             onResponse.accept(response);
         });
     }
@@ -120,8 +120,8 @@
     }
 
     /** A copy has failed. The last one completes the request, unless there is another path to try. */
-    private void copyFailed(StateStoreRequest request, Response response) {
-        request.copyFailed();
+    private void handleCopyFailure(StateStoreRequest request, Response response) {
+        request.recordCopyFailure();
         boolean mayRetry = request.isHedged()
                 || response.isConnectionRefused()
                 || response.status() == HttpStatus.SERVICE_UNAVAILABLE;
@@ -133,22 +133,22 @@
     // ---- the direct link ----------------------------------------------------------------------
 
     private void sendCopyDirectly(StateStoreRequest request) {
-        request.sentDirectly();
-        long sentAt = loop.nowMs();
-        caller.call(request.request(), Math.max(1, request.remainingMs(sentAt)), onLoop(response -> {
-            links.stateStoreRequestCompleted(response, sentAt);
+        request.recordSentDirectly();
+        long sentAtMs = loop.nowMs();
+        caller.call(request.request(), Math.max(1, request.remainingMs(sentAtMs)), onLoop(response -> {
+            links.recordStateStoreRequest(response, sentAtMs);
             if (isServed(response)) {
-                directServed();
+                handleDirectSuccess();
                 complete(request, response);
             } else {
-                path.directFailed();
-                copyFailed(request, response);
+                path.recordDirectFailure();
+                handleCopyFailure(request, response);
             }
         }));
     }
 
-    private void directServed() {
-        path.directServed(loop.nowMs());
+    private void handleDirectSuccess() {
+        path.recordDirectSuccess(loop.nowMs());
         if (path.isDirectRestored(loop.nowMs())) {
             log.info(
                     "state store path changed: path=direct reason=\"direct link restored\" relayedMs={}",
@@ -172,8 +172,8 @@
 
     /** Sends a copy over a relay that the request has not tried; false if there is none. */
     private boolean sendCopyToUntriedRelay(StateStoreRequest request) {
-        long now = loop.nowMs();
-        if (path.isBreakerOpen(now) || request.remainingMs(now) <= 0) {
+        long nowMs = loop.nowMs();
+        if (path.isBreakerOpen(nowMs) || request.remainingMs(nowMs) <= 0) {
             return false;
         }
         Optional<String> relay = peers.stateStoreRelays().stream()
@@ -185,7 +185,7 @@
 
     private void sendCopyToRelay(String relay, StateStoreRequest request) {
         long remainingMs = request.remainingMs(loop.nowMs());
-        request.sentTo(relay);
+        request.recordSentTo(relay);
         Request call = request.request();
         ByteBuffer content = call.body() == null ? null : ByteBuffer.wrap(call.body());
         long relayTimeoutMs = (long) (remainingMs * (1 - REPLY_TIME_RATIO));
@@ -193,32 +193,32 @@
                 relay,
                 new StateCall(call.method(), call.path(), content, relayTimeoutMs),
                 Math.max(1, remainingMs),
-                onLoop(reply -> relayReplied(relay, request, reply)));
+                onLoop(reply -> handleRelayReply(relay, request, reply)));
     }
 
-    private void relayReplied(String relay, StateStoreRequest request, Object reply) {
+    private void handleRelayReply(String relay, StateStoreRequest request, Object reply) {
         Response response = reply instanceof Outcome outcome
                 ? Response.of(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent()))
                 : Response.UNANSWERED;
         if (isServed(response)) {
-            relayServed(relay, request, response);
+            handleRelaySuccess(relay, request, response);
         } else {
-            relayFailed(relay, request, response);
+            handleRelayFailure(relay, request, response);
         }
     }
 
-    private void relayServed(String relay, StateStoreRequest request, Response response) {
-        request.servedByRelay();
+    private void handleRelaySuccess(String relay, StateStoreRequest request, Response response) {
+        request.recordServedByRelay();
         boolean isFirst = !request.isCompleted();
         complete(request, response);
         // One slow response among others is no reason to leave the direct link.
-        boolean isPathDown = path.isRelayed() || !path.hasDirectServedSince(request.sentAt());
+        boolean isPathDown = path.isRelayed() || !path.hasDirectSuccessSince(request.sentAtMs());
         if (isFirst && !path.isRelayedBy(relay) && isPathDown) {
             switchToRelay(relay);
         }
     }
 
-    private void relayFailed(String relay, StateStoreRequest request, Response response) {
+    private void handleRelayFailure(String relay, StateStoreRequest request, Response response) {
         if (response.status() == HttpStatus.SERVICE_UNAVAILABLE) {
             path.openBreaker(loop.nowMs());
         }
@@ -226,7 +226,7 @@
             // The next hedged request finds another relay, or the direct link.
             switchToDirect("relay failed");
         }
-        copyFailed(request, response);
+        handleCopyFailure(request, response);
     }
 
     private void switchToRelay(String relay) {
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -26,10 +26,10 @@
     /**
      * A heartbeat to be relayed.
      *
-     * @param receivedAt when it came, in milliseconds of the steady clock
+     * @param receivedAtMs when it came, in milliseconds of the steady clock
      * @param route records when the leader has replied
      */
-    record RelayedHeartbeat(byte[] body, Consumer<Response> reply, long receivedAt, WorkerRoute route) {}
+    record RelayedHeartbeat(byte[] body, Consumer<Response> reply, long receivedAtMs, WorkerRoute route) {}
 
     private record Batch(List<RelayedHeartbeat> heartbeats, long timeoutMs) {}
 
@@ -139,7 +139,7 @@
 
     private long remainingMs(RelayedHeartbeat heartbeat) {
         return (long)
-                (heartbeat.receivedAt() + WorkerProtocol.REPLY_TIMEOUT_MS * (1 - REPLY_TIME_RATIO) - loop.nowMs());
+                (heartbeat.receivedAtMs() + WorkerProtocol.REPLY_TIMEOUT_MS * (1 - REPLY_TIME_RATIO) - loop.nowMs());
     }
 
     private void send(String leader, Batch batch) {
@@ -153,28 +153,28 @@
         long leaderTimeoutMs = (long) (batch.timeoutMs() * (1 - REPLY_TIME_RATIO));
         peerClient.send(leader, new ReportBatch(leaderTimeoutMs, bodies), batch.timeoutMs(), onLoop(reply -> {
             batchesInFlight--;
-            batchReplied(heartbeats, reply);
+            completeBatch(heartbeats, reply);
             sendBatches();
         }));
     }
 
-    private void batchReplied(List<RelayedHeartbeat> heartbeats, Object reply) {
+    private void completeBatch(List<RelayedHeartbeat> heartbeats, Object reply) {
         if (!(reply instanceof Outcomes outcomes) || outcomes.getEach().size() != heartbeats.size()) {
             heartbeats.forEach(heartbeat -> heartbeat.reply().accept(REFUSED));
             return;
         }
         for (int i = 0; i < heartbeats.size(); i++) {
-            replied(heartbeats.get(i), outcomes.getEach().get(i));
+            complete(heartbeats.get(i), outcomes.getEach().get(i));
         }
     }
 
-    private void replied(RelayedHeartbeat heartbeat, Outcome outcome) {
+    private void complete(RelayedHeartbeat heartbeat, Outcome outcome) {
         if (outcome.getStatus() <= 0) {
             heartbeat.reply().accept(REFUSED);
             return;
         }
         if (outcome.getStatus() == HttpStatus.OK) {
-            heartbeat.route().relayed(loop.nowMs());
+            heartbeat.route().recordRelayedReply(loop.nowMs());
         }
         heartbeat.reply().accept(Response.of(outcome.getStatus(), PeerProtocol.toBytes(outcome.getContent())));
     }
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -32,9 +32,9 @@
     /**
      * A worker's heartbeat has come.
      *
-     * @param receivedAt when it came, in milliseconds of the steady clock
+     * @param receivedAtMs when it came, in milliseconds of the steady clock
      */
-    public record HeartbeatReceived(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
+    public record HeartbeatReceived(Request request, Consumer<Response> reply, long receivedAtMs) implements Message {}
 
     private final String node;
     private final long heartbeatPeriodMs;
@@ -99,7 +99,7 @@
             redirect(received, toPeer.peer());
         } else if (decision instanceof RelayToLeader toLeader) {
             RelayedHeartbeat relayed = new RelayedHeartbeat(
-                    received.request().body(), received.reply(), received.receivedAt(), toLeader.route());
+                    received.request().body(), received.reply(), received.receivedAtMs(), toLeader.route());
             relayQueue.add(relayed, leader);
         } else {
             redirect(received, null);
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
@@ -23,7 +23,7 @@
     record RedirectToPeer(String peer) implements Decision {}
 
     /** No controller is known that could help: the worker goes on to the next one. */
-    record RedirectNowhere() implements Decision {}
+    record TryNextController() implements Decision {}
 
     /** The heartbeat is relayed to the leader from here. */
     record RelayToLeader(WorkerRoute route) implements Decision {}
@@ -60,9 +60,9 @@
     }
 
     /** Forgets routes of workers that have long not been here. */
-    void removeStaleRoutes(long now) {
+    void removeStaleRoutes(long nowMs) {
         long expiryMs = ROUTE_EXPIRY_BACKOFFS * maxRedirectBackoffMs;
-        routes.values().removeIf(route -> !route.hasHeartbeatWithin(expiryMs, now));
+        routes.values().removeIf(route -> !route.hasHeartbeatWithin(expiryMs, nowMs));
     }
 
     /**
@@ -71,21 +71,21 @@
      * @param leader another controller, which leads the term
      * @param isRelayBusy whether this controller relays so many heartbeats that it is worth looking for more relays
      */
-    Decision decide(Heartbeat heartbeat, String leader, long term, boolean isRelayBusy, long now) {
+    Decision decide(Heartbeat heartbeat, String leader, long term, boolean isRelayBusy, long nowMs) {
         WorkerRoute route = route(heartbeat.machine(), term);
-        boolean isRelayed = route.isRelayedWithin(RELAYED_PERIODS * heartbeatPeriodMs, now);
+        boolean isRelayed = route.isRelayedWithin(RELAYED_PERIODS * heartbeatPeriodMs, nowMs);
         if (isRelayed && route.isNextInSequence(heartbeat.sequence())) {
             links.recordWorkerReply(heartbeat.zone());
         }
-        route.heartbeatReceived(heartbeat.sequence(), now);
-        if (shouldRedirectToLeader(heartbeat, leader, route, isRelayed, now)) {
-            route.redirectedToLeader(now);
+        route.recordHeartbeat(heartbeat.sequence(), nowMs);
+        if (shouldRedirectToLeader(heartbeat, leader, route, isRelayed, nowMs)) {
+            route.recordRedirectToLeader(nowMs);
             return new RedirectToLeader();
         }
-        if (!isRelayed && (!route.isEverRelayed() || isBackFromLeader(route, now))) {
-            route.redirectFailed(heartbeatPeriodMs, maxRedirectBackoffMs, now);
+        if (!isRelayed && (!route.hasEverBeenRelayed() || isBackFromLeader(route, nowMs))) {
+            route.recordFailedRedirect(heartbeatPeriodMs, maxRedirectBackoffMs, nowMs);
         }
-        return relay(heartbeat, leader, route, isRelayBusy, now);
+        return relay(heartbeat, leader, route, isRelayBusy, nowMs);
     }
 
     private WorkerRoute route(String machine, long term) {
@@ -97,40 +97,40 @@
         return route;
     }
 
-    private boolean isBackFromLeader(WorkerRoute route, long now) {
-        return route.isRedirectedToLeaderWithin(workerLeaseMs, now);
+    private boolean isBackFromLeader(WorkerRoute route, long nowMs) {
+        return route.isRedirectedToLeaderWithin(workerLeaseMs, nowMs);
     }
 
     private boolean shouldRedirectToLeader(
-            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayed, long now) {
+            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayed, long nowMs) {
         if (isRelayed) {
-            return route.isRedirectBackoffOver(now)
+            return route.isRedirectBackoffOver(nowMs)
                     && (relays.isReachedByWorkers(leader, heartbeat.zone())
-                            || leaderProbesByZone.tryAcquire(heartbeat.zone(), now));
+                            || leaderProbesByZone.tryAcquire(heartbeat.zone(), nowMs));
         }
         // A worker that has this term's fencing token got it from the leader, and comes here because that path failed.
-        return heartbeat.fencingToken() < route.term() && !isBackFromLeader(route, now);
+        return heartbeat.fencingToken() < route.term() && !isBackFromLeader(route, nowMs);
     }
 
-    private Decision relay(Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long now) {
-        Optional<String> relay = selectRelay(heartbeat, leader, route, isRelayBusy, now);
+    private Decision relay(Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long nowMs) {
+        Optional<String> relay = selectRelay(heartbeat, leader, route, isRelayBusy, nowMs);
         if (relay.isEmpty()) {
-            route.redirectedElsewhere(now);
-            return mayBeUnableToRelay(leader) ? new RedirectToPeer(leader) : new RedirectNowhere();
+            route.recordRedirectElsewhere(nowMs);
+            return mayBeUnableToRelay(leader) ? new RedirectToPeer(leader) : new TryNextController();
         }
         // A worker that was sent to its relay and is back is relayed here, lest it be sent to and fro.
-        if (relay.get().equals(node) || route.isRedirectedElsewhereWithin(workerLeaseMs, now)) {
+        if (relay.get().equals(node) || route.isRedirectedElsewhereWithin(workerLeaseMs, nowMs)) {
             return new RelayToLeader(route);
         }
-        route.redirectedElsewhere(now);
+        route.recordRedirectElsewhere(nowMs);
         return new RedirectToPeer(relay.get());
     }
 
     private Optional<String> selectRelay(
-            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long now) {
+            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long nowMs) {
         List<String> candidates = relays.candidates(leader, heartbeat.zone());
-        if (isRelayBusy && !candidates.isEmpty() && !route.isRedirectedElsewhereWithin(workerLeaseMs, now)) {
-            Optional<String> probed = relays.relayToProbe(heartbeat.machine(), leader, candidates, now);
+        if (isRelayBusy && !candidates.isEmpty() && !route.isRedirectedElsewhereWithin(workerLeaseMs, nowMs)) {
+            Optional<String> probed = relays.relayToProbe(heartbeat.machine(), leader, candidates, nowMs);
             if (probed.isPresent()) {
                 return probed;
             }
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -114,7 +114,7 @@
         } else if (message instanceof StepDown stepDown) {
             stepDown(stepDown.reason());
         } else if (message instanceof TermObserved observed) {
-            termObserved(observed);
+            handleTermObserved(observed);
         }
     }
 
@@ -127,9 +127,9 @@
     }
 
     /** A leader that can't reach the state store learns here that its term is over. */
-    private void termObserved(TermObserved observed) {
+    private void handleTermObserved(TermObserved observed) {
         long formerTerm = state.term();
-        if (state.termObserved(observed.term(), observed.leader()) && state.isLeading()) {
+        if (state.observeTerm(observed.term(), observed.leader()) && state.isLeading()) {
             log.info(
                     "leader deposed: term={} reason=\"a later term has begun\" laterTerm={} leader={}",
                     formerTerm,
@@ -140,7 +140,7 @@
     }
 
     private void resign() {
-        state.resigned();
+        state.stopLeading();
         listener.deposed();
         stateStore.endLease(state.lease(), onLoop(ended -> {}));
         schedulePoll(pollIntervalMs);
@@ -167,43 +167,43 @@
         }
         stateStore.getHedged(StateKeys.LEADER, onLoop(result -> {
             if (!state.isLeading()) {
-                leaderKeyPolled(result);
+                handleLeaderKeyResult(result);
             }
         }));
     }
 
-    private void leaderKeyPolled(StateStoreResult<Entry> result) {
+    private void handleLeaderKeyResult(StateStoreResult<Entry> result) {
         if (result instanceof Ok<Entry> ok) {
-            state.leaderKeyNotMissing();
-            leaderKeyRead(ok.value());
+            state.clearVacancy();
+            handleLeaderKey(ok.value());
         } else if (result instanceof Missing<Entry>) {
-            leaderKeyMissing();
+            handleLeaderKeyMissing();
         } else {
-            state.leaderKeyNotMissing();
+            state.clearVacancy();
             schedulePoll();
         }
     }
 
-    private void leaderKeyRead(Entry key) {
+    private void handleLeaderKey(Entry key) {
         String holder = key.value().path(NODE_FIELD).asText();
         if (state.isHolder(holder)) {
             // Left by a former incarnation of this controller, or by an election of which the reply was lost.
-            state.leaderGone();
+            state.clearLeader();
             stateStore.endLease(key.lease(), onLoop(ended -> schedulePoll()));
             return;
         }
-        state.leaderRead(key.value().path(TERM_FIELD).asLong(), holder);
+        state.recordLeader(key.value().path(TERM_FIELD).asLong(), holder);
         watch(key.version());
         schedulePoll();
     }
 
-    private void leaderKeyMissing() {
-        long now = loop.nowMs();
-        state.leaderKeyMissing(now);
-        if (state.isHoldoffOver(now) && state.isVacantFor(electionDelay.delayMs(), now)) {
+    private void handleLeaderKeyMissing() {
+        long nowMs = loop.nowMs();
+        state.recordVacancy(nowMs);
+        if (state.isHoldoffOver(nowMs) && state.isVacantFor(electionDelay.delayMs(), nowMs)) {
             campaign();
         } else {
-            state.leaderGone();
+            state.clearLeader();
             schedulePoll();
         }
     }
@@ -262,10 +262,10 @@
     }
 
     private void requestLease(long formerTerm, long termVersion) {
-        long sentAt = loop.nowMs();
+        long sentAtMs = loop.nowMs();
         stateStore.grantLease(leaseMs, onLoop(result -> {
             if (result instanceof Ok<Long> granted) {
-                commitElection(formerTerm + 1, termVersion, granted.value(), sentAt);
+                commitElection(formerTerm + 1, termVersion, granted.value(), sentAtMs);
             } else {
                 schedulePoll();
             }
@@ -273,7 +273,7 @@
     }
 
     /** Writes the leader key if nobody else has, and no election has taken place since the term was read. */
-    private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAt) {
+    private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAtMs) {
         Transaction transaction = new Transaction()
                 .requireVersion(StateKeys.LEADER, 0)
                 .requireVersion(StateKeys.TERM, termVersion)
@@ -281,17 +281,17 @@
                 .put(StateKeys.TERM, Json.object().put(TERM_FIELD, newTerm).put(FORMAT_FIELD, StateKeys.FORMAT));
         stateStore.commit(transaction, onLoop(result -> {
             if (result instanceof Ok<Long> version) {
-                state.elected(newTerm, newLease);
+                state.startLeading(newTerm, newLease);
                 log.info("leader elected: term={} leader={} lease={}", newTerm, node, newLease);
-                listener.elected(new ElectedTerm(newTerm, version.value(), safelyHeldUntil(leaseRequestedAt)));
+                listener.elected(new ElectedTerm(newTerm, version.value(), safelyHeldUntilMs(leaseRequestedAtMs)));
                 scheduleRenewal(state.generation());
             } else {
-                electionLost(result, newLease);
+                abandonElection(result, newLease);
             }
         }));
     }
 
-    private void electionLost(StateStoreResult<Long> result, long unusedLease) {
+    private void abandonElection(StateStoreResult<Long> result, long unusedLease) {
         // If the reply was lost the key may still appear, and is deleted with this lease.
         stateStore.endLease(unusedLease, onLoop(ended -> {}));
         if (result instanceof Conflict<Long>) {
@@ -303,8 +303,8 @@
 
     // ---- renewing the leader lease ------------------------------------------------------------
 
-    private long safelyHeldUntil(long requestedAt) {
-        return requestedAt + Deployment.leaseSafelyHeldMs(leaseMs);
+    private long safelyHeldUntilMs(long requestedAtMs) {
+        return requestedAtMs + Deployment.leaseSafelyHeldMs(leaseMs);
     }
 
     private void scheduleRenewal(long generation) {
@@ -315,24 +315,24 @@
         if (!state.isLeadingSince(generation)) {
             return;
         }
-        long sentAt = loop.nowMs();
+        long sentAtMs = loop.nowMs();
         stateStore.renewLease(state.lease(), onLoop(result -> {
             if (state.isLeadingSince(generation)) {
-                leaseRenewalCompleted(result, sentAt, generation);
+                handleLeaseRenewal(result, sentAtMs, generation);
             }
         }));
     }
 
-    private void leaseRenewalCompleted(StateStoreResult<Boolean> result, long sentAt, long generation) {
+    private void handleLeaseRenewal(StateStoreResult<Boolean> result, long sentAtMs, long generation) {
         if (result instanceof Missing<Boolean>) {
             log.info("leader lease lost: term={} lease={}", state.term(), state.lease());
-            state.leaseExpired();
+            state.loseLease();
             listener.deposed();
             poll();
             return;
         }
         if (result instanceof Ok<Boolean>) {
-            listener.leaseRenewed(safelyHeldUntil(sentAt));
+            listener.leaseRenewed(safelyHeldUntilMs(sentAtMs));
         }
         scheduleRenewal(generation);
     }
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -22,9 +22,9 @@
 
     private final long ratePeriodMs;
     private Condition condition = Condition.UNKNOWN;
-    private long lastActivityAt = NEVER;
+    private long lastActivityAtMs = NEVER;
     private double meanLatencyMs = -1;
-    private long ratePeriodStart;
+    private long ratePeriodStartMs;
     private int activitiesInPeriod;
     private double ratePerS;
 
@@ -34,39 +34,39 @@
     }
 
     /** A request over this link has completed, with or without a response. */
-    void requestCompleted(Response response, long sentAt, long now) {
+    void recordRequest(Response response, long sentAtMs, long nowMs) {
         if (response.isConnectionRefused()) {
             condition = Condition.REFUSED;
         } else if (response.isUnanswered()) {
             condition = Condition.SILENT;
         } else {
-            recordActivity(now);
+            recordActivity(nowMs);
             condition = response.status() == HttpStatus.SERVICE_UNAVAILABLE ? Condition.TURNED_AWAY : Condition.UP;
-            double latencyMs = now - sentAt;
+            double latencyMs = nowMs - sentAtMs;
             meanLatencyMs =
                     meanLatencyMs < 0 ? latencyMs : meanLatencyMs + LATENCY_WEIGHT * (latencyMs - meanLatencyMs);
         }
     }
 
     /** A message has come in over this link. */
-    void messageReceived(long now) {
-        recordActivity(now);
+    void recordMessage(long nowMs) {
+        recordActivity(nowMs);
         condition = Condition.UP;
     }
 
-    private void recordActivity(long now) {
-        updateRate(now);
+    private void recordActivity(long nowMs) {
+        updateRate(nowMs);
         activitiesInPeriod++;
-        lastActivityAt = now;
+        lastActivityAtMs = nowMs;
     }
 
-    private void updateRate(long now) {
-        long elapsedMs = now - ratePeriodStart;
+    private void updateRate(long nowMs) {
+        long elapsedMs = nowMs - ratePeriodStartMs;
         if (elapsedMs >= ratePeriodMs) {
             // After a whole period without activity, nothing counted before it says what the rate is now.
             ratePerS = elapsedMs < 2 * ratePeriodMs ? activitiesInPeriod * Milliseconds.PER_SECOND / elapsedMs : 0;
             activitiesInPeriod = 0;
-            ratePeriodStart = now;
+            ratePeriodStartMs = nowMs;
         }
     }
 
@@ -76,13 +76,13 @@
     }
 
     /** Whether the last activity is no older than this; false if there has been none. */
-    boolean isActiveWithin(long withinMs, long now) {
-        return lastActivityAt >= 0 && now - lastActivityAt <= withinMs;
+    boolean isActiveWithin(long withinMs, long nowMs) {
+        return lastActivityAtMs >= 0 && nowMs - lastActivityAtMs <= withinMs;
     }
 
     /** The time since the last activity, in milliseconds; -1 if there has been none. */
-    long ageMs(long now) {
-        return lastActivityAt < 0 ? NEVER : now - lastActivityAt;
+    long ageMs(long nowMs) {
+        return lastActivityAtMs < 0 ? NEVER : nowMs - lastActivityAtMs;
     }
 
     /** The mean time until a response came, in milliseconds; -1 if none has come. */
@@ -91,8 +91,8 @@
     }
 
     /** Activity per second over the last period. */
-    double ratePerS(long now) {
-        updateRate(now);
+    double ratePerS(long nowMs) {
+        updateRate(nowMs);
         return ratePerS;
     }
 }
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -34,18 +34,18 @@
     }
 
     /** A request sent directly to the state store has completed. */
-    void stateStoreRequestCompleted(Response response, long sentAt) {
-        stateStore.requestCompleted(response, sentAt, loop.nowMs());
+    void recordStateStoreRequest(Response response, long sentAtMs) {
+        stateStore.recordRequest(response, sentAtMs, loop.nowMs());
     }
 
     /** A request to a peer has completed. */
-    void peerRequestCompleted(String peer, Response response, long sentAt) {
-        peers.get(peer).requestCompleted(response, sentAt, loop.nowMs());
+    void recordPeerRequest(String peer, Response response, long sentAtMs) {
+        peers.get(peer).recordRequest(response, sentAtMs, loop.nowMs());
     }
 
     /** The users' load balancer has asked whether this controller is ready. */
     public void recordReadinessProbe() {
-        users.messageReceived(loop.nowMs());
+        users.recordMessage(loop.nowMs());
     }
 
     /**
@@ -55,7 +55,7 @@
     public void recordWorkerReply(String zone) {
         workersByZone
                 .computeIfAbsent(zone, name -> new LinkHealth(heartbeatPeriodMs))
-                .messageReceived(loop.nowMs());
+                .recordMessage(loop.nowMs());
     }
 
     /** Whether a peer has responded within this time, and the last request to it got a response too. */
@@ -68,9 +68,9 @@
 
     /** The time since any worker last received a reply from here, in milliseconds; -1 if none ever has. */
     public long workerLinkAgeMs() {
-        long now = loop.nowMs();
+        long nowMs = loop.nowMs();
         return workersByZone.values().stream()
-                .mapToLong(link -> link.ageMs(now))
+                .mapToLong(link -> link.ageMs(nowMs))
                 .min()
                 .orElse(-1);
     }
@@ -86,13 +86,13 @@
     }
 
     private LinkRow row(LinkKind kind, String name, LinkHealth link) {
-        long now = loop.nowMs();
+        long nowMs = loop.nowMs();
         return new LinkRow(
                 kind,
                 name,
                 LinkCondition.valueOf(link.condition().name()),
-                link.ageMs(now),
+                link.ageMs(nowMs),
                 link.meanLatencyMs(),
-                link.ratePerS(now));
+                link.ratePerS(nowMs));
     }
 }
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -61,11 +61,11 @@
     }
 
     private void post(String peer, String address, byte[] body, long timeoutMs, Consumer<Object> onReply) {
-        long sentAt = loop.nowMs();
+        long sentAtMs = loop.nowMs();
         Consumer<Response> onResponse = onLoop(response ->
                 onReply.accept(response.status() == HttpStatus.OK ? PeerProtocol.decode(response.body()) : null));
         caller.call(new Request(address, "POST", PeerProtocol.PATH, body), timeoutMs, response -> {
-            links.peerRequestCompleted(peer, response, sentAt);
+            links.recordPeerRequest(peer, response, sentAtMs);
             onResponse.accept(response);
         });
     }
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -35,7 +35,7 @@
     private final long periodMs;
     private final long linkTablePeriodMs;
     private final long timeoutMs;
-    private long lastHeartbeatAt;
+    private long lastHeartbeatAtMs;
     private long heartbeatLagMs;
 
     public PeerMembership(
@@ -71,26 +71,26 @@
             scheduleRepeatedly(periodMs, this::sendHeartbeats);
             scheduleRepeatedly(linkTablePeriodMs, this::exchangeLinkTables);
         } else if (message instanceof HeartbeatReceived received) {
-            heartbeatReceived(received.heartbeat());
+            handleHeartbeat(received.heartbeat());
         } else if (message instanceof LinkTableReceived received) {
-            registry.linkTableReceived(received.table());
+            registry.recordLinkTable(received.table());
             received.reply().accept(localStatus.linkTable());
         }
     }
 
     private void sendHeartbeats() {
-        long now = loop.nowMs();
-        heartbeatLagMs = lastHeartbeatAt == 0 ? 0 : Math.max(0, now - lastHeartbeatAt - periodMs);
-        lastHeartbeatAt = now;
+        long nowMs = loop.nowMs();
+        heartbeatLagMs = lastHeartbeatAtMs == 0 ? 0 : Math.max(0, nowMs - lastHeartbeatAtMs - periodMs);
+        lastHeartbeatAtMs = nowMs;
         client.broadcast(localStatus.heartbeat(), timeoutMs, reply -> {
             if (reply instanceof Pulse heartbeat) {
-                heartbeatReceived(heartbeat);
+                handleHeartbeat(heartbeat);
             }
         });
     }
 
-    private void heartbeatReceived(Pulse heartbeat) {
-        registry.heartbeatReceived(heartbeat);
+    private void handleHeartbeat(Pulse heartbeat) {
+        registry.recordHeartbeat(heartbeat);
         listener.heartbeatReceived(heartbeat);
     }
 
@@ -100,7 +100,7 @@
         log.debug("links: {}", own);
         client.broadcast(own, timeoutMs, reply -> {
             if (reply instanceof LinkTable table) {
-                registry.linkTableReceived(table);
+                registry.recordLinkTable(table);
             }
         });
     }
--- a/src/main/java/notchpick/coordination/membership/PeerRegistry.java
+++ b/src/main/java/notchpick/coordination/membership/PeerRegistry.java
@@ -19,9 +19,9 @@
  * whose last heartbeat is too old counts as down.
  */
 public final class PeerRegistry {
-    private record ReceivedHeartbeat(Pulse heartbeat, long receivedAt) {}
+    private record ReceivedHeartbeat(Pulse heartbeat, long receivedAtMs) {}
 
-    private record ReceivedLinkTable(LinkTable table, long receivedAt) {}
+    private record ReceivedLinkTable(LinkTable table, long receivedAtMs) {}
 
     private static final long UNKNOWN_AGE = -1;
     /** A peer is live for so many heartbeat periods after its last heartbeat. */
@@ -50,7 +50,7 @@
     }
 
     /** A peer's heartbeat has arrived. */
-    void heartbeatReceived(Pulse heartbeat) {
+    void recordHeartbeat(Pulse heartbeat) {
         ReceivedHeartbeat received = new ReceivedHeartbeat(heartbeat, clock.nowMs());
         heartbeats.put(heartbeat.getNode(), received);
         if (!heartbeat.getProgress().isEmpty()) {
@@ -61,7 +61,7 @@
     }
 
     /** A link table has arrived; one from a sender that is no peer is ignored. */
-    void linkTableReceived(LinkTable table) {
+    void recordLinkTable(LinkTable table) {
         if (isPeer(table.getNode())) {
             linkTables.put(table.getNode(), new ReceivedLinkTable(table, clock.nowMs()));
         }
@@ -83,7 +83,7 @@
     }
 
     private boolean isRecent(ReceivedHeartbeat received) {
-        return received != null && clock.nowMs() - received.receivedAt() <= liveMs;
+        return received != null && clock.nowMs() - received.receivedAtMs() <= liveMs;
     }
 
     /** A live peer that reaches the state store. */
@@ -119,7 +119,7 @@
 
     private ReceivedLinkTable recentLinkTable(String peer) {
         ReceivedLinkTable received = linkTables.get(peer);
-        return received == null || clock.nowMs() - received.receivedAt() > linkTableValidMs ? null : received;
+        return received == null || clock.nowMs() - received.receivedAtMs() > linkTableValidMs ? null : received;
     }
 
     /** The least age of a peer's links of this kind, as {@link #linkAgeMs(String, LinkKind, String)} gives it. */
@@ -138,17 +138,17 @@
         if (received == null) {
             return UNKNOWN_AGE;
         }
-        long sinceReceivedMs = clock.nowMs() - received.receivedAt();
-        long least = UNKNOWN_AGE;
+        long sinceReceivedMs = clock.nowMs() - received.receivedAtMs();
+        long leastMs = UNKNOWN_AGE;
         for (LinkRow row : received.table().getLinks()) {
             if (row.getKind() == kind
                     && (name == null || row.getName().equals(name))
                     && row.getCondition() == LinkCondition.UP) {
                 long ageMs = row.getAgeMs() + sinceReceivedMs;
-                least = least < 0 ? ageMs : Math.min(least, ageMs);
+                leastMs = leastMs < 0 ? ageMs : Math.min(leastMs, ageMs);
             }
         }
-        return least;
+        return leastMs;
     }
 
     /** Whether requests to a peer get responses, and it is of a version that can relay. */
--- a/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
+++ b/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
@@ -6,19 +6,19 @@
 /** Admits one probe per target and interval: a worker that is sent to a path that fails loses a heartbeat. */
 final class ProbeLimiter {
     private final long intervalMs;
-    private final Map<String, Long> lastProbeAt = new HashMap<>();
+    private final Map<String, Long> lastProbeAtMs = new HashMap<>();
 
     ProbeLimiter(long intervalMs) {
         this.intervalMs = intervalMs;
     }
 
     /** Whether a probe of the target may be made now; if so it counts as made. */
-    boolean tryAcquire(String target, long now) {
-        long last = lastProbeAt.getOrDefault(target, 0L);
-        if (last != 0 && now - last <= intervalMs) {
+    boolean tryAcquire(String target, long nowMs) {
+        long lastMs = lastProbeAtMs.getOrDefault(target, 0L);
+        if (lastMs != 0 && nowMs - lastMs <= intervalMs) {
             return false;
         }
-        lastProbeAt.put(target, now);
+        lastProbeAtMs.put(target, nowMs);
         return true;
     }
 }
--- a/src/main/java/notchpick/coordination/membership/RelaySelector.java
+++ b/src/main/java/notchpick/coordination/membership/RelaySelector.java
@@ -55,12 +55,12 @@
      * A peer that reaches the leader but is no candidate, as no worker had reason to come to it yet, and that would be
      * the machine's relay if it were one. Its worker probes whether it is reached; if so it becomes a candidate.
      */
-    Optional<String> relayToProbe(String machine, String leader, List<String> candidates, long now) {
+    Optional<String> relayToProbe(String machine, String leader, List<String> candidates, long nowMs) {
         for (String peer : peers.livePeers()) {
             if (!candidates.contains(peer)
                     && wouldOwn(peer, machine, candidates)
                     && reachesLeader(peer, leader)
-                    && peerProbes.tryAcquire(peer, now)) {
+                    && peerProbes.tryAcquire(peer, nowMs)) {
                 return Optional.of(peer);
             }
         }
--- a/src/main/java/notchpick/coordination/membership/StateStorePath.java
+++ b/src/main/java/notchpick/coordination/membership/StateStorePath.java
@@ -12,12 +12,12 @@
     /** The peer over which requests go; null: the direct link. */
     private String relay;
 
-    private long relayedSince;
-    private long directServedAt = NEVER;
+    private long relayedSinceMs;
+    private long lastDirectSuccessAtMs = NEVER;
     /** Since when the direct link has served every request, while requests were relayed; 0: it does not. */
-    private long directHealthySince;
+    private long directHealthySinceMs;
 
-    private long breakerOpenUntil = NEVER;
+    private long breakerOpenUntilMs = NEVER;
 
     /**
      * @param settleMs how long the direct link must serve every request before it is used again, in milliseconds
@@ -42,49 +42,49 @@
     }
 
     /** How long requests have been relayed, in milliseconds; 0 if they are not. */
-    long relayedForMs(long now) {
-        return isRelayed() ? now - relayedSince : 0;
+    long relayedForMs(long nowMs) {
+        return isRelayed() ? nowMs - relayedSinceMs : 0;
     }
 
     /** From now on requests go over this relay; null: over the direct link. */
-    void switchTo(String newRelay, long now) {
+    void switchTo(String newRelay, long nowMs) {
         relay = newRelay;
-        relayedSince = now;
-        directHealthySince = 0;
+        relayedSinceMs = nowMs;
+        directHealthySinceMs = 0;
     }
 
     /** The direct link has served a request. */
-    void directServed(long now) {
-        directServedAt = now;
+    void recordDirectSuccess(long nowMs) {
+        lastDirectSuccessAtMs = nowMs;
         if (!isRelayed()) {
-            directHealthySince = 0;
-        } else if (directHealthySince == 0) {
-            directHealthySince = now;
+            directHealthySinceMs = 0;
+        } else if (directHealthySinceMs == 0) {
+            directHealthySinceMs = nowMs;
         }
     }
 
     /** The direct link has failed to serve a request. */
-    void directFailed() {
-        directHealthySince = 0;
+    void recordDirectFailure() {
+        directHealthySinceMs = 0;
     }
 
     /** Whether requests are relayed though the direct link has proved healthy; one that flaps does not. */
-    boolean isDirectRestored(long now) {
-        return isRelayed() && directHealthySince != 0 && now - directHealthySince >= settleMs;
+    boolean isDirectRestored(long nowMs) {
+        return isRelayed() && directHealthySinceMs != 0 && nowMs - directHealthySinceMs >= settleMs;
     }
 
     /** Whether the direct link has served any request since then. */
-    boolean hasDirectServedSince(long since) {
-        return directServedAt >= since;
+    boolean hasDirectSuccessSince(long sinceMs) {
+        return lastDirectSuccessAtMs >= sinceMs;
     }
 
     /** A relay could not reach the state store either: the circuit breaker opens. */
-    void openBreaker(long now) {
-        breakerOpenUntil = now + breakerOpenMs;
+    void openBreaker(long nowMs) {
+        breakerOpenUntilMs = nowMs + breakerOpenMs;
     }
 
     /** Whether no relay is to be tried at present. */
-    boolean isBreakerOpen(long now) {
-        return now < breakerOpenUntil;
+    boolean isBreakerOpen(long nowMs) {
+        return nowMs < breakerOpenUntilMs;
     }
 }
--- a/src/main/java/notchpick/coordination/membership/StateStoreRequest.java
+++ b/src/main/java/notchpick/coordination/membership/StateStoreRequest.java
@@ -13,8 +13,8 @@
  */
 final class StateStoreRequest {
     private final Request request;
-    private final long sentAt;
-    private final long deadline;
+    private final long sentAtMs;
+    private final long deadlineMs;
     private final boolean hedged;
     private final Consumer<Response> onResponse;
     private final Set<String> triedRelays = new HashSet<>();
@@ -26,10 +26,10 @@
     private boolean completed;
 
     /** @param hedged whether it may be sent twice, and a second path is tried when the first is slow */
-    StateStoreRequest(Request request, long sentAt, long timeoutMs, boolean hedged, Consumer<Response> onResponse) {
+    StateStoreRequest(Request request, long sentAtMs, long timeoutMs, boolean hedged, Consumer<Response> onResponse) {
         this.request = request;
-        this.sentAt = sentAt;
-        this.deadline = sentAt + timeoutMs;
+        this.sentAtMs = sentAtMs;
+        this.deadlineMs = sentAtMs + timeoutMs;
         this.hedged = hedged;
         this.onResponse = onResponse;
     }
@@ -38,13 +38,13 @@
         return request;
     }
 
-    long sentAt() {
-        return sentAt;
+    long sentAtMs() {
+        return sentAtMs;
     }
 
     /** The time that is left for a response, in milliseconds; not above 0 after the deadline. */
-    long remainingMs(long now) {
-        return deadline - now;
+    long remainingMs(long nowMs) {
+        return deadlineMs - nowMs;
     }
 
     boolean isHedged() {
@@ -69,24 +69,24 @@
     }
 
     /** A copy goes over the direct link. */
-    void sentDirectly() {
+    void recordSentDirectly() {
         copiesInFlight++;
     }
 
     /** A copy goes over this relay. */
-    void sentTo(String relay) {
+    void recordSentTo(String relay) {
         lastRelay = relay;
         triedRelays.add(relay);
         copiesInFlight++;
     }
 
     /** A relay has brought a response that serves the request. */
-    void servedByRelay() {
+    void recordServedByRelay() {
         servedByRelay = true;
     }
 
     /** A copy has got no response, or was refused. */
-    void copyFailed() {
+    void recordCopyFailure() {
         copiesInFlight--;
     }
 
--- a/src/main/java/notchpick/coordination/membership/WorkerRoute.java
+++ b/src/main/java/notchpick/coordination/membership/WorkerRoute.java
@@ -8,24 +8,24 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
 
     private final long term;
-    private long lastHeartbeatAt;
+    private long lastHeartbeatAtMs;
     private long lastSequence;
     /** When the worker was last redirected to the leader. */
-    private long redirectedToLeaderAt;
+    private long redirectedToLeaderAtMs;
     /** When a heartbeat of the worker was last relayed and replied to. */
-    private long relayedAt;
+    private long relayedAtMs;
     /** When the worker was last redirected to a relay, or to any other controller. */
-    private long redirectedElsewhereAt;
+    private long redirectedElsewhereAtMs;
 
     private int failedRedirects;
-    private long noRedirectBefore;
+    private long noRedirectBeforeMs;
 
     WorkerRoute(long term) {
         this.term = term;
     }
 
-    private static boolean isWithin(long time, long durationMs, long now) {
-        return time != 0 && now - time <= durationMs;
+    private static boolean isWithin(long timeMs, long durationMs, long nowMs) {
+        return timeMs != 0 && nowMs - timeMs <= durationMs;
     }
 
     long term() {
@@ -33,8 +33,8 @@
     }
 
     /** A heartbeat has come, the number of which rises by one with each that the worker sends. */
-    void heartbeatReceived(long sequence, long now) {
-        lastHeartbeatAt = now;
+    void recordHeartbeat(long sequence, long nowMs) {
+        lastHeartbeatAtMs = nowMs;
         lastSequence = sequence;
     }
 
@@ -43,50 +43,50 @@
         return sequence == lastSequence + 1;
     }
 
-    boolean hasHeartbeatWithin(long durationMs, long now) {
-        return now - lastHeartbeatAt <= durationMs;
+    boolean hasHeartbeatWithin(long durationMs, long nowMs) {
+        return nowMs - lastHeartbeatAtMs <= durationMs;
     }
 
     /** The worker is redirected to the leader. */
-    void redirectedToLeader(long now) {
-        redirectedToLeaderAt = now;
+    void recordRedirectToLeader(long nowMs) {
+        redirectedToLeaderAtMs = nowMs;
     }
 
-    boolean isRedirectedToLeaderWithin(long durationMs, long now) {
-        return isWithin(redirectedToLeaderAt, durationMs, now);
+    boolean isRedirectedToLeaderWithin(long durationMs, long nowMs) {
+        return isWithin(redirectedToLeaderAtMs, durationMs, nowMs);
     }
 
     /** The worker is redirected to another controller. */
-    void redirectedElsewhere(long now) {
-        redirectedElsewhereAt = now;
+    void recordRedirectElsewhere(long nowMs) {
+        redirectedElsewhereAtMs = nowMs;
     }
 
-    boolean isRedirectedElsewhereWithin(long durationMs, long now) {
-        return isWithin(redirectedElsewhereAt, durationMs, now);
+    boolean isRedirectedElsewhereWithin(long durationMs, long nowMs) {
+        return isWithin(redirectedElsewhereAtMs, durationMs, nowMs);
     }
 
     /** The leader has replied to a relayed heartbeat. */
-    void relayed(long now) {
-        relayedAt = now;
+    void recordRelayedReply(long nowMs) {
+        relayedAtMs = nowMs;
     }
 
-    boolean isEverRelayed() {
-        return relayedAt != 0;
+    boolean hasEverBeenRelayed() {
+        return relayedAtMs != 0;
     }
 
     /** Whether the worker's last heartbeat, no older than this, was relayed here and replied to. */
-    boolean isRelayedWithin(long durationMs, long now) {
-        return isWithin(relayedAt, durationMs, now) && relayedAt > redirectedToLeaderAt;
+    boolean isRelayedWithin(long durationMs, long nowMs) {
+        return isWithin(relayedAtMs, durationMs, nowMs) && relayedAtMs > redirectedToLeaderAtMs;
     }
 
     /** The worker has not got through to the leader: the next redirect there waits twice as long as the last. */
-    void redirectFailed(long initialBackoffMs, long maxBackoffMs, long now) {
+    void recordFailedRedirect(long initialBackoffMs, long maxBackoffMs, long nowMs) {
         failedRedirects++;
         long backoffMs = initialBackoffMs << Math.min(failedRedirects, MAX_BACKOFF_DOUBLINGS);
-        noRedirectBefore = now + Math.min(maxBackoffMs, backoffMs);
+        noRedirectBeforeMs = nowMs + Math.min(maxBackoffMs, backoffMs);
     }
 
-    boolean isRedirectBackoffOver(long now) {
-        return now >= noRedirectBefore;
+    boolean isRedirectBackoffOver(long nowMs) {
+        return nowMs >= noRedirectBeforeMs;
     }
 }
--- a/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
+++ b/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
@@ -13,66 +13,66 @@
 
     @Test
     void vacancyCountsOnlyWhileTheKeyIsKnownToBeMissing() {
-        state.leaderKeyMissing(100);
-        state.leaderKeyMissing(150);
+        state.recordVacancy(100);
+        state.recordVacancy(150);
         assertTrue(state.isVacantFor(50, 150));
-        state.leaderKeyNotMissing();
-        state.leaderKeyMissing(200);
+        state.clearVacancy();
+        state.recordVacancy(200);
         assertFalse(state.isVacantFor(50, 249));
         assertTrue(state.isVacantFor(50, 250));
     }
 
     @Test
     void ignoresTheHolderOfAnOlderTerm() {
-        state.leaderRead(5, "n-1");
-        state.leaderRead(4, "n-2");
+        state.recordLeader(5, "n-1");
+        state.recordLeader(4, "n-2");
         assertEquals("n-1", state.leader());
         assertEquals(5, state.term());
     }
 
     @Test
     void onlyALaterTermIsNews() {
-        state.leaderRead(5, "n-1");
-        assertFalse(state.termObserved(5, "n-2"));
+        state.recordLeader(5, "n-1");
+        assertFalse(state.observeTerm(5, "n-2"));
         assertEquals("n-1", state.leader());
-        assertTrue(state.termObserved(6, "n-2"));
+        assertTrue(state.observeTerm(6, "n-2"));
         assertEquals("n-2", state.leader());
     }
 
     @Test
     void aNewLeadershipIsNotTakenForAFormerOne() {
-        state.elected(1, 11);
+        state.startLeading(1, 11);
         long generation = state.generation();
         assertTrue(state.isLeadingSince(generation));
-        state.resigned();
+        state.stopLeading();
         assertFalse(state.isLeadingSince(generation));
-        state.elected(2, 12);
+        state.startLeading(2, 12);
         assertFalse(state.isLeadingSince(generation));
         assertEquals(12, state.lease());
     }
 
     @Test
     void aLeaseThatExpiredIsNotTakenForOneHeldAgain() {
-        state.elected(1, 11);
+        state.startLeading(1, 11);
         long generation = state.generation();
-        state.leaseExpired();
+        state.loseLease();
         assertNull(state.leader());
-        state.elected(2, 12);
+        state.startLeading(2, 12);
         assertFalse(state.isLeadingSince(generation));
     }
 
     @Test
     void resignationKeepsAnotherLeaderThatIsKnown() {
-        state.elected(1, 11);
-        state.termObserved(2, "n-1");
-        state.resigned();
+        state.startLeading(1, 11);
+        state.observeTerm(2, "n-1");
+        state.stopLeading();
         assertEquals("n-1", state.leader());
     }
 
     @Test
     void resignationLeavesNoLeaderOtherwise() {
-        state.elected(1, 11);
-        state.resigned();
+        state.startLeading(1, 11);
+        state.stopLeading();
         assertNull(state.leader());
         assertFalse(state.isLeading());
     }
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -10,10 +10,10 @@
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.TestDeployments;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.Decision;
-import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectNowhere;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectToLeader;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectToPeer;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RelayToLeader;
+import notchpick.coordination.membership.HeartbeatRoutingPolicy.TryNextController;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
@@ -54,15 +54,15 @@
     }
 
     private void leaderCanRelay() {
-        links.peerRequestCompleted(LEADER, Response.empty(200), loop.nowMs());
-        peers.linkTableReceived(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
+        links.recordPeerRequest(LEADER, Response.empty(200), loop.nowMs());
+        peers.recordLinkTable(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
     }
 
     private void otherReachesLeader(LinkRow... more) {
-        peers.heartbeatReceived(new Pulse(OTHER, TERM, LEADER, true, 0, List.of()));
+        peers.recordHeartbeat(new Pulse(OTHER, TERM, LEADER, true, 0, List.of()));
         List<LinkRow> rows = new ArrayList<>(List.of(more));
         rows.add(up(LinkKind.PEER, LEADER));
-        peers.linkTableReceived(new LinkTable(OTHER, TERM, LEADER, null, 0L, rows));
+        peers.recordLinkTable(new LinkTable(OTHER, TERM, LEADER, null, 0L, rows));
     }
 
     private static LinkRow up(LinkKind kind, String name) {
@@ -110,11 +110,11 @@
     @Test
     void redirectsOneWorkerOfAZoneToProbeTheLeaderAfterItsBackoff() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.nowMs());
-        relay("m-2").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
+        relay("m-2").route().recordRelayedReply(loop.nowMs());
         advance(PERIOD_MS);
-        relay("m-1").route().relayed(loop.nowMs());
-        relay("m-2").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
+        relay("m-2").route().recordRelayedReply(loop.nowMs());
         advance(PERIOD_MS);
         assertInstanceOf(RedirectToLeader.class, decide("m-1", TERM));
         assertInstanceOf(RelayToLeader.class, decide("m-2", TERM));
@@ -123,7 +123,7 @@
     @Test
     void reportsAReplyDeliveredWhenTheNextHeartbeatComesToTheSamePlace() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
         assertEquals(-1, links.workerLinkAgeMs());
         advance(PERIOD_MS);
         relay("m-1");
@@ -132,12 +132,12 @@
 
     @Test
     void sendsAWorkerToTheNextControllerWhenNobodyReachesTheLeader() {
-        assertInstanceOf(RedirectNowhere.class, decide("m-1", TERM));
+        assertInstanceOf(TryNextController.class, decide("m-1", TERM));
     }
 
     @Test
     void triesALiveLeaderAgainThatMayBeOfAVersionWithoutRelays() {
-        peers.heartbeatReceived(new Pulse(LEADER, TERM, LEADER, true, 0, List.of()));
+        peers.recordHeartbeat(new Pulse(LEADER, TERM, LEADER, true, 0, List.of()));
         assertEquals(new RedirectToPeer(LEADER), decide("m-1", TERM));
     }
 
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -22,7 +22,8 @@
     private final SimulatedStateStore stateStore =
             new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
     private final StateStoreClient client = new StateStoreClient(
-            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> stateStore.handle(call, then)),
+            (request, timeoutMs, hedged, onResponse) ->
+                    simulation.after(5, () -> stateStore.handle(request, onResponse)),
             loop,
             "s:1",
             1500,
@@ -36,7 +37,7 @@
                 }
 
                 @Override
-                public void leaseRenewed(long leaseUntil) {}
+                public void leaseRenewed(long leaseUntilMs) {}
 
                 @Override
                 public void deposed() {}
--- a/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
+++ b/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
@@ -25,20 +25,20 @@
 
     @Test
     void tellsRefusalSilenceAndUnavailabilityApart() {
-        link.requestCompleted(Response.CONNECTION_REFUSED, 0, 10);
+        link.recordRequest(Response.CONNECTION_REFUSED, 0, 10);
         assertEquals(Condition.REFUSED, link.condition());
-        link.requestCompleted(Response.UNANSWERED, 0, 20);
+        link.recordRequest(Response.UNANSWERED, 0, 20);
         assertEquals(Condition.SILENT, link.condition());
-        link.requestCompleted(UNAVAILABLE, 0, 30);
+        link.recordRequest(UNAVAILABLE, 0, 30);
         assertEquals(Condition.TURNED_AWAY, link.condition());
-        link.requestCompleted(OK, 0, 40);
+        link.recordRequest(OK, 0, 40);
         assertEquals(Condition.UP, link.condition());
     }
 
     @Test
     void onlyResponsesAndMessagesAreActivity() {
-        link.messageReceived(100);
-        link.requestCompleted(Response.UNANSWERED, 0, 200);
+        link.recordMessage(100);
+        link.recordRequest(Response.UNANSWERED, 0, 200);
         assertEquals(150, link.ageMs(250));
         assertTrue(link.isActiveWithin(150, 250));
         assertFalse(link.isActiveWithin(149, 250));
@@ -46,16 +46,16 @@
 
     @Test
     void averagesLatency() {
-        link.requestCompleted(OK, 0, 100);
+        link.recordRequest(OK, 0, 100);
         assertEquals(100, link.meanLatencyMs());
-        link.requestCompleted(OK, 100, 300);
+        link.recordRequest(OK, 100, 300);
         assertEquals(120, link.meanLatencyMs());
     }
 
     @Test
     void countsActivityOverThePeriodThatHasEnded() {
-        link.messageReceived(100);
-        link.messageReceived(200);
+        link.recordMessage(100);
+        link.recordMessage(200);
         assertEquals(0, link.ratePerS(900));
         assertEquals(2, link.ratePerS(1000));
         assertEquals(0, link.ratePerS(3000));
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -50,8 +50,8 @@
 
     @Test
     void aPeerIsLiveForThreeHeartbeatPeriods() {
-        peers.heartbeatReceived(heartbeat("n-2", true, 3));
-        peers.heartbeatReceived(heartbeat("n-1", false, 2));
+        peers.recordHeartbeat(heartbeat("n-2", true, 3));
+        peers.recordHeartbeat(heartbeat("n-1", false, 2));
         simulation.runUntil(LIVE_MS);
         assertEquals(List.of("n-1", "n-2"), peers.livePeers());
         assertEquals(Optional.of("n-2"), peers.peerReachingStateStore());
@@ -64,9 +64,9 @@
 
     @Test
     void progressIsThatOfTheLastHeartbeatThatHasAny() {
-        peers.heartbeatReceived(heartbeat("n-1", true, 0, new Progress("a", 1, 2)));
-        peers.heartbeatReceived(heartbeat("n-1", true, 0, new Progress("b", 3, 4)));
-        peers.heartbeatReceived(heartbeat("n-2", true, 0));
+        peers.recordHeartbeat(heartbeat("n-1", true, 0, new Progress("a", 1, 2)));
+        peers.recordHeartbeat(heartbeat("n-1", true, 0, new Progress("b", 3, 4)));
+        peers.recordHeartbeat(heartbeat("n-2", true, 0));
         assertNull(peers.progress("a"));
         assertEquals(new Progress("b", 3, 4), peers.progress("b"));
         simulation.runUntil(LIVE_MS + 1);
@@ -75,7 +75,7 @@
 
     @Test
     void aLinkAgesSinceItsTableCame() {
-        peers.linkTableReceived(
+        peers.recordLinkTable(
                 table("n-1", workers("east", LinkCondition.UP, 700), workers("west", LinkCondition.UP, 200)));
         simulation.runUntil(100);
         assertEquals(800, peers.linkAgeMs("n-1", LinkKind.WORKERS, "east"));
@@ -87,28 +87,28 @@
 
     @Test
     void aLinkThatIsNotUpHasNoAge() {
-        peers.linkTableReceived(table("n-1", workers("east", LinkCondition.SILENT, 10)));
+        peers.recordLinkTable(table("n-1", workers("east", LinkCondition.SILENT, 10)));
         assertEquals(-1, peers.linkAgeMs("n-1", LinkKind.WORKERS, "east"));
     }
 
     @Test
     void ignoresLinkTablesOfStrangers() {
-        peers.linkTableReceived(table("n-9", workers("east", LinkCondition.UP, 10)));
+        peers.recordLinkTable(table("n-9", workers("east", LinkCondition.UP, 10)));
         assertFalse(peers.hasLinkTable("n-9"));
     }
 
     @Test
     void aRelayMustRespondAndReachTheStateStoreAndSendLinkTables() {
-        peers.heartbeatReceived(heartbeat("n-1", true, 0));
-        peers.heartbeatReceived(heartbeat("n-2", false, 0));
-        peers.linkTableReceived(table("n-1"));
-        peers.linkTableReceived(table("n-2"));
+        peers.recordHeartbeat(heartbeat("n-1", true, 0));
+        peers.recordHeartbeat(heartbeat("n-2", false, 0));
+        peers.recordLinkTable(table("n-1"));
+        peers.recordLinkTable(table("n-2"));
         assertEquals(List.of(), peers.stateStoreRelays());
-        links.peerRequestCompleted("n-1", Response.empty(200), loop.nowMs());
-        links.peerRequestCompleted("n-2", Response.empty(200), loop.nowMs());
+        links.recordPeerRequest("n-1", Response.empty(200), loop.nowMs());
+        links.recordPeerRequest("n-2", Response.empty(200), loop.nowMs());
         assertEquals(List.of("n-1"), peers.stateStoreRelays());
         assertTrue(peers.canRelay("n-2"));
-        links.peerRequestCompleted("n-1", Response.UNANSWERED, loop.nowMs());
+        links.recordPeerRequest("n-1", Response.UNANSWERED, loop.nowMs());
         assertEquals(List.of(), peers.stateStoreRelays());
     }
 }
--- a/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -18,7 +18,7 @@
         assertFalse(path.isRelayed());
         assertEquals(0, path.relayedForMs(100));
         assertFalse(path.isBreakerOpen(100));
-        assertFalse(path.hasDirectServedSince(1));
+        assertFalse(path.hasDirectSuccessSince(1));
     }
 
     @Test
@@ -32,26 +32,26 @@
     @Test
     void restoresTheDirectLinkOnceItHasServedForTheSettleTime() {
         path.switchTo("n-1", 100);
-        path.directServed(200);
-        path.directServed(200 + SETTLE_MS - 1);
+        path.recordDirectSuccess(200);
+        path.recordDirectSuccess(200 + SETTLE_MS - 1);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS - 1));
-        path.directServed(200 + SETTLE_MS);
+        path.recordDirectSuccess(200 + SETTLE_MS);
         assertTrue(path.isDirectRestored(200 + SETTLE_MS));
     }
 
     @Test
     void doesNotRestoreADirectLinkThatFlaps() {
         path.switchTo("n-1", 100);
-        path.directServed(200);
-        path.directFailed();
-        path.directServed(300);
+        path.recordDirectSuccess(200);
+        path.recordDirectFailure();
+        path.recordDirectSuccess(300);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS));
         assertTrue(path.isDirectRestored(300 + SETTLE_MS));
     }
 
     @Test
     void whatTheDirectLinkServedBeforeTheSwitchDoesNotRestoreIt() {
-        path.directServed(100);
+        path.recordDirectSuccess(100);
         path.switchTo("n-1", 200);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS));
     }
--- a/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
+++ b/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
@@ -16,29 +16,29 @@
     @Test
     void isNotRelayedAtFirst() {
         assertEquals(4, route.term());
-        assertFalse(route.isEverRelayed());
+        assertFalse(route.hasEverBeenRelayed());
         assertFalse(route.isRelayedWithin(1000, 50));
     }
 
     @Test
     void isNotRelayedAnyMoreOnceRedirectedToTheLeader() {
-        route.relayed(100);
+        route.recordRelayedReply(100);
         assertTrue(route.isRelayedWithin(50, 150));
         assertFalse(route.isRelayedWithin(50, 151));
-        route.redirectedToLeader(120);
+        route.recordRedirectToLeader(120);
         assertFalse(route.isRelayedWithin(50, 150));
         assertTrue(route.isRedirectedToLeaderWithin(30, 150));
     }
 
     @Test
     void backoffDoublesUpToItsMaximum() {
-        route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+        route.recordFailedRedirect(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
         assertFalse(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS - 1));
         assertTrue(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS));
-        route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+        route.recordFailedRedirect(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
         assertFalse(route.isRedirectBackoffOver(4 * INITIAL_BACKOFF_MS - 1));
         for (int i = 0; i < 100; i++) {
-            route.redirectFailed(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
+            route.recordFailedRedirect(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
         }
         assertFalse(route.isRedirectBackoffOver(MAX_BACKOFF_MS - 1));
         assertTrue(route.isRedirectBackoffOver(MAX_BACKOFF_MS));
@@ -46,7 +46,7 @@
 
     @Test
     void knowsTheNextHeartbeatByItsNumber() {
-        route.heartbeatReceived(7, 100);
+        route.recordHeartbeat(7, 100);
         assertTrue(route.isNextInSequence(8));
         assertFalse(route.isNextInSequence(9));
         assertTrue(route.hasHeartbeatWithin(10, 110));
