--- a/src/main/java/notchpick/coordination/membership/ElectedTerm.java
+++ b/src/main/java/notchpick/coordination/membership/ElectedTerm.java
@@ -3,8 +3,8 @@
 /**
  * A term for which this controller has been elected leader.
  *
- * @param number rises with each election; it is the fencing token of the term
- * @param keyVersion the version of the leader key, on which every write of the leader is conditional
- * @param leaseUntilMs until when the leader lease is surely held, in milliseconds of the steady clock
+ * @param number the term, which increases with each election and serves as the fencing token
+ * @param keyVersion the version of the leader key; every write of the leader requires it
+ * @param leaseUntilMs the time of the steady clock, in milliseconds, before which the leader lease can't expire
  */
 public record ElectedTerm(long number, long keyVersion, long leaseUntilMs) {}
--- a/src/main/java/notchpick/coordination/membership/ElectionDelay.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionDelay.java
@@ -1,8 +1,8 @@
 package notchpick.coordination.membership;
 
-/** How long a controller leaves an election to others. */
+/** Determines how long a controller waits before it campaigns, so that others can be elected first. */
 @FunctionalInterface
 public interface ElectionDelay {
-    /** The time in milliseconds for which leadership must have been vacant before this controller campaigns. */
+    /** How long the leader key must have been missing before this controller campaigns, in milliseconds. */
     long delayMs();
 }
--- a/src/main/java/notchpick/coordination/membership/ElectionPriority.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionPriority.java
@@ -4,12 +4,12 @@
 
 /**
  * Delays the campaign of a controller that is worse connected than others, so that a well connected one is elected. The
- * delay ends: a controller that is badly connected still leads if nobody else does.
+ * delay is bounded, so a badly connected controller still becomes leader if no other one campaigns.
  */
 public final class ElectionPriority implements ElectionDelay {
-    /** A controller that no workers reach, while they reach a peer, waits for this part of the leader lease. */
+    /** A controller that workers do not reach, while they reach a peer, waits for the leader lease divided by this. */
     private static final int UNREACHED_BY_WORKERS_LEASE_PART = 8;
-    /** Workers reach a controller if one received a reply from it within so many heartbeat periods. */
+    /** Workers reach a controller if one of them received a reply from it within this many heartbeat periods. */
     private static final int WORKER_LINK_PERIODS = 2;
 
     private final LinkMonitor links;
--- a/src/main/java/notchpick/coordination/membership/ElectionState.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionState.java
@@ -3,41 +3,41 @@
 import java.util.Objects;
 
 /**
- * What a controller knows of the leadership, and whether it leads itself. A plain state machine: {@link LeaderElection}
- * does the requests and the timers, and hands times in.
+ * One controller's view of the leadership, and whether it leads itself. A state machine without I/O or a clock:
+ * {@link LeaderElection} sends the requests, runs the timers and passes the current time.
  */
 final class ElectionState {
     private final String node;
     private boolean leading;
-    /** The lease of the state store to which the leader key is attached, while this controller leads. */
+    /** The state store lease that the leader key is attached to; valid only while this controller leads. */
     private long lease;
 
     private long term;
     private String leader;
-    /** Rises when this controller starts or stops to lead, so that what belongs to a former leadership is recognized. */
+    /** Incremented on election and on resignation, so that callbacks from an earlier leadership can be ignored. */
     private long generation;
 
     private long holdoffUntilMs;
-    /** Since when the leader key has been missing; 0: it is not. */
+    /** When the leader key was first found missing; 0 if it is not known to be missing. */
     private long vacantSinceMs;
 
     ElectionState(String node) {
         this.node = node;
     }
 
-    /** The leader key exists, or could not be read: then nothing says that it has been missing all the time. */
+    /** Ends the vacancy: the leader key exists, or could not be read and may have existed in the meantime. */
     void clearVacancy() {
         vacantSinceMs = 0;
     }
 
-    /** The leader key does not exist. */
+    /** Records that the leader key does not exist. A vacancy that has already begun keeps its start. */
     void recordVacancy(long nowMs) {
         if (vacantSinceMs == 0) {
             vacantSinceMs = nowMs;
         }
     }
 
-    /** Another controller holds the leader key; a term older than one known counts for nothing. */
+    /** Records the holder of the leader key, unless a later term is known. */
     void recordLeader(long observedTerm, String holder) {
         if (observedTerm >= term) {
             term = observedTerm;
@@ -45,15 +45,15 @@
         }
     }
 
-    /** Nobody leads, as far as is known. */
+    /** Records that no leader is known. */
     void clearLeader() {
         leader = null;
     }
 
     /**
-     * A peer knows of this term.
+     * Records a term that a peer has reported, if it is later than the known one.
      *
-     * @return whether it is a later one than was known
+     * @return whether it is later
      */
     boolean observeTerm(long observedTerm, String observedLeader) {
         if (observedTerm <= term) {
@@ -64,22 +64,22 @@
         return true;
     }
 
-    /** Whether this controller may campaign as far as the time since its last resignation goes. */
+    /** Whether the holdoff after the last resignation is over. */
     boolean isHoldoffOver(long nowMs) {
         return nowMs >= holdoffUntilMs;
     }
 
-    /** Whether leadership has been vacant for this time. */
+    /** Whether the leader key has been missing for at least this time; only meaningful during a vacancy. */
     boolean isVacantFor(long durationMs, long nowMs) {
         return nowMs - vacantSinceMs >= durationMs;
     }
 
-    /** This controller does not campaign before then. */
+    /** Keeps this controller from campaigning before the given time. */
     void holdOffUntil(long untilMs) {
         holdoffUntilMs = untilMs;
     }
 
-    /** This controller has been elected. */
+    /** Records that this controller has been elected. */
     void startLeading(long electedTerm, long leaderLease) {
         leading = true;
         generation++;
@@ -88,14 +88,14 @@
         leader = node;
     }
 
-    /** This controller gives up its leadership. */
+    /** Ends the leadership of this controller. A later leader that is already known is kept. */
     void stopLeading() {
         leading = false;
         generation++;
         leader = Objects.equals(leader, node) ? null : leader;
     }
 
-    /** The leader lease of this controller has expired. */
+    /** Ends the leadership of this controller because its leader lease has expired. */
     void loseLease() {
         leading = false;
         leader = null;
@@ -105,7 +105,7 @@
         return leading;
     }
 
-    /** Whether this controller leads, and has done so without a break since its generation was this one. */
+    /** Whether this controller has led without interruption since the given generation began. */
     boolean isLeadingSince(long formerGeneration) {
         return leading && generation == formerGeneration;
     }
@@ -126,7 +126,7 @@
         return term;
     }
 
-    /** Who leads, as far as is known; null if nobody does. */
+    /** The last known leader; null if none is known. */
     String leader() {
         return leader;
     }
--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -18,20 +18,21 @@
 import notchpick.transport.HttpStatus;
 
 /**
- * Sends requests to the state store over the direct link, and over a peer as relay while the direct link is cut or
- * refused and the peer's is not.
+ * Sends requests to the state store over the direct link, or through a peer as relay while the direct link is cut or
+ * refused and the peer's link works.
  *
- * <p>A refused request has surely not been executed, and goes over a relay immediately. One without a response may have been
- * executed: only hedged requests, which may be executed twice, are sent over a second path. When such a request shows
- * that a relay works and the direct link does not, all requests take that path, and those that are still in flight on
- * the former one are given up as lost. Every sender allows for a lost request that is executed late.
+ * <p>A refused request has not been executed, so it is sent to a relay immediately. A request without a response may
+ * have been executed; only hedged requests, which may be executed twice, are then sent over a second path. When a
+ * request shows that a relay works and the direct link does not, all requests switch to the relay. Requests in flight
+ * on the old path that are not hedged are completed as unanswered; they may still be executed late, which every sender
+ * must tolerate.
  */
 public final class FailoverStateStoreTransport extends Actor<Void> implements StateStoreTransport {
-    /** A hedged request is sent over another path after this part of the leader lease without a response. */
+    /** The wait for a response before a hedged request is sent to a relay, as a fraction of the leader lease. */
     private static final double HEDGE_DELAY_RATIO = 0.08;
-    /** The circuit breaker stays open for this part of the leader lease. */
+    /** How long the circuit breaker stays open, as a fraction of the leader lease. */
     private static final double BREAKER_OPEN_RATIO = 0.25;
-    /** This part of a relayed request's time is reserved for the return of its response. */
+    /** The fraction of a relayed request's timeout that is reserved for returning the response. */
     private static final double REPLY_TIME_RATIO = 0.1;
 
     private final HttpCaller caller;
@@ -60,20 +61,20 @@
 
     @Override
     protected void receive(Void message) {
-        throw new IllegalStateException("the transport takes requests by its methods and no messages");
+        throw new IllegalStateException("FailoverStateStoreTransport takes no messages; call its methods instead");
     }
 
-    /** The peer over which the state store is reached; null if directly, or not at all. */
+    /** The peer that relays requests to the state store; null while requests take the direct link. */
     public String relay() {
         return path.relay();
     }
 
-    /** Whether the state store is reached over a peer. */
+    /** Whether requests to the state store go through a peer. */
     public boolean isRelayed() {
         return path.isRelayed();
     }
 
-    /** How long requests have gone over a peer, in milliseconds; 0 if they do not. */
+    /** How long requests have been relayed, in milliseconds; 0 if they take the direct link. */
     public long relayedForMs() {
         return path.relayedForMs(loop.nowMs());
     }
@@ -81,7 +82,7 @@
     @Override
     public void sendDirect(Request request, long timeoutMs, Consumer<Response> onResponse) {
         if (path.isRelayed()) {
-            // Whoever asks must try another peer: a request is relayed once at the most.
+            // A request is relayed at most once: the peer that relayed it here must try another relay.
             onResponse.accept(Response.empty(HttpStatus.SERVICE_UNAVAILABLE));
             return;
         }
@@ -101,7 +102,7 @@
         } else {
             sendCopyToRelay(path.relay(), request);
             if (request.isHedged()) {
-                // Probes whether the direct link is back.
+                // The second copy probes whether the direct link works again.
                 sendCopyDirectly(request);
             }
         }
@@ -119,7 +120,10 @@
         return !response.isUnanswered() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
     }
 
-    /** A copy has failed. The last one completes the request, unless there is another path to try. */
+    /**
+     * Sends the request to another relay if that is allowed, or completes it with this response if no other copy is in
+     * flight.
+     */
     private void handleCopyFailure(StateStoreRequest request, Response response) {
         request.recordCopyFailure();
         boolean mayRetry = request.isHedged()
@@ -130,8 +134,6 @@
         }
     }
 
-    // ---- the direct link ----------------------------------------------------------------------
-
     private void sendCopyDirectly(StateStoreRequest request) {
         request.recordSentDirectly();
         long sentAtMs = loop.nowMs();
@@ -157,8 +159,6 @@
         }
     }
 
-    // ---- relays -------------------------------------------------------------------------------
-
     private void hedge(StateStoreRequest request) {
         if (path.isRelayed()
                 && request.wasLastRelayedBy(path.relay())
@@ -170,7 +170,7 @@
         }
     }
 
-    /** Sends a copy over a relay that the request has not tried; false if there is none. */
+    /** Sends a copy to a relay that has not had one; returns false if no relay or no time is left. */
     private boolean sendCopyToUntriedRelay(StateStoreRequest request) {
         long nowMs = loop.nowMs();
         if (path.isBreakerOpen(nowMs) || request.remainingMs(nowMs) <= 0) {
@@ -211,7 +211,7 @@
         request.recordServedByRelay();
         boolean isFirst = !request.isCompleted();
         complete(request, response);
-        // One slow response among others is no reason to leave the direct link.
+        // A single slow response does not show that the direct link is down.
         boolean isPathDown = path.isRelayed() || !path.hasDirectSuccessSince(request.sentAtMs());
         if (isFirst && !path.isRelayedBy(relay) && isPathDown) {
             switchToRelay(relay);
@@ -223,7 +223,7 @@
             path.openBreaker(loop.nowMs());
         }
         if (path.isRelayedBy(relay)) {
-            // The next hedged request finds another relay, or the direct link.
+            // The next hedged request selects another relay if the direct link does not respond.
             switchToDirect("relay failed");
         }
         handleCopyFailure(request, response);
@@ -231,7 +231,7 @@
 
     private void switchToRelay(String relay) {
         log.warn(
-                "state store path changed: path=relay relay={} reason=\"no response over the former path\" openRequests={}",
+                "state store path changed: path=relay relay={} reason=\"no response over the old path\" openRequests={}",
                 relay,
                 openRequests.size());
         switchPath(relay);
@@ -246,7 +246,10 @@
         switchPath(null);
     }
 
-    /** Changes the path; requests on the former one that are not hedged are given up as lost. */
+    /**
+     * Switches to the relay, or to the direct link if null. Requests on the old path that are not hedged are completed
+     * as unanswered.
+     */
     private void switchPath(String newRelay) {
         path.switchTo(newRelay, loop.nowMs());
         for (StateStoreRequest request : List.copyOf(openRequests)) {
--- a/src/main/java/notchpick/coordination/membership/HeartbeatListener.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatListener.java
@@ -2,7 +2,7 @@
 
 import notchpick.protocol.peer.Pulse;
 
-/** Is notified of peers' heartbeats. */
+/** Listener for the heartbeats of peers. */
 @FunctionalInterface
 public interface HeartbeatListener {
     /** A peer's heartbeat has arrived, as a message or as the reply to this controller's own. */
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -18,34 +18,34 @@
 import notchpick.transport.HttpStatus;
 
 /**
- * Relays workers' heartbeats to the leader in batches, which cost the leader less than the same heartbeats one by one,
- * and passes its replies back. Few batches are in flight at a time, so that a slow leader is not overloaded. What can't
- * be replied to before the worker gives up is refused, and the worker tries another controller.
+ * Relays workers' heartbeats to the leader and passes its replies back. Heartbeats are sent in batches, which cost the
+ * leader less than single heartbeats. Few batches are in flight at a time, so that a slow leader is not overloaded. A
+ * heartbeat that can't be replied to before its worker times out is refused, and the worker tries another controller.
  */
 final class HeartbeatRelayQueue extends Actor<Void> {
     /**
      * A heartbeat to be relayed.
      *
-     * @param receivedAtMs when it came, in milliseconds of the steady clock
+     * @param receivedAtMs when it was received, in milliseconds of the steady clock
      * @param route records when the leader has replied
      */
     record RelayedHeartbeat(byte[] body, Consumer<Response> reply, long receivedAtMs, WorkerRoute route) {}
 
     private record Batch(List<RelayedHeartbeat> heartbeats, long timeoutMs) {}
 
-    /** A worker that gets it tries another controller. */
+    /** The reply that makes a worker try another controller. */
     private static final Response REFUSED = Response.empty(HttpStatus.SERVICE_UNAVAILABLE);
-    /** So many heartbeats wait; one more displaces the oldest. */
+    /** When this many heartbeats are queued, another one displaces the oldest, which is refused. */
     private static final int MAX_QUEUED = 1000;
 
     private static final int MAX_BATCH_SIZE = 64;
     private static final int MAX_BATCH_BYTES = 256 << 10;
     private static final int MAX_BATCHES_IN_FLIGHT = 4;
-    /** Heartbeats are collected for this part of the heartbeat period. */
+    /** How long heartbeats are collected into batches, as a fraction of the heartbeat period. */
     private static final double BATCH_DELAY_RATIO = 0.02;
-    /** This part of a worker's timeout is reserved for the return of its reply. */
+    /** The fraction of a worker's timeout that is reserved for returning the reply. */
     private static final double REPLY_TIME_RATIO = 0.125;
-    /** A heartbeat is relayed if at least this part of its worker's timeout is left. */
+    /** A heartbeat is relayed only if at least its worker's timeout divided by this is left. */
     private static final int MIN_REMAINING_TIMEOUT_PART = 4;
 
     private final LeaderElection election;
@@ -69,10 +69,10 @@
 
     @Override
     protected void receive(Void message) {
-        throw new IllegalStateException("the relay queue takes heartbeats by its methods and no messages");
+        throw new IllegalStateException("HeartbeatRelayQueue takes no messages; call its methods instead");
     }
 
-    /** Another heartbeat period has passed: the count of relayed heartbeats begins anew. */
+    /** Logs and resets the count of relayed heartbeats; called once per heartbeat period. */
     void endPeriod() {
         if (relayedInPeriod > 0) {
             log.info(
@@ -84,12 +84,12 @@
         relayedInPeriod = 0;
     }
 
-    /** Whether a whole batch or more was relayed in the last period. */
+    /** Whether at least one full batch of heartbeats was relayed in the last period. */
     boolean isBusy() {
         return relayedInLastPeriod >= MAX_BATCH_SIZE;
     }
 
-    /** Queues a heartbeat, or refuses it if the leader can't be reached from here. */
+    /** Queues a heartbeat, or refuses it if this controller can't reach the leader. */
     void add(RelayedHeartbeat heartbeat, String leader) {
         if (!peers.canRelay(leader)) {
             heartbeat.reply().accept(REFUSED);
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Takes a batch off the queue, and refuses what can't be replied to in time. */
+    /** Takes a batch off the queue, and refuses heartbeats that can't be relayed or replied to in time. */
     private Batch takeBatch(String leader) {
         List<RelayedHeartbeat> heartbeats = new ArrayList<>();
         int bytes = 0;
@@ -149,7 +149,7 @@
         List<ByteBuffer> bodies = heartbeats.stream()
                 .map(heartbeat -> ByteBuffer.wrap(heartbeat.body()))
                 .toList();
-        // The leader has less time than its reply is waited for.
+        // The leader gets less time than this controller waits, so that its reply arrives before the timeout.
         long leaderTimeoutMs = (long) (batch.timeoutMs() * (1 - REPLY_TIME_RATIO));
         peerClient.send(leader, new ReportBatch(leaderTimeoutMs, bodies), batch.timeoutMs(), onLoop(reply -> {
             batchesInFlight--;
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRouter.java
@@ -19,20 +19,20 @@
 import notchpick.transport.HttpStatus;
 
 /**
- * Takes workers' heartbeats at a controller that does not lead: redirects the worker, or relays the heartbeat to the
- * leader and the reply back within the time that the worker waits. A heartbeat is relayed once at the most.
+ * Handles workers' heartbeats at a controller that does not lead: redirects the worker, or relays the heartbeat to the
+ * leader and passes back the reply within the worker's timeout. A heartbeat is relayed at most once.
  */
 public final class HeartbeatRouter extends Actor<HeartbeatRouter.Message> {
     /** The messages of this actor. */
     public sealed interface Message {}
 
-    /** The process has started: state that is out of date is dropped periodically from now on. */
+    /** Starts the periodic removal of outdated state; sent once, when the process starts. */
     public record Begin() implements Message {}
 
     /**
-     * A worker's heartbeat has come.
+     * Delivers a worker's heartbeat.
      *
-     * @param receivedAtMs when it came, in milliseconds of the steady clock
+     * @param receivedAtMs when it was received, in milliseconds of the steady clock
      */
     public record HeartbeatReceived(Request request, Consumer<Response> reply, long receivedAtMs) implements Message {}
 
@@ -58,7 +58,7 @@
         this.relayQueue = new HeartbeatRelayQueue(loop, deployment, election, peers, peerClient);
     }
 
-    /** How many workers have lately been redirected to the leader; halved with each heartbeat period. */
+    /** The number of recent redirects of workers to the leader; halved once per heartbeat period. */
     public int redirects() {
         return redirects;
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    /** @param controller null if none is known: the worker goes on to the next one of its list */
+    /** @param controller null if none is known; the worker then tries the next controller of its list */
     private static void redirect(HeartbeatReceived received, String controller) {
         received.reply()
                 .accept(Response.of(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(controller))));
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
@@ -8,33 +8,33 @@
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 
 /**
- * Decides what a controller that does not lead does with a worker's heartbeat. A worker that can be expected to reach
- * the leader is redirected to it. One that has been there and is back has not got through: its heartbeats are relayed,
- * and from time to time it is redirected again. Times are handed in.
+ * Decides how a controller that does not lead handles a worker's heartbeat. A worker that can be expected to reach the
+ * leader is redirected to it. A worker that comes back after a redirect could not reach the leader: its heartbeats are
+ * relayed, and it is redirected again with increasing backoff. Callers pass the current time.
  */
 final class HeartbeatRoutingPolicy {
-    /** What is to be done with a heartbeat. */
+    /** How a heartbeat is handled. */
     sealed interface Decision {}
 
-    /** The worker is redirected to the leader. */
+    /** Redirects the worker to the leader. */
     record RedirectToLeader() implements Decision {}
 
-    /** The worker is redirected to another controller that may help. */
+    /** Redirects the worker to a relay, or again to a leader that may not accept relayed heartbeats. */
     record RedirectToPeer(String peer) implements Decision {}
 
-    /** No controller is known that could help: the worker goes on to the next one. */
+    /** Names no controller in the redirect, so that the worker tries the next one of its list. */
     record TryNextController() implements Decision {}
 
-    /** The heartbeat is relayed to the leader from here. */
+    /** Relays the heartbeat from this controller to the leader. */
     record RelayToLeader(WorkerRoute route) implements Decision {}
 
-    /** A worker whose heartbeats are relayed is redirected to the leader again after so many worker leases at the most. */
+    /** The maximum backoff between redirects to the leader while heartbeats are relayed, in worker leases. */
     private static final int MAX_REDIRECT_BACKOFF_LEASES = 2;
-    /** A worker's route is forgotten after so many times the longest redirect backoff without a heartbeat. */
+    /** A worker's route is removed after this many maximum redirect backoffs without a heartbeat. */
     private static final int ROUTE_EXPIRY_BACKOFFS = 2;
-    /** A worker is relayed here if its heartbeat was within so many heartbeat periods. */
+    /** A worker counts as relayed by this controller for this many heartbeat periods after a relayed reply. */
     private static final int RELAYED_PERIODS = 2;
-    /** Paths that may have failed are probed so many times in a worker lease. */
+    /** The maximum number of probes of a path per worker lease. */
     private static final int PROBES_PER_LEASE = 2;
 
     private final String node;
@@ -59,17 +59,17 @@
         this.leaderProbesByZone = new ProbeLimiter(probeIntervalMs);
     }
 
-    /** Forgets routes of workers that have long not been here. */
+    /** Removes the routes of workers that have not sent a heartbeat here for a long time. */
     void removeStaleRoutes(long nowMs) {
         long expiryMs = ROUTE_EXPIRY_BACKOFFS * maxRedirectBackoffMs;
         routes.values().removeIf(route -> !route.hasHeartbeatWithin(expiryMs, nowMs));
     }
 
     /**
-     * Decides what is to be done with the heartbeat.
+     * Decides how to handle the heartbeat, and updates the route of its worker.
      *
-     * @param leader another controller, which leads the term
-     * @param isRelayBusy whether this controller relays so many heartbeats that it is worth looking for more relays
+     * @param leader the leader of the term, which is not this controller
+     * @param isRelayBusy whether this controller relays so many heartbeats that it should find more relays
      */
     Decision decide(Heartbeat heartbeat, String leader, long term, boolean isRelayBusy, long nowMs) {
         WorkerRoute route = route(heartbeat.machine(), term);
@@ -108,7 +108,7 @@
                     && (relays.isReachedByWorkers(leader, heartbeat.zone())
                             || leaderProbesByZone.tryAcquire(heartbeat.zone(), nowMs));
         }
-        // A worker that has this term's fencing token got it from the leader, and comes here because that path failed.
+        // A worker with the fencing token of this term got it from the leader, and comes here because that path failed.
         return heartbeat.fencingToken() < route.term() && !isBackFromLeader(route, nowMs);
     }
 
@@ -118,7 +118,7 @@
             route.recordRedirectElsewhere(nowMs);
             return mayBeUnableToRelay(leader) ? new RedirectToPeer(leader) : new TryNextController();
         }
-        // A worker that was sent to its relay and is back is relayed here, lest it be sent to and fro.
+        // A worker that comes back from its relay is relayed here, as it would otherwise be redirected back and forth.
         if (relay.get().equals(node) || route.isRedirectedElsewhereWithin(workerLeaseMs, nowMs)) {
             return new RelayToLeader(route);
         }
@@ -138,7 +138,10 @@
         return relays.relayFor(heartbeat.machine(), candidates);
     }
 
-    /** A live leader of a version that accepts no relayed heartbeats: a worker can only try it again. */
+    /**
+     * Whether the leader is live but has sent no link table, as in versions that accept no relayed heartbeats. A worker
+     * can only try to reach such a leader directly.
+     */
     private boolean mayBeUnableToRelay(String leader) {
         return !peers.hasLinkTable(leader) && peers.livePeers().contains(leader);
     }
--- a/src/main/java/notchpick/coordination/membership/LeaderElection.java
+++ b/src/main/java/notchpick/coordination/membership/LeaderElection.java
@@ -17,42 +17,42 @@
 import notchpick.transport.EventLoop;
 
 /**
- * Elects the leader through the state store. The leader key is attached to a lease of the state store, which its holder
- * renews; the term rises with each election, in the transaction that creates the key. A controller polls and watches the
- * key, and campaigns when it is missing. {@link ElectionState} holds what is known.
+ * Elects the leader through the state store. The leader key is attached to a state store lease, which the leader
+ * renews. The transaction that creates the key also increments the term. Each controller polls and watches the key, and
+ * campaigns when it is missing. {@link ElectionState} holds the local view of the leadership.
  */
 public final class LeaderElection extends Actor<LeaderElection.Message> {
     /** The messages of this actor. */
     public sealed interface Message {}
 
-    /** The process has started: the leader key is polled from now on. */
+    /** Starts polling the leader key; sent once, when the process starts. */
     public record Begin() implements Message {}
 
-    /** Another controller should lead, for this reason. */
+    /** Asks this controller to give up its leadership; ignored if it does not lead. */
     public record StepDown(String reason) implements Message {}
 
-    /** A peer knows of this term. */
+    /** Reports the term and the leader that a peer has sent. */
     public record TermObserved(long term, String leader) implements Message {}
 
     /** Is notified when this controller starts and stops leading. */
     public interface Listener {
-        /** This controller leads from now on. */
+        /** This controller has become the leader. */
         void elected(ElectedTerm term);
 
-        /** The leader lease is surely held until then, in milliseconds of the steady clock. */
+        /** The leader lease has been renewed and can't expire before this time of the steady clock, in milliseconds. */
         void leaseRenewed(long leaseUntilMs);
 
-        /** This controller does not lead any more. */
+        /** This controller has stopped leading. */
         void deposed();
     }
 
-    /** The leader key is polled so many times in the time of a leader lease at the most. */
+    /** The maximum number of polls of the leader key per leader lease. */
     private static final int POLLS_PER_LEASE = 12;
-    /** The leader lease is renewed so many times in its own time. */
+    /** The number of renewals per leader lease. */
     private static final int RENEWALS_PER_LEASE = 5;
-    /** After a resignation a controller does not campaign for so many leader leases, so that another is elected. */
+    /** After stepping down, a controller does not campaign for this many leader leases, so that another is elected. */
     private static final int HOLDOFF_LEASES = 4;
-    /** The jitter before an election that a watch has caused, at the most, as a part of the poll interval. */
+    /** The maximum jitter of a poll triggered by the watch is the poll interval divided by this. */
     private static final int WATCH_JITTER_PART = 4;
 
     private static final String NODE_FIELD = "node";
@@ -69,10 +69,10 @@
     private final ElectionState state;
     private boolean formatIncompatible;
     private boolean watching;
-    /** The number of the last poll that was scheduled; it replaces those scheduled before. */
+    /** The number of the newest scheduled poll. Polls scheduled earlier do nothing when they are due. */
     private long lastScheduledPoll;
 
-    /** @param electionDelay how long to leave an election to controllers that are better connected */
+    /** @param electionDelay how long to wait before campaigning, so that better connected controllers come first */
     public LeaderElection(
             EventLoop loop,
             String node,
@@ -92,17 +92,17 @@
         this.state = new ElectionState(node);
     }
 
-    /** Who leads, as far as is known; null if nobody does. */
+    /** The last known leader; null if none is known. */
     public String leader() {
         return state.leader();
     }
 
-    /** The latest term known. */
+    /** The newest known term. */
     public long term() {
         return state.term();
     }
 
-    /** Whether the state store holds records in a format of another version, which must not be touched. */
+    /** Whether the state store holds records in the format of another version, which must not be used or changed. */
     public boolean isFormatIncompatible() {
         return formatIncompatible;
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    /** A leader that can't reach the state store learns here that its term is over. */
+    /** Deposes this controller if a peer reports a later term, which works even if the state store is unreachable. */
     private void handleTermObserved(TermObserved observed) {
         long formerTerm = state.term();
         if (state.observeTerm(observed.term(), observed.leader()) && state.isLeading()) {
@@ -146,8 +146,6 @@
         schedulePoll(pollIntervalMs);
     }
 
-    // ---- polling and watching the leader key --------------------------------------------------
-
     private void schedulePoll() {
         schedulePoll(pollIntervalMs + random.nextInt((int) pollIntervalMs));
     }
@@ -187,7 +185,7 @@
     private void handleLeaderKey(Entry key) {
         String holder = key.value().path(NODE_FIELD).asText();
         if (state.isHolder(holder)) {
-            // Left by a former incarnation of this controller, or by an election of which the reply was lost.
+            // The key is from before a restart of this controller, or from an election whose response was lost.
             state.clearLeader();
             stateStore.endLease(key.lease(), onLoop(ended -> schedulePoll()));
             return;
@@ -209,9 +207,9 @@
     }
 
     /**
-     * Learns of the leader key's deletion sooner than by polling. A controller that has been running so comes before one
-     * that is just starting, and in a rolling upgrade before versions that poll only. The jitter keeps the controllers
-     * from campaigning all at the same moment.
+     * Watches the leader key, which detects its deletion sooner than polling does. Running controllers therefore
+     * campaign before one that is just starting and, in a rolling upgrade, before versions that only poll. The jitter
+     * keeps the controllers from campaigning at the same time.
      */
     private void watch(long version) {
         if (watching) {
@@ -230,8 +228,6 @@
         return changes.log().stream().anyMatch(change -> change.value() == null);
     }
 
-    // ---- campaigning --------------------------------------------------------------------------
-
     private void campaign() {
         stateStore.get(StateKeys.TERM, onLoop(result -> {
             if (result instanceof Ok<Entry> ok) {
@@ -272,7 +268,7 @@
         }));
     }
 
-    /** Writes the leader key if nobody else has, and no election has taken place since the term was read. */
+    /** Creates the leader key, provided that it does not exist and the term is unchanged since it was read. */
     private void commitElection(long newTerm, long termVersion, long newLease, long leaseRequestedAtMs) {
         Transaction transaction = new Transaction()
                 .requireVersion(StateKeys.LEADER, 0)
@@ -292,7 +288,7 @@
     }
 
     private void abandonElection(StateStoreResult<Long> result, long unusedLease) {
-        // If the reply was lost the key may still appear, and is deleted with this lease.
+        // If only the response was lost, the key may exist or still appear. Ending the lease deletes it.
         stateStore.endLease(unusedLease, onLoop(ended -> {}));
         if (result instanceof Conflict<Long>) {
             poll();
@@ -301,8 +297,6 @@
         }
     }
 
-    // ---- renewing the leader lease ------------------------------------------------------------
-
     private long safelyHeldUntilMs(long requestedAtMs) {
         return requestedAtMs + Deployment.leaseSafelyHeldMs(leaseMs);
     }
--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -4,9 +4,15 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** The health of one link of this controller, judged by the traffic that flows over it anyway. Times are handed in. */
+/**
+ * The health of one link of this controller, derived from regular traffic without extra probes. Callers pass the
+ * current time.
+ */
 final class LinkHealth {
-    /** The names of the wire, but not its enum: that one is built from a schema, which would slow the start down. */
+    /**
+     * The constants of the generated {@link notchpick.protocol.peer.LinkCondition}. That enum is not used here because
+     * parsing its schema would slow down the start.
+     */
     enum Condition {
         UNKNOWN,
         UP,
@@ -15,7 +21,7 @@
         SILENT
     }
 
-    /** The weight of the newest latency in the moving average. */
+    /** The weight of the newest latency in the exponential moving average. */
     private static final double LATENCY_WEIGHT = 0.2;
 
     private static final long NEVER = -1;
@@ -28,12 +34,12 @@
     private int activitiesInPeriod;
     private double ratePerS;
 
-    /** @param ratePeriodMs the period over which the rate of activity is counted */
+    /** @param ratePeriodMs the period over which the rate of activity is measured, in milliseconds */
     LinkHealth(long ratePeriodMs) {
         this.ratePeriodMs = ratePeriodMs;
     }
 
-    /** A request over this link has completed, with or without a response. */
+    /** Records a completed request over this link, with or without a response. */
     void recordRequest(Response response, long sentAtMs, long nowMs) {
         if (response.isConnectionRefused()) {
             condition = Condition.REFUSED;
@@ -48,7 +54,7 @@
         }
     }
 
-    /** A message has come in over this link. */
+    /** Records an incoming message over this link. */
     void recordMessage(long nowMs) {
         recordActivity(nowMs);
         condition = Condition.UP;
@@ -63,19 +69,19 @@
     private void updateRate(long nowMs) {
         long elapsedMs = nowMs - ratePeriodStartMs;
         if (elapsedMs >= ratePeriodMs) {
-            // After a whole period without activity, nothing counted before it says what the rate is now.
+            // After two periods, all counted activity was in the first one, and the last one had none.
             ratePerS = elapsedMs < 2 * ratePeriodMs ? activitiesInPeriod * Milliseconds.PER_SECOND / elapsedMs : 0;
             activitiesInPeriod = 0;
             ratePeriodStartMs = nowMs;
         }
     }
 
-    /** The condition by the newest request or message; {@link Condition#UNKNOWN} does not mean that the link is down. */
+    /** The condition after the newest request or message; {@link Condition#UNKNOWN} means that there was none. */
     Condition condition() {
         return condition;
     }
 
-    /** Whether the last activity is no older than this; false if there has been none. */
+    /** Whether the last activity is at most this old; false if there has been none. */
     boolean isActiveWithin(long withinMs, long nowMs) {
         return lastActivityAtMs >= 0 && nowMs - lastActivityAtMs <= withinMs;
     }
@@ -85,12 +91,12 @@
         return lastActivityAtMs < 0 ? NEVER : nowMs - lastActivityAtMs;
     }
 
-    /** The mean time until a response came, in milliseconds; -1 if none has come. */
+    /** The moving average of the response time, in milliseconds; -1 if there has been no response. */
     long meanLatencyMs() {
         return Math.round(meanLatencyMs);
     }
 
-    /** Activity per second over the last period. */
+    /** The number of responses and messages per second over the last completed period. */
     double ratePerS(long nowMs) {
         updateRate(nowMs);
         return ratePerS;
--- a/src/main/java/notchpick/coordination/membership/LinkMonitor.java
+++ b/src/main/java/notchpick/coordination/membership/LinkMonitor.java
@@ -13,8 +13,8 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * The health of this controller's own links. It chooses whom to ask and over which path, and never says that a task, a
- * machine's resources or a term is free.
+ * The health of this controller's own links. It is only used to choose a controller and a path, and must never be taken
+ * to show that a task, a machine's resources or a term is free.
  */
 public final class LinkMonitor {
     private final EventLoop loop;
@@ -22,7 +22,7 @@
     private final LinkHealth stateStore;
     private final LinkHealth users;
     private final Map<String, LinkHealth> peers = new HashMap<>();
-    /** By zone, the link to those workers that send heartbeats directly here and receive the replies. */
+    /** The link to the workers that send heartbeats directly to this controller and receive the replies, by zone. */
     private final Map<String, LinkHealth> workersByZone = new TreeMap<>();
 
     public LinkMonitor(EventLoop loop, Deployment deployment) {
@@ -33,24 +33,24 @@
         deployment.peers().forEach(peer -> peers.put(peer.node(), new LinkHealth(heartbeatPeriodMs)));
     }
 
-    /** A request sent directly to the state store has completed. */
+    /** Records a completed request to the state store over the direct link. */
     void recordStateStoreRequest(Response response, long sentAtMs) {
         stateStore.recordRequest(response, sentAtMs, loop.nowMs());
     }
 
-    /** A request to a peer has completed. */
+    /** Records a completed request to a peer. */
     void recordPeerRequest(String peer, Response response, long sentAtMs) {
         peers.get(peer).recordRequest(response, sentAtMs, loop.nowMs());
     }
 
-    /** The users' load balancer has asked whether this controller is ready. */
+    /** Records a readiness probe of the users' load balancer. */
     public void recordReadinessProbe() {
         users.recordMessage(loop.nowMs());
     }
 
     /**
-     * A worker of this zone has received a reply from here: the heartbeat that follows the one replied to has come to
-     * the same place. A heartbeat alone does not show that replies arrive.
+     * Records that a worker of this zone has received a reply from this controller. Callers conclude that from the next
+     * heartbeat in sequence also coming to this controller; a single heartbeat does not show that replies arrive.
      */
     public void recordWorkerReply(String zone) {
         workersByZone
@@ -58,7 +58,7 @@
                 .recordMessage(loop.nowMs());
     }
 
-    /** Whether a peer has responded within this time, and the last request to it got a response too. */
+    /** Whether the peer has responded within this time, and the link is up after the newest request. */
     boolean isPeerResponsive(String peer, long withinMs) {
         LinkHealth link = peers.get(peer);
         return link != null
@@ -66,7 +66,7 @@
                 && link.isActiveWithin(withinMs, loop.nowMs());
     }
 
-    /** The time since any worker last received a reply from here, in milliseconds; -1 if none ever has. */
+    /** The time since a worker last received a reply from this controller, in milliseconds; -1 if none has. */
     public long workerLinkAgeMs() {
         long nowMs = loop.nowMs();
         return workersByZone.values().stream()
@@ -75,7 +75,7 @@
                 .orElse(-1);
     }
 
-    /** One row for each link, for the link table that controllers exchange. */
+    /** One row per link, for the link table that controllers exchange. */
     public List<LinkRow> linkRows() {
         List<LinkRow> rows = new ArrayList<>();
         rows.add(row(LinkKind.STATE, "", stateStore));
--- a/src/main/java/notchpick/coordination/membership/LocalStatus.java
+++ b/src/main/java/notchpick/coordination/membership/LocalStatus.java
@@ -3,11 +3,11 @@
 import notchpick.protocol.peer.LinkTable;
 import notchpick.protocol.peer.Pulse;
 
-/** What this controller tells its peers about itself. */
+/** The status that this controller sends to its peers. */
 public interface LocalStatus {
-    /** The heartbeat to be sent now. */
+    /** The heartbeat to send now. */
     Pulse heartbeat();
 
-    /** This controller's own links. */
+    /** The table of this controller's own links. */
     LinkTable linkTable();
 }
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -13,9 +13,9 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** Sends requests to the other controllers, and lets the link monitor know how each one completes. */
+/** Sends requests to the other controllers and records in the link monitor how each one completes. */
 public final class PeerClient extends Actor<Void> {
-    /** After how many seconds a user whose relayed request found the service unavailable should retry. */
+    /** The Retry-After value for users whose relayed request found the service unavailable, in seconds. */
     private static final int RETRY_AFTER_S = 1;
 
     private final Deployment deployment;
@@ -31,19 +31,19 @@
 
     @Override
     protected void receive(Void message) {
-        throw new IllegalStateException("the peer client takes requests by its methods and no messages");
+        throw new IllegalStateException("PeerClient takes no messages; call its methods instead");
     }
 
     /**
      * Sends a message to a peer and calls back exactly once.
      *
-     * @param onReply gets the peer's message, or null if none came in time
+     * @param onReply gets the peer's reply, or null if there was none in time or its status was not 200
      */
     public void send(String peer, Object message, long timeoutMs, Consumer<Object> onReply) {
         post(peer, address(peer), PeerProtocol.encode(message), timeoutMs, onReply);
     }
 
-    /** Sends the same message to all peers; calls back once for each, as {@link #send} does. */
+    /** Sends the same message to all peers; calls back once per peer, as {@link #send} does. */
     void broadcast(Object message, long timeoutMs, Consumer<Object> onReply) {
         byte[] body = PeerProtocol.encode(message);
         for (Deployment.Peer peer : deployment.peers()) {
@@ -70,7 +70,7 @@
         });
     }
 
-    /** Relays a user's request to a peer, which answers it in place of this controller. */
+    /** Relays a user's request to a peer and passes back the peer's response. */
     public void relay(String peer, Request request, long timeoutMs, Consumer<Response> onResponse) {
         String content = request.body() == null ? "" : new String(request.body(), StandardCharsets.UTF_8);
         send(peer, new Relay(request.method(), request.path(), content), timeoutMs, reply -> {
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -7,25 +7,25 @@
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
-/** Exchanges heartbeats and link tables with the other controllers. {@link PeerRegistry} holds what they say. */
+/** Exchanges heartbeats and link tables with the other controllers. {@link PeerRegistry} stores what they send. */
 public final class PeerMembership extends Actor<PeerMembership.Message> {
     /** The messages of this actor. */
     public sealed interface Message {}
 
-    /** The process has started: heartbeats are exchanged from now on. */
+    /** Starts the exchange of heartbeats and link tables; sent once, when the process starts. */
     public record Begin() implements Message {}
 
-    /** A peer's heartbeat has arrived. */
+    /** Delivers a peer's heartbeat. */
     public record HeartbeatReceived(Pulse heartbeat) implements Message {}
 
-    /** A peer's link table has arrived; the reply gets this controller's own. */
+    /** Delivers a peer's link table; the callback gets this controller's own table. */
     public record LinkTableReceived(LinkTable table, Consumer<LinkTable> reply) implements Message {}
 
-    /** Controllers exchange so many heartbeats in a heartbeat period of the workers. */
+    /** The number of heartbeats that controllers exchange per heartbeat period of the workers. */
     private static final int HEARTBEATS_PER_WORKER_HEARTBEAT = 4;
-    /** Link tables are exchanged once in so many heartbeats. */
+    /** Link tables are exchanged once per this many heartbeats. */
     private static final int HEARTBEATS_PER_LINK_TABLE = 4;
-    /** A request that is a part of the exchange times out after so many heartbeat periods. */
+    /** Heartbeat and link table requests time out after this many heartbeat periods. */
     private static final int TIMEOUT_PERIODS = 2;
 
     private final PeerClient client;
@@ -55,12 +55,12 @@
         this.timeoutMs = TIMEOUT_PERIODS * periodMs;
     }
 
-    /** How often controllers send each other heartbeats, in milliseconds. */
+    /** The interval at which controllers exchange heartbeats, in milliseconds. */
     static long heartbeatPeriodMs(Deployment deployment) {
         return deployment.heartbeatPeriodMs() / HEARTBEATS_PER_WORKER_HEARTBEAT;
     }
 
-    /** How often controllers exchange link tables, in milliseconds. */
+    /** The interval at which controllers exchange link tables, in milliseconds. */
     static long linkTablePeriodMs(Deployment deployment) {
         return HEARTBEATS_PER_LINK_TABLE * heartbeatPeriodMs(deployment);
     }
@@ -94,7 +94,7 @@
         listener.heartbeatReceived(heartbeat);
     }
 
-    /** A controller of a version without link tables refuses the message, and is not used as a relay. */
+    /** Exchanges link tables. A controller of a version without them refuses the message and is not used as a relay. */
     private void exchangeLinkTables() {
         LinkTable own = localStatus.linkTable();
         log.debug("links: {}", own);
@@ -105,7 +105,7 @@
         });
     }
 
-    /** How late this controller's last heartbeat went out, in milliseconds: a sign of an overloaded process. */
+    /** How late the last heartbeat was sent, in milliseconds; a high value indicates an overloaded process. */
     public long heartbeatLagMs() {
         return heartbeatLagMs;
     }
--- a/src/main/java/notchpick/coordination/membership/PeerRegistry.java
+++ b/src/main/java/notchpick/coordination/membership/PeerRegistry.java
@@ -15,8 +15,8 @@
 import notchpick.transport.EventLoop;
 
 /**
- * What is known of the other controllers: their newest heartbeats and link tables, each with the time it came. A peer
- * whose last heartbeat is too old counts as down.
+ * Stores the newest heartbeat and link table of each other controller, with the time of receipt. A peer whose last
+ * heartbeat is too old counts as down.
  */
 public final class PeerRegistry {
     private record ReceivedHeartbeat(Pulse heartbeat, long receivedAtMs) {}
@@ -24,9 +24,9 @@
     private record ReceivedLinkTable(LinkTable table, long receivedAtMs) {}
 
     private static final long UNKNOWN_AGE = -1;
-    /** A peer is live for so many heartbeat periods after its last heartbeat. */
+    /** A peer counts as live for this many heartbeat periods after its last heartbeat. */
     private static final int LIVE_PERIODS = 3;
-    /** A link table counts for so many of the periods in which link tables are exchanged. */
+    /** A link table is valid for this many exchange periods. */
     private static final int LINK_TABLE_PERIODS = 2;
 
     private final EventLoop clock;
@@ -36,7 +36,7 @@
     private final long linkTableValidMs;
     private final Map<String, ReceivedHeartbeat> heartbeats = new HashMap<>();
     private final Map<String, ReceivedLinkTable> linkTables = new HashMap<>();
-    /** By job, the counts that a leader's heartbeat last gave. */
+    /** The job counts of the last heartbeat that carried any, by job; only leaders send them. */
     private final Map<String, Progress> progress = new HashMap<>();
 
     private ReceivedHeartbeat lastProgressHeartbeat;
@@ -49,7 +49,7 @@
         this.linkTableValidMs = LINK_TABLE_PERIODS * PeerMembership.linkTablePeriodMs(deployment);
     }
 
-    /** A peer's heartbeat has arrived. */
+    /** Stores a heartbeat, and the job counts in it if it carries any. */
     void recordHeartbeat(Pulse heartbeat) {
         ReceivedHeartbeat received = new ReceivedHeartbeat(heartbeat, clock.nowMs());
         heartbeats.put(heartbeat.getNode(), received);
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A link table has arrived; one from a sender that is no peer is ignored. */
+    /** Stores a link table; ignored if the sender is not a configured peer. */
     void recordLinkTable(LinkTable table) {
         if (isPeer(table.getNode())) {
             linkTables.put(table.getNode(), new ReceivedLinkTable(table, clock.nowMs()));
@@ -71,7 +71,7 @@
         return deployment.peers().stream().anyMatch(peer -> peer.node().equals(node));
     }
 
-    /** The peers whose last heartbeat is recent, in the order of the settings. */
+    /** The peers whose last heartbeat is recent, in the order of the configuration. */
     public List<String> livePeers() {
         List<String> live = new ArrayList<>();
         for (Deployment.Peer peer : deployment.peers()) {
@@ -86,7 +86,7 @@
         return received != null && clock.nowMs() - received.receivedAtMs() <= liveMs;
     }
 
-    /** A live peer that reaches the state store. */
+    /** The first live peer whose last heartbeat says that it reaches the state store directly. */
     public Optional<String> peerReachingStateStore() {
         for (String peer : livePeers()) {
             if (reachesStateStore(peer)) {
@@ -100,19 +100,19 @@
         return heartbeats.get(livePeer).heartbeat().getStateReachable();
     }
 
-    /** How many workers the live peers have lately redirected to the leader. */
+    /** The number of workers that the live peers have recently redirected to the leader. */
     public int redirects() {
         return livePeers().stream()
                 .mapToInt(peer -> heartbeats.get(peer).heartbeat().getRedirects())
                 .sum();
     }
 
-    /** A job's counts by the last heartbeat of its leader; null if there is no recent one. */
+    /** The job's counts from the last heartbeat that carried any; null if that is too old or lacks the job. */
     public Progress progress(String job) {
         return isRecent(lastProgressHeartbeat) ? progress.get(job) : null;
     }
 
-    /** Whether the peer has lately sent a link table; a controller of a version that can't relay sends none. */
+    /** Whether the peer has a valid link table. Controllers of versions that can't relay send none. */
     boolean hasLinkTable(String peer) {
         return recentLinkTable(peer) != null;
     }
@@ -122,16 +122,16 @@
         return received == null || clock.nowMs() - received.receivedAtMs() > linkTableValidMs ? null : received;
     }
 
-    /** The least age of a peer's links of this kind, as {@link #linkAgeMs(String, LinkKind, String)} gives it. */
+    /** The smallest {@link #linkAgeMs(String, LinkKind, String)} of the peer's links of this kind. */
     long linkAgeMs(String peer, LinkKind kind) {
         return linkAgeMs(peer, kind, null);
     }
 
     /**
-     * How long ago there was activity on a peer's link, by the peer's last link table, in milliseconds; -1 if the link
-     * is not up, or nothing is known of it.
+     * The time since the last activity on a peer's link according to the peer's link table, in milliseconds; -1 if the
+     * link is not up or the table has no such link or is too old. For several links, the smallest.
      *
-     * @param name the peer or zone at the link's other end; null for any
+     * @param name the peer or zone at the other end of the link; null for any
      */
     long linkAgeMs(String peer, LinkKind kind, String name) {
         ReceivedLinkTable received = recentLinkTable(peer);
@@ -151,12 +151,12 @@
         return leastMs;
     }
 
-    /** Whether requests to a peer get responses, and it is of a version that can relay. */
+    /** Whether requests to the peer get responses and its version can relay. */
     boolean canRelay(String peer) {
         return links.isPeerResponsive(peer, liveMs) && hasLinkTable(peer);
     }
 
-    /** The peers that can relay requests to the state store, which they reach themselves. */
+    /** The live peers that can relay requests to the state store. */
     List<String> stateStoreRelays() {
         return livePeers().stream()
                 .filter(peer -> canRelay(peer) && reachesStateStore(peer))
--- a/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
+++ b/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Admits one probe per target and interval: a worker that is sent to a path that fails loses a heartbeat. */
+/** Limits probes to one per target and interval, as a worker that probes a broken path loses a heartbeat. */
 final class ProbeLimiter {
     private final long intervalMs;
     private final Map<String, Long> lastProbeAtMs = new HashMap<>();
@@ -12,7 +12,7 @@
         this.intervalMs = intervalMs;
     }
 
-    /** Whether a probe of the target may be made now; if so it counts as made. */
+    /** Returns whether the target may be probed now, and if so records the probe. */
     boolean tryAcquire(String target, long nowMs) {
         long lastMs = lastProbeAtMs.getOrDefault(target, 0L);
         if (lastMs != 0 && nowMs - lastMs <= intervalMs) {
--- a/src/main/java/notchpick/coordination/membership/RelaySelector.java
+++ b/src/main/java/notchpick/coordination/membership/RelaySelector.java
@@ -7,11 +7,11 @@
 import notchpick.protocol.peer.LinkKind;
 
 /**
- * Selects the controller that relays a worker's heartbeats to the leader. Machines are partitioned by the hash of their
- * name among the controllers that can, so that all controllers select the same one and they share the load.
+ * Selects the controller that relays a worker's heartbeats to the leader. Machines are partitioned among the possible
+ * relays by the hash of their name, so that all controllers select the same relay and the relays share the load.
  */
 final class RelaySelector {
-    /** Workers reach a controller if one received a reply from it within so many heartbeat periods. */
+    /** Workers reach a controller if one of them received a reply from it within this many heartbeat periods. */
     private static final int WORKER_LINK_PERIODS = 2;
 
     private final String node;
@@ -19,7 +19,7 @@
     private final long workerLinkMs;
     private final ProbeLimiter peerProbes;
 
-    /** @param probeIntervalMs how often a peer that no workers have reached yet is probed, in milliseconds */
+    /** @param probeIntervalMs the minimum interval between probes of a peer that no workers have reached yet */
     RelaySelector(String node, PeerRegistry peers, long heartbeatPeriodMs, long probeIntervalMs) {
         this.node = node;
         this.peers = peers;
@@ -27,7 +27,10 @@
         this.peerProbes = new ProbeLimiter(probeIntervalMs);
     }
 
-    /** The controllers that reach the leader and are reached by the zone's workers, by name. */
+    /**
+     * The controllers that can relay heartbeats from the zone, sorted by name: the peers that reach the leader and are
+     * reached by workers of the zone, and this controller if it can reach the leader.
+     */
     List<String> candidates(String leader, String zone) {
         List<String> candidates = new ArrayList<>();
         if (peers.canRelay(leader)) {
@@ -52,8 +55,9 @@
     }
 
     /**
-     * A peer that reaches the leader but is no candidate, as no worker had reason to come to it yet, and that would be
-     * the machine's relay if it were one. Its worker probes whether it is reached; if so it becomes a candidate.
+     * A peer that reaches the leader and would be the machine's relay, but is not a candidate because no worker has
+     * reached it recently. Redirecting the machine's worker to the peer probes that link; if it works, the peer becomes
+     * a candidate.
      */
     Optional<String> relayToProbe(String machine, String leader, List<String> candidates, long nowMs) {
         for (String peer : peers.livePeers()) {
@@ -78,7 +82,7 @@
         return !peer.equals(leader) && peers.linkAgeMs(peer, LinkKind.PEER, leader) >= 0;
     }
 
-    /** Whether workers of the zone have lately received replies from the peer. */
+    /** Whether workers of the zone have recently received replies from the peer, according to its link table. */
     boolean isReachedByWorkers(String peer, String zone) {
         long ageMs = peers.linkAgeMs(peer, LinkKind.WORKERS, zone);
         return ageMs >= 0 && ageMs <= workerLinkMs;
--- a/src/main/java/notchpick/coordination/membership/StateStorePath.java
+++ b/src/main/java/notchpick/coordination/membership/StateStorePath.java
@@ -1,34 +1,37 @@
 package notchpick.coordination.membership;
 
 /**
- * The path over which requests to the state store go: the direct link, or a peer as relay. A plain state machine; times
- * are handed in.
+ * The path of requests to the state store: the direct link, or a peer as relay. A state machine without I/O or a clock;
+ * callers pass the current time.
  */
 final class StateStorePath {
     private static final long NEVER = Long.MIN_VALUE;
 
     private final long settleMs;
     private final long breakerOpenMs;
-    /** The peer over which requests go; null: the direct link. */
+    /** The peer that relays requests; null for the direct link. */
     private String relay;
 
     private long relayedSinceMs;
     private long lastDirectSuccessAtMs = NEVER;
-    /** Since when the direct link has served every request, while requests were relayed; 0: it does not. */
+    /**
+     * While requests are relayed, the time since when the direct link has served every copy sent over it; 0 if it has
+     * served none since the switch or the last failure. A link that flaps is thus not used again.
+     */
     private long directHealthySinceMs;
 
     private long breakerOpenUntilMs = NEVER;
 
     /**
-     * @param settleMs how long the direct link must serve every request before it is used again, in milliseconds
-     * @param breakerOpenMs how long no relay is tried after one could not reach the state store, in milliseconds
+     * @param settleMs how long the direct link must serve every copy before requests return to it, in milliseconds
+     * @param breakerOpenMs how long no further relay is tried after one was unavailable, in milliseconds
      */
     StateStorePath(long settleMs, long breakerOpenMs) {
         this.settleMs = settleMs;
         this.breakerOpenMs = breakerOpenMs;
     }
 
-    /** The peer over which requests go; null if they go over the direct link. */
+    /** The peer that relays requests; null if they take the direct link. */
     String relay() {
         return relay;
     }
@@ -41,19 +44,19 @@
         return peer.equals(relay);
     }
 
-    /** How long requests have been relayed, in milliseconds; 0 if they are not. */
+    /** How long requests have been relayed, in milliseconds; 0 if they take the direct link. */
     long relayedForMs(long nowMs) {
         return isRelayed() ? nowMs - relayedSinceMs : 0;
     }
 
-    /** From now on requests go over this relay; null: over the direct link. */
+    /** Sends requests through this relay from now on, or over the direct link if null. */
     void switchTo(String newRelay, long nowMs) {
         relay = newRelay;
         relayedSinceMs = nowMs;
         directHealthySinceMs = 0;
     }
 
-    /** The direct link has served a request. */
+    /** Records that the direct link has served a request. */
     void recordDirectSuccess(long nowMs) {
         lastDirectSuccessAtMs = nowMs;
         if (!isRelayed()) {
@@ -63,27 +66,27 @@
         }
     }
 
-    /** The direct link has failed to serve a request. */
+    /** Records that the direct link has failed to serve a request. */
     void recordDirectFailure() {
         directHealthySinceMs = 0;
     }
 
-    /** Whether requests are relayed though the direct link has proved healthy; one that flaps does not. */
+    /** Whether requests are relayed although the direct link has served every copy for the settle time. */
     boolean isDirectRestored(long nowMs) {
         return isRelayed() && directHealthySinceMs != 0 && nowMs - directHealthySinceMs >= settleMs;
     }
 
-    /** Whether the direct link has served any request since then. */
+    /** Whether the direct link has served any request since the given time. */
     boolean hasDirectSuccessSince(long sinceMs) {
         return lastDirectSuccessAtMs >= sinceMs;
     }
 
-    /** A relay could not reach the state store either: the circuit breaker opens. */
+    /** Opens the circuit breaker, because a relay could not reach the state store either. */
     void openBreaker(long nowMs) {
         breakerOpenUntilMs = nowMs + breakerOpenMs;
     }
 
-    /** Whether no relay is to be tried at present. */
+    /** Whether the circuit breaker is open and no further relay may be tried. */
     boolean isBreakerOpen(long nowMs) {
         return nowMs < breakerOpenUntilMs;
     }
--- a/src/main/java/notchpick/coordination/membership/StateStoreRequest.java
+++ b/src/main/java/notchpick/coordination/membership/StateStoreRequest.java
@@ -8,8 +8,8 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * One request to the state store until its sender has the response. Copies of it may be in flight over several paths;
- * the first response that serves it completes it, and all others are dropped.
+ * A request to the state store, tracked until its sender gets a response. Copies of it may be in flight over several
+ * paths. The first response that serves the request completes it; later ones are dropped.
  */
 final class StateStoreRequest {
     private final Request request;
@@ -18,14 +18,14 @@
     private final boolean hedged;
     private final Consumer<Response> onResponse;
     private final Set<String> triedRelays = new HashSet<>();
-    /** The relay that got the last copy; null if none got any. */
+    /** The relay that the last relayed copy was sent to; null if no copy was relayed. */
     private String lastRelay;
 
     private int copiesInFlight;
     private boolean servedByRelay;
     private boolean completed;
 
-    /** @param hedged whether it may be sent twice, and a second path is tried when the first is slow */
+    /** @param hedged whether the request may be executed twice and is sent over a second path if the first is slow */
     StateStoreRequest(Request request, long sentAtMs, long timeoutMs, boolean hedged, Consumer<Response> onResponse) {
         this.request = request;
         this.sentAtMs = sentAtMs;
@@ -42,7 +42,7 @@
         return sentAtMs;
     }
 
-    /** The time that is left for a response, in milliseconds; not above 0 after the deadline. */
+    /** The time left for a response, in milliseconds; 0 or negative from the deadline on. */
     long remainingMs(long nowMs) {
         return deadlineMs - nowMs;
     }
@@ -59,7 +59,7 @@
         return triedRelays.contains(relay);
     }
 
-    /** Whether the last copy that was relayed went over this relay; null stands for no relay. */
+    /** Whether the last relayed copy was sent to this relay; for null, whether no copy was relayed. */
     boolean wasLastRelayedBy(String relay) {
         return Objects.equals(lastRelay, relay);
     }
@@ -68,24 +68,24 @@
         return servedByRelay;
     }
 
-    /** A copy goes over the direct link. */
+    /** Records that a copy is sent over the direct link. */
     void recordSentDirectly() {
         copiesInFlight++;
     }
 
-    /** A copy goes over this relay. */
+    /** Records that a copy is sent to this relay. */
     void recordSentTo(String relay) {
         lastRelay = relay;
         triedRelays.add(relay);
         copiesInFlight++;
     }
 
-    /** A relay has brought a response that serves the request. */
+    /** Records that a relay has returned a response that serves the request, even if another copy was faster. */
     void recordServedByRelay() {
         servedByRelay = true;
     }
 
-    /** A copy has got no response, or was refused. */
+    /** Records that a copy was refused, got no response or found the service unavailable. */
     void recordCopyFailure() {
         copiesInFlight--;
     }
@@ -94,7 +94,7 @@
         return copiesInFlight > 0;
     }
 
-    /** Gives the response to the sender, unless it has one. */
+    /** Passes the response to the sender, unless it already has one. */
     void complete(Response response) {
         if (!completed) {
             completed = true;
--- a/src/main/java/notchpick/coordination/membership/WorkerRoute.java
+++ b/src/main/java/notchpick/coordination/membership/WorkerRoute.java
@@ -1,8 +1,8 @@
 package notchpick.coordination.membership;
 
 /**
- * What a controller that does not lead knows of the path from one worker to the leader of one term. Times are handed in;
- * 0 stands for never.
+ * Tracks, at a controller that does not lead, the path from one worker to the leader of one term. Callers pass the
+ * current time; a stored time of 0 means never.
  */
 final class WorkerRoute {
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
@@ -12,9 +12,9 @@
     private long lastSequence;
     /** When the worker was last redirected to the leader. */
     private long redirectedToLeaderAtMs;
-    /** When a heartbeat of the worker was last relayed and replied to. */
+    /** When the leader last replied to a heartbeat of the worker that was relayed here. */
     private long relayedAtMs;
-    /** When the worker was last redirected to a relay, or to any other controller. */
+    /** When the worker was last redirected in any other way: to a relay, to a leader that can't relay, or to no one. */
     private long redirectedElsewhereAtMs;
 
     private int failedRedirects;
@@ -32,13 +32,13 @@
         return term;
     }
 
-    /** A heartbeat has come, the number of which rises by one with each that the worker sends. */
+    /** Records a heartbeat. Workers increment the sequence number with each heartbeat they send. */
     void recordHeartbeat(long sequence, long nowMs) {
         lastHeartbeatAtMs = nowMs;
         lastSequence = sequence;
     }
 
-    /** Whether a heartbeat with this number is the one that follows the last. */
+    /** Whether this sequence number directly follows that of the last heartbeat recorded here. */
     boolean isNextInSequence(long sequence) {
         return sequence == lastSequence + 1;
     }
@@ -47,7 +47,7 @@
         return nowMs - lastHeartbeatAtMs <= durationMs;
     }
 
-    /** The worker is redirected to the leader. */
+    /** Records that the worker is redirected to the leader. */
     void recordRedirectToLeader(long nowMs) {
         redirectedToLeaderAtMs = nowMs;
     }
@@ -56,7 +56,7 @@
         return isWithin(redirectedToLeaderAtMs, durationMs, nowMs);
     }
 
-    /** The worker is redirected to another controller. */
+    /** Records any other redirect of the worker, including one that names no controller. */
     void recordRedirectElsewhere(long nowMs) {
         redirectedElsewhereAtMs = nowMs;
     }
@@ -65,7 +65,7 @@
         return isWithin(redirectedElsewhereAtMs, durationMs, nowMs);
     }
 
-    /** The leader has replied to a relayed heartbeat. */
+    /** Records that the leader has replied to a relayed heartbeat. */
     void recordRelayedReply(long nowMs) {
         relayedAtMs = nowMs;
     }
@@ -74,12 +74,12 @@
         return relayedAtMs != 0;
     }
 
-    /** Whether the worker's last heartbeat, no older than this, was relayed here and replied to. */
+    /** Whether the leader replied to a relayed heartbeat within this time and after the last redirect to the leader. */
     boolean isRelayedWithin(long durationMs, long nowMs) {
         return isWithin(relayedAtMs, durationMs, nowMs) && relayedAtMs > redirectedToLeaderAtMs;
     }
 
-    /** The worker has not got through to the leader: the next redirect there waits twice as long as the last. */
+    /** Records that the worker could not reach the leader, and doubles the backoff before the next redirect. */
     void recordFailedRedirect(long initialBackoffMs, long maxBackoffMs, long nowMs) {
         failedRedirects++;
         long backoffMs = initialBackoffMs << Math.min(failedRedirects, MAX_BACKOFF_DOUBLINGS);
--- a/src/main/java/notchpick/coordination/membership/package-info.java
+++ b/src/main/java/notchpick/coordination/membership/package-info.java
@@ -3,16 +3,17 @@
  * store when links between them fail.
  *
  * <ul>
- *   <li>Links: {@link notchpick.coordination.membership.LinkMonitor} judges each link by the traffic that flows over it.
+ *   <li>Links: {@link notchpick.coordination.membership.LinkMonitor} tracks the health of each link from its traffic.
  *   <li>Peers: {@link notchpick.coordination.membership.PeerMembership} exchanges heartbeats,
- *       {@link notchpick.coordination.membership.PeerRegistry} holds what they say, and
+ *       {@link notchpick.coordination.membership.PeerRegistry} stores the newest ones, and
  *       {@link notchpick.coordination.membership.PeerClient} sends requests.
  *   <li>Leadership: {@link notchpick.coordination.membership.LeaderElection}.
  *   <li>Failover: {@link notchpick.coordination.membership.FailoverStateStoreTransport} and
- *       {@link notchpick.coordination.membership.HeartbeatRouter} use another controller as a relay, one hop at the most.
+ *       {@link notchpick.coordination.membership.HeartbeatRouter} use another controller as a relay, over at most one
+ *       hop.
  * </ul>
  *
- * <p>What is known of links and peers is opinion: it chooses whom to ask and over which path. What frees a task, a
- * machine or a term rests on leases and on conditional transactions alone.
+ * <p>Link and peer health may be stale or wrong. It is only used to choose a controller and a path. Whether a task, a
+ * machine or a term is free is decided by leases and conditional transactions alone.
  */
 package notchpick.coordination.membership;
--- a/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
+++ b/src/test/java/notchpick/coordination/membership/ElectionStateTest.java
@@ -7,12 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a controller knows of the leader, and of its own leadership. */
+/** Tests the view that a controller has of the leader and of its own leadership. */
 class ElectionStateTest {
     private final ElectionState state = new ElectionState("n-0");
 
     @Test
-    void vacancyCountsOnlyWhileTheKeyIsKnownToBeMissing() {
+    void restartsVacancyWhenKeyWasNotMissing() {
         state.recordVacancy(100);
         state.recordVacancy(150);
         assertTrue(state.isVacantFor(50, 150));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void ignoresTheHolderOfAnOlderTerm() {
+    void ignoresLeaderOfOlderTerm() {
         state.recordLeader(5, "n-1");
         state.recordLeader(4, "n-2");
         assertEquals("n-1", state.leader());
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void onlyALaterTermIsNews() {
+    void acceptsOnlyLaterTermFromPeer() {
         state.recordLeader(5, "n-1");
         assertFalse(state.observeTerm(5, "n-2"));
         assertEquals("n-1", state.leader());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aNewLeadershipIsNotTakenForAFormerOne() {
+    void distinguishesLeadershipsAfterResignation() {
         state.startLeading(1, 11);
         long generation = state.generation();
         assertTrue(state.isLeadingSince(generation));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aLeaseThatExpiredIsNotTakenForOneHeldAgain() {
+    void distinguishesLeadershipsAfterLeaseExpiry() {
         state.startLeading(1, 11);
         long generation = state.generation();
         state.loseLease();
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void resignationKeepsAnotherLeaderThatIsKnown() {
+    void resignationKeepsOtherKnownLeader() {
         state.startLeading(1, 11);
         state.observeTerm(2, "n-1");
         state.stopLeading();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void resignationLeavesNoLeaderOtherwise() {
+    void resignationClearsOwnLeadership() {
         state.startLeading(1, 11);
         state.stopLeading();
         assertNull(state.leader());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void holdsOffUntilItsTime() {
+    void holdsOffUntilGivenTime() {
         assertTrue(state.isHoldoffOver(0));
         state.holdOffUntil(100);
         assertFalse(state.isHoldoffOver(99));
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -25,7 +25,10 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** A worker goes to the leader while that may work, and is relayed from the right controller where it does not. */
+/**
+ * Tests that workers are redirected to the leader while they may reach it, and otherwise relayed through the selected
+ * controller.
+ */
 class HeartbeatRoutingPolicyTest {
     private static final long TERM = 4;
     private static final long PERIOD_MS = 3000;
@@ -69,7 +72,7 @@
         return new LinkRow(kind, name, LinkCondition.UP, 0L, 1L, 1.0);
     }
 
-    /** Machines whose names' hash selects the second of two controllers. */
+    /** Machines for which the hash of the name selects the second of two controllers. */
     private static List<String> machinesOfSecond(int count) {
         return IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "m-" + i)
@@ -88,13 +91,13 @@
     }
 
     @Test
-    void redirectsAWorkerThatHasNotBeenAtTheLeader() {
+    void redirectsWorkerWithoutTokenOfThisTermToLeader() {
         leaderCanRelay();
         assertInstanceOf(RedirectToLeader.class, decide("m-1", TERM - 1));
     }
 
     @Test
-    void relaysAWorkerThatIsBackFromTheLeader() {
+    void relaysWorkerThatComesBackFromLeader() {
         leaderCanRelay();
         decide("m-1", TERM - 1);
         advance(PERIOD_MS);
@@ -102,13 +105,13 @@
     }
 
     @Test
-    void relaysAWorkerThatTheLeaderHasRepliedToInThisTerm() {
+    void relaysWorkerWithTokenOfThisTerm() {
         leaderCanRelay();
         assertInstanceOf(RelayToLeader.class, decide("m-1", TERM));
     }
 
     @Test
-    void redirectsOneWorkerOfAZoneToProbeTheLeaderAfterItsBackoff() {
+    void redirectsOneWorkerPerZoneToLeaderAfterBackoff() {
         leaderCanRelay();
         relay("m-1").route().recordRelayedReply(loop.nowMs());
         relay("m-2").route().recordRelayedReply(loop.nowMs());
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void reportsAReplyDeliveredWhenTheNextHeartbeatComesToTheSamePlace() {
+    void recordsWorkerReplyWhenNextHeartbeatComesToSameController() {
         leaderCanRelay();
         relay("m-1").route().recordRelayedReply(loop.nowMs());
         assertEquals(-1, links.workerLinkAgeMs());
@@ -131,18 +134,18 @@
     }
 
     @Test
-    void sendsAWorkerToTheNextControllerWhenNobodyReachesTheLeader() {
+    void sendsWorkerToNextControllerWhenLeaderIsUnreachable() {
         assertInstanceOf(TryNextController.class, decide("m-1", TERM));
     }
 
     @Test
-    void triesALiveLeaderAgainThatMayBeOfAVersionWithoutRelays() {
+    void redirectsWorkerToLiveLeaderWithoutLinkTable() {
         peers.recordHeartbeat(new Pulse(LEADER, TERM, LEADER, true, 0, List.of()));
         assertEquals(new RedirectToPeer(LEADER), decide("m-1", TERM));
     }
 
     @Test
-    void redirectsAWorkerToItsRelayOnceAndRelaysItHereIfItIsBack() {
+    void redirectsWorkerToRelayOnceAndThenRelaysLocally() {
         leaderCanRelay();
         otherReachesLeader(up(LinkKind.WORKERS, "east"));
         String machine = machinesOfSecond(1).get(0);
@@ -151,7 +154,7 @@
     }
 
     @Test
-    void probesAPeerThatNoWorkerHasReachedOnlyWhenBusyAndOnce() {
+    void probesUnreachedPeerOnceAndOnlyWhenBusy() {
         leaderCanRelay();
         otherReachesLeader();
         List<String> machines = machinesOfSecond(2);
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -15,7 +15,7 @@
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
-/** A state store with records of another format is refused, not misread. */
+/** Tests that a controller does not campaign if the state store holds records of another format. */
 class LeaderElectionTest {
     private final SimulatedTime simulation = new SimulatedTime();
     private final EventLoop loop = simulation.loop(0, 0, () -> true);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void leavesRecordsOfAnIncompatibleFormatAlone() {
+    void doesNotCampaignOnIncompatibleFormat() {
         startWithTermRecord(Json.object().put("term", 7));
         assertTrue(election.isFormatIncompatible());
         assertEquals(0, elections);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void continuesFromTheTermOfItsOwnFormat() {
+    void continuesFromStoredTermOfSupportedFormat() {
         startWithTermRecord(Json.object().put("term", 7).put("format", StateKeys.FORMAT));
         assertFalse(election.isFormatIncompatible());
         assertEquals(1, elections);
--- a/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
+++ b/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
@@ -8,7 +8,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** How a link is judged by the traffic that flows over it. */
+/** Tests how the condition, latency and rate of a link follow from its traffic. */
 class LinkHealthTest {
     private static final Response OK = Response.empty(200);
     private static final Response UNAVAILABLE = Response.empty(503);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void tellsRefusalSilenceAndUnavailabilityApart() {
+    void distinguishesRefusalSilenceAndUnavailability() {
         link.recordRequest(Response.CONNECTION_REFUSED, 0, 10);
         assertEquals(Condition.REFUSED, link.condition());
         link.recordRequest(Response.UNANSWERED, 0, 20);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void onlyResponsesAndMessagesAreActivity() {
+    void countsOnlyResponsesAndMessagesAsActivity() {
         link.recordMessage(100);
         link.recordRequest(Response.UNANSWERED, 0, 200);
         assertEquals(150, link.ageMs(250));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void countsActivityOverThePeriodThatHasEnded() {
+    void measuresRateOverLastCompletedPeriod() {
         link.recordMessage(100);
         link.recordMessage(200);
         assertEquals(0, link.ratePerS(900));
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -21,11 +21,11 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** What a peer has said counts for a while only. */
+/** Tests the validity periods of heartbeats and link tables, and what the registry derives from them. */
 class PeerRegistryTest {
-    /** Heartbeats come four times in a worker's heartbeat period of 4 s; three of them may be missed. */
+    /** Three heartbeat periods of the controllers, which are a quarter of the workers' heartbeat period of 4 s. */
     private static final long LIVE_MS = 3000;
-    /** Link tables come once in 4 s; one may be missed. */
+    /** Two exchange periods of link tables, which are 4 s each. */
     private static final long LINK_TABLE_VALID_MS = 8000;
 
     private static final Deployment DEPLOYMENT = TestDeployments.deployment(
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aPeerIsLiveForThreeHeartbeatPeriods() {
+    void keepsPeerLiveForThreeHeartbeatPeriods() {
         peers.recordHeartbeat(heartbeat("n-2", true, 3));
         peers.recordHeartbeat(heartbeat("n-1", false, 2));
         simulation.runUntil(LIVE_MS);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void progressIsThatOfTheLastHeartbeatThatHasAny() {
+    void returnsProgressOfLastHeartbeatThatHasAny() {
         peers.recordHeartbeat(heartbeat("n-1", true, 0, new Progress("a", 1, 2)));
         peers.recordHeartbeat(heartbeat("n-1", true, 0, new Progress("b", 3, 4)));
         peers.recordHeartbeat(heartbeat("n-2", true, 0));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aLinkAgesSinceItsTableCame() {
+    void addsTimeSinceReceiptToLinkAge() {
         peers.recordLinkTable(
                 table("n-1", workers("east", LinkCondition.UP, 700), workers("west", LinkCondition.UP, 200)));
         simulation.runUntil(100);
@@ -86,19 +86,19 @@
     }
 
     @Test
-    void aLinkThatIsNotUpHasNoAge() {
+    void returnsNoAgeForLinkThatIsNotUp() {
         peers.recordLinkTable(table("n-1", workers("east", LinkCondition.SILENT, 10)));
         assertEquals(-1, peers.linkAgeMs("n-1", LinkKind.WORKERS, "east"));
     }
 
     @Test
-    void ignoresLinkTablesOfStrangers() {
+    void ignoresLinkTableOfUnknownSender() {
         peers.recordLinkTable(table("n-9", workers("east", LinkCondition.UP, 10)));
         assertFalse(peers.hasLinkTable("n-9"));
     }
 
     @Test
-    void aRelayMustRespondAndReachTheStateStoreAndSendLinkTables() {
+    void selectsRelaysThatRespondAndReachStateStore() {
         peers.recordHeartbeat(heartbeat("n-1", true, 0));
         peers.recordHeartbeat(heartbeat("n-2", false, 0));
         peers.recordLinkTable(table("n-1"));
--- a/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When requests to the state store are relayed, and when they go directly again. */
+/** Tests when requests to the state store return from a relay to the direct link, and the circuit breaker. */
 class StateStorePathTest {
     private static final long SETTLE_MS = 3000;
     private static final long BREAKER_OPEN_MS = 750;
@@ -14,7 +14,7 @@
     private final StateStorePath path = new StateStorePath(SETTLE_MS, BREAKER_OPEN_MS);
 
     @Test
-    void isDirectAtFirst() {
+    void isDirectInitially() {
         assertFalse(path.isRelayed());
         assertEquals(0, path.relayedForMs(100));
         assertFalse(path.isBreakerOpen(100));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void countsHowLongItIsRelayed() {
+    void measuresTimeRelayed() {
         path.switchTo("n-1", 100);
         assertTrue(path.isRelayedBy("n-1"));
         assertFalse(path.isRelayedBy("n-2"));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void restoresTheDirectLinkOnceItHasServedForTheSettleTime() {
+    void restoresDirectLinkAfterSettleTime() {
         path.switchTo("n-1", 100);
         path.recordDirectSuccess(200);
         path.recordDirectSuccess(200 + SETTLE_MS - 1);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void doesNotRestoreADirectLinkThatFlaps() {
+    void doesNotRestoreFlappingDirectLink() {
         path.switchTo("n-1", 100);
         path.recordDirectSuccess(200);
         path.recordDirectFailure();
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void whatTheDirectLinkServedBeforeTheSwitchDoesNotRestoreIt() {
+    void ignoresDirectSuccessBeforeSwitch() {
         path.recordDirectSuccess(100);
         path.switchTo("n-1", 200);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS));
     }
 
     @Test
-    void breakerClosesAfterItsTime() {
+    void closesBreakerAfterOpenTime() {
         path.openBreaker(100);
         assertTrue(path.isBreakerOpen(100 + BREAKER_OPEN_MS - 1));
         assertFalse(path.isBreakerOpen(100 + BREAKER_OPEN_MS));
--- a/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
+++ b/src/test/java/notchpick/coordination/membership/WorkerRouteTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a worker is relayed here, and when it is redirected to the leader again. */
+/** Tests when a worker counts as relayed, and the backoff before it is redirected to the leader again. */
 class WorkerRouteTest {
     private static final long INITIAL_BACKOFF_MS = 100;
     private static final long MAX_BACKOFF_MS = 1000;
@@ -14,14 +14,14 @@
     private final WorkerRoute route = new WorkerRoute(4);
 
     @Test
-    void isNotRelayedAtFirst() {
+    void isNotRelayedInitially() {
         assertEquals(4, route.term());
         assertFalse(route.hasEverBeenRelayed());
         assertFalse(route.isRelayedWithin(1000, 50));
     }
 
     @Test
-    void isNotRelayedAnyMoreOnceRedirectedToTheLeader() {
+    void redirectToLeaderEndsRelaying() {
         route.recordRelayedReply(100);
         assertTrue(route.isRelayedWithin(50, 150));
         assertFalse(route.isRelayedWithin(50, 151));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void backoffDoublesUpToItsMaximum() {
+    void doublesBackoffUpToMaximum() {
         route.recordFailedRedirect(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, 0);
         assertFalse(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS - 1));
         assertTrue(route.isRedirectBackoffOver(2 * INITIAL_BACKOFF_MS));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void knowsTheNextHeartbeatByItsNumber() {
+    void recognizesNextHeartbeatBySequenceNumber() {
         route.recordHeartbeat(7, 100);
         assertTrue(route.isNextInSequence(8));
         assertFalse(route.isNextInSequence(9));
