--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -82,7 +82,7 @@
     @Override
     public void sendDirect(Request request, long timeoutMs, Consumer<Response> onResponse) {
         if (path.isRelayed()) {
-            // A request is relayed at most once: the peer that relayed it here must try another relay.
+            // A request is relayed at most once: the peer that sent it here must try another relay.
             onResponse.accept(Response.empty(HttpStatus.SERVICE_UNAVAILABLE));
             return;
         }
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Sends the request to another relay if that is allowed, or completes it with this response if no other copy is in
-     * flight.
+     * Tries another relay if the request may be retried. If none is tried and no other copy is in flight, completes the
+     * request with this response.
      */
     private void handleCopyFailure(StateStoreRequest request, Response response) {
         request.recordCopyFailure();
@@ -231,7 +231,7 @@
 
     private void switchToRelay(String relay) {
         log.warn(
-                "state store path changed: path=relay relay={} reason=\"no response over the old path\" openRequests={}",
+                "state store path changed: path=relay relay={} reason=\"old path does not respond\" openRequests={}",
                 relay,
                 openRequests.size());
         switchPath(relay);
--- a/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRelayQueue.java
@@ -45,7 +45,7 @@
     private static final double BATCH_DELAY_RATIO = 0.02;
     /** The fraction of a worker's timeout that is reserved for returning the reply. */
     private static final double REPLY_TIME_RATIO = 0.125;
-    /** A heartbeat is relayed only if at least its worker's timeout divided by this is left. */
+    /** A heartbeat is relayed only if the time left is at least its worker's timeout divided by this. */
     private static final int MIN_REMAINING_TIMEOUT_PART = 4;
 
     private final LeaderElection election;
--- a/src/main/java/notchpick/coordination/membership/PeerRegistry.java
+++ b/src/main/java/notchpick/coordination/membership/PeerRegistry.java
@@ -100,7 +100,7 @@
         return heartbeats.get(livePeer).heartbeat().getStateReachable();
     }
 
-    /** The number of workers that the live peers have recently redirected to the leader. */
+    /** The number of recent redirects of workers to the leader, summed over the live peers. */
     public int redirects() {
         return livePeers().stream()
                 .mapToInt(peer -> heartbeats.get(peer).heartbeat().getRedirects())
--- a/src/main/java/notchpick/coordination/membership/StateStorePath.java
+++ b/src/main/java/notchpick/coordination/membership/StateStorePath.java
@@ -16,7 +16,7 @@
     private long lastDirectSuccessAtMs = NEVER;
     /**
      * While requests are relayed, the time since when the direct link has served every copy sent over it; 0 if it has
-     * served none since the switch or the last failure. A link that flaps is thus not used again.
+     * served none. Any failure resets it, so that requests do not return to a link that flaps.
      */
     private long directHealthySinceMs;
 
--- a/src/main/java/notchpick/coordination/membership/package-info.java
+++ b/src/main/java/notchpick/coordination/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which controllers are alive, which of them leads, and how a controller reaches the others, the workers and the state
- * store when links between them fail.
+ * Tracks which controllers are alive, elects the leader, and keeps controllers, workers and the state store connected
+ * when links between them fail.
  *
  * <ul>
  *   <li>Links: {@link notchpick.coordination.membership.LinkMonitor} tracks the health of each link from its traffic.
