--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -5,12 +5,12 @@
 import notchpick.coordination.leader.term.LeaderAuthority;
 import notchpick.coordination.leader.term.TermContext;
 
-/** Schedules allocation rounds: soon after something has changed, and so that they take a bounded part of the time. */
+/** Schedules allocation rounds shortly after a change, and limits the fraction of time that they take. */
 final class AllocationScheduler implements HeartbeatHandler.AllocationRounds {
-    /** What changes within this part of a heartbeat period is handled in one round. */
+    /** The shortest delay of a round, as a fraction of the heartbeat period; one round handles all changes in it. */
     private static final double DELAY_RATIO = 0.01;
-    /** Rounds take no more than one part in so many of the time, however long one takes. */
-    private static final int MAX_TIME_SHARE = 10;
+    /** A round is delayed by this many times the duration of the last one, so that rounds leave time for other work. */
+    private static final int DELAY_PER_ROUND_TIME = 10;
 
     private final TermContext context;
     private final LeaderAuthority authority;
@@ -18,10 +18,10 @@
     private final Runnable roundEnded;
     private final long minDelayMs;
     private boolean scheduled;
-    private long begun;
+    private long startedRounds;
     private long lastRoundMs;
 
-    /** @param roundEnded is run after each round */
+    /** @param roundEnded is run after each round, also after one that was skipped as the lease is not held */
     AllocationScheduler(
             TermContext context, LeaderAuthority authority, ResourceAllocator allocator, Runnable roundEnded) {
         this.context = context;
@@ -35,23 +35,23 @@
     public void request() {
         if (!scheduled && authority.hasRecovered()) {
             scheduled = true;
-            context.timer().schedule(Math.max(minDelayMs, MAX_TIME_SHARE * lastRoundMs), this::run);
+            context.timer().schedule(Math.max(minDelayMs, DELAY_PER_ROUND_TIME * lastRoundMs), this::run);
         }
     }
 
     @Override
-    public long begun() {
-        return begun;
+    public long startedRounds() {
+        return startedRounds;
     }
 
     private void run() {
         scheduled = false;
-        begun++;
-        if (authority.holdsLease()) {
-            long begunAt = context.nowMs();
+        startedRounds++;
+        if (authority.hasLease()) {
+            long startedAtMs = context.nowMs();
             allocator.runRound();
-            // A round in which this process stood still tells nothing of how long one takes.
-            lastRoundMs = Math.min(context.nowMs() - begunAt, minDelayMs);
+            // Capped, because a pause of the process during the round would make the measured duration too long.
+            lastRoundMs = Math.min(context.nowMs() - startedAtMs, minDelayMs);
         }
         roundEnded.run();
     }
