--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -76,7 +76,10 @@
         }
     }
 
-    /** The condition after the newest request or message; {@link Condition#UNKNOWN} means that there was none. */
+    /**
+     * The condition after the newest request or message. {@link Condition#UNKNOWN} means that there was none, not that the
+     * link is down.
+     */
     Condition condition() {
         return condition;
     }
