--- a/src/main/java/notchpick/coordination/membership/LinkHealth.java
+++ b/src/main/java/notchpick/coordination/membership/LinkHealth.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * The condition after the newest request or message. {@link Condition#UNKNOWN} means that there was none, not that the
-     * link is down.
+     * The condition after the newest request or message. {@link Condition#UNKNOWN} means that there was none, not that
+     * the link is down.
      */
     Condition condition() {
         return condition;
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -94,7 +94,7 @@
         listener.heartbeatReceived(heartbeat);
     }
 
-    /** Exchanges link tables. A controller of a version without them refuses the message, and is not used as a relay. */
+    /** Exchanges link tables. A controller of a version without them refuses the message and is not used as a relay. */
     private void exchangeLinkTables() {
         LinkTable own = localStatus.linkTable();
         log.debug("links: {}", own);
