--- a/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
+++ b/src/main/java/notchpick/coordination/membership/HeartbeatRoutingPolicy.java
@@ -8,33 +8,33 @@
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 
 /**
- * Decides what a controller that does not lead does with a worker's heartbeat. A worker that can be expected to reach
- * the leader is redirected to it. One that has been there and is back has not got through: its heartbeats are relayed,
- * and from time to time it is redirected again. Times are handed in.
+ * Decides how a controller that does not lead handles a worker's heartbeat. A worker that can be expected to reach the
+ * leader is redirected to it. A worker that comes back after a redirect could not reach the leader: its heartbeats are
+ * relayed, and it is redirected again with increasing backoff. Callers pass the current time.
  */
 final class HeartbeatRoutingPolicy {
-    /** What is to be done with a heartbeat. */
+    /** How a heartbeat is handled. */
     sealed interface Decision {}
 
-    /** The worker is redirected to the leader. */
+    /** Redirects the worker to the leader. */
     record RedirectToLeader() implements Decision {}
 
-    /** The worker is redirected to another controller that may help. */
+    /** Redirects the worker to a relay, or again to a leader that may not accept relayed heartbeats. */
     record RedirectToPeer(String peer) implements Decision {}
 
-    /** No controller is known that could help: the worker goes on to the next one. */
-    record RedirectNowhere() implements Decision {}
+    /** Names no controller in the redirect, so that the worker tries the next one of its list. */
+    record TryNextController() implements Decision {}
 
-    /** The heartbeat is relayed to the leader from here. */
+    /** Relays the heartbeat from this controller to the leader. */
     record RelayToLeader(WorkerRoute route) implements Decision {}
 
-    /** A worker whose heartbeats are relayed is redirected to the leader again after so many worker leases at the most. */
+    /** The maximum backoff between redirects to the leader while heartbeats are relayed, in worker leases. */
     private static final int MAX_REDIRECT_BACKOFF_LEASES = 2;
-    /** A worker's route is forgotten after so many times the longest redirect backoff without a heartbeat. */
+    /** A worker's route is removed after this many maximum redirect backoffs without a heartbeat. */
     private static final int ROUTE_EXPIRY_BACKOFFS = 2;
-    /** A worker is relayed here if its heartbeat was within so many heartbeat periods. */
+    /** A worker counts as relayed by this controller for this many heartbeat periods after a relayed reply. */
     private static final int RELAYED_PERIODS = 2;
-    /** Paths that may have failed are probed so many times in a worker lease. */
+    /** The maximum number of probes of a path per worker lease. */
     private static final int PROBES_PER_LEASE = 2;
 
     private final String node;
@@ -59,33 +59,33 @@
         this.leaderProbesByZone = new ProbeLimiter(probeIntervalMs);
     }
 
-    /** Forgets routes of workers that have long not been here. */
-    void removeStaleRoutes(long now) {
+    /** Removes the routes of workers that have not sent a heartbeat here for a long time. */
+    void removeStaleRoutes(long nowMs) {
         long expiryMs = ROUTE_EXPIRY_BACKOFFS * maxRedirectBackoffMs;
-        routes.values().removeIf(route -> !route.hasHeartbeatWithin(expiryMs, now));
+        routes.values().removeIf(route -> !route.hasHeartbeatWithin(expiryMs, nowMs));
     }
 
     /**
-     * Decides what is to be done with the heartbeat.
+     * Decides how to handle the heartbeat, and updates the route of its worker.
      *
-     * @param leader another controller, which leads the term
-     * @param isRelayBusy whether this controller relays so many heartbeats that it is worth looking for more relays
+     * @param leader the leader of the term, which is not this controller
+     * @param isRelayBusy whether this controller relays so many heartbeats that it should find more relays
      */
-    Decision decide(Heartbeat heartbeat, String leader, long term, boolean isRelayBusy, long now) {
+    Decision decide(Heartbeat heartbeat, String leader, long term, boolean isRelayBusy, long nowMs) {
         WorkerRoute route = route(heartbeat.machine(), term);
-        boolean isRelayed = route.isRelayedWithin(RELAYED_PERIODS * heartbeatPeriodMs, now);
+        boolean isRelayed = route.isRelayedWithin(RELAYED_PERIODS * heartbeatPeriodMs, nowMs);
         if (isRelayed && route.isNextInSequence(heartbeat.sequence())) {
-            links.workerReplyDelivered(heartbeat.zone());
+            links.recordWorkerReply(heartbeat.zone());
         }
-        route.heartbeatReceived(heartbeat.sequence(), now);
-        if (shouldRedirectToLeader(heartbeat, leader, route, isRelayed, now)) {
-            route.redirectedToLeader(now);
+        route.recordHeartbeat(heartbeat.sequence(), nowMs);
+        if (shouldRedirectToLeader(heartbeat, leader, route, isRelayed, nowMs)) {
+            route.recordRedirectToLeader(nowMs);
             return new RedirectToLeader();
         }
-        if (!isRelayed && (!route.isEverRelayed() || isBackFromLeader(route, now))) {
-            route.redirectFailed(heartbeatPeriodMs, maxRedirectBackoffMs, now);
+        if (!isRelayed && (!route.hasEverBeenRelayed() || isBackFromLeader(route, nowMs))) {
+            route.recordFailedRedirect(heartbeatPeriodMs, maxRedirectBackoffMs, nowMs);
         }
-        return relay(heartbeat, leader, route, isRelayBusy, now);
+        return relay(heartbeat, leader, route, isRelayBusy, nowMs);
     }
 
     private WorkerRoute route(String machine, long term) {
@@ -97,40 +97,40 @@
         return route;
     }
 
-    private boolean isBackFromLeader(WorkerRoute route, long now) {
-        return route.isRedirectedToLeaderWithin(workerLeaseMs, now);
+    private boolean isBackFromLeader(WorkerRoute route, long nowMs) {
+        return route.isRedirectedToLeaderWithin(workerLeaseMs, nowMs);
     }
 
     private boolean shouldRedirectToLeader(
-            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayed, long now) {
+            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayed, long nowMs) {
         if (isRelayed) {
-            return route.isRedirectBackoffOver(now)
+            return route.isRedirectBackoffOver(nowMs)
                     && (relays.isReachedByWorkers(leader, heartbeat.zone())
-                            || leaderProbesByZone.tryAcquire(heartbeat.zone(), now));
+                            || leaderProbesByZone.tryAcquire(heartbeat.zone(), nowMs));
         }
-        // A worker that has this term's fencing token got it from the leader, and comes here because that path failed.
-        return heartbeat.fencingToken() < route.term() && !isBackFromLeader(route, now);
+        // A worker with the fencing token of this term got it from the leader, and comes here because that path failed.
+        return heartbeat.fencingToken() < route.term() && !isBackFromLeader(route, nowMs);
     }
 
-    private Decision relay(Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long now) {
-        Optional<String> relay = selectRelay(heartbeat, leader, route, isRelayBusy, now);
+    private Decision relay(Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long nowMs) {
+        Optional<String> relay = selectRelay(heartbeat, leader, route, isRelayBusy, nowMs);
         if (relay.isEmpty()) {
-            route.redirectedElsewhere(now);
-            return mayBeUnableToRelay(leader) ? new RedirectToPeer(leader) : new RedirectNowhere();
+            route.recordRedirectElsewhere(nowMs);
+            return mayBeUnableToRelay(leader) ? new RedirectToPeer(leader) : new TryNextController();
         }
-        // A worker that was sent to its relay and is back is relayed here, lest it be sent to and fro.
-        if (relay.get().equals(node) || route.isRedirectedElsewhereWithin(workerLeaseMs, now)) {
+        // A worker that comes back from its relay is relayed here, as it would otherwise be redirected back and forth.
+        if (relay.get().equals(node) || route.isRedirectedElsewhereWithin(workerLeaseMs, nowMs)) {
             return new RelayToLeader(route);
         }
-        route.redirectedElsewhere(now);
+        route.recordRedirectElsewhere(nowMs);
         return new RedirectToPeer(relay.get());
     }
 
     private Optional<String> selectRelay(
-            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long now) {
+            Heartbeat heartbeat, String leader, WorkerRoute route, boolean isRelayBusy, long nowMs) {
         List<String> candidates = relays.candidates(leader, heartbeat.zone());
-        if (isRelayBusy && !candidates.isEmpty() && !route.isRedirectedElsewhereWithin(workerLeaseMs, now)) {
-            Optional<String> probed = relays.relayToProbe(heartbeat.machine(), leader, candidates, now);
+        if (isRelayBusy && !candidates.isEmpty() && !route.isRedirectedElsewhereWithin(workerLeaseMs, nowMs)) {
+            Optional<String> probed = relays.relayToProbe(heartbeat.machine(), leader, candidates, nowMs);
             if (probed.isPresent()) {
                 return probed;
             }
@@ -138,7 +138,10 @@
         return relays.relayFor(heartbeat.machine(), candidates);
     }
 
-    /** A live leader of a version that accepts no relayed heartbeats: a worker can only try it again. */
+    /**
+     * Whether the leader is live but has sent no link table, as in versions that accept no relayed heartbeats. A worker
+     * can only try to reach such a leader directly.
+     */
     private boolean mayBeUnableToRelay(String leader) {
         return !peers.hasLinkTable(leader) && peers.livePeers().contains(leader);
     }
