--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -21,7 +21,7 @@
         run.stateStore().setRefused(leader, true);
         run.runLater(
                 durationMs,
-                "the state store accepts " + leader + " again",
+                leader + " is accepted by the state store again",
                 () -> run.stateStore().setRefused(leader, false));
     }),
     OUTAGE((run, leader, durationMs) -> {
--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -124,7 +124,7 @@
         return random;
     }
 
-    /** A random number within the bounds, both included. */
+    /** A random number from least to most, both included. */
     long between(long least, long most) {
         return least + random.nextInt((int) (most - least + 1));
     }
@@ -193,7 +193,7 @@
     void injectMachineFault(long durationMs, MachineFault fault) {
         List<SimulatedWorker> some = workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
-        runLater(durationMs, "machine fault ended", () -> some.forEach(worker -> fault.set(worker, false)));
+        runLater(durationMs, "machines are healthy again", () -> some.forEach(worker -> fault.set(worker, false)));
     }
 
     /** The cloud reclaims from 1 to this many machines. */
@@ -246,7 +246,7 @@
         while (count.getAsInt() == before && cluster.time().now() < untilMs) {
             cluster.runFor(WAIT_STEP_MS);
         }
-        log(count.getAsInt() == before ? "waited without success for " + event : "after " + event);
+        log(count.getAsInt() == before ? "waited for " + event + " without success" : "after " + event);
         cluster.runFor(between(0, 400));
     }
 }
