--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -28,8 +28,8 @@
     WRITES_UNANSWERED((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, true)),
     HEARTBEATS_DUPLICATED((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, false)),
     HEARTBEATS_DUPLICATED_FOR_NEXT_LEADER((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, true)),
-    MACHINES_DEAF((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setDeaf)),
-    MACHINES_MUTE((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setMute)),
+    MACHINES_DEAF((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setInboundLost)),
+    MACHINES_MUTE((run, leader, durationMs) -> run.disturbMachines(durationMs, SimulatedWorker::setOutboundLost)),
     MACHINES_HANG((run, leader, durationMs) -> run.workers().stream()
             .limit(run.between(1, 6))
             .forEach(worker -> run.cluster().fleet().hang(worker, Math.min(durationMs, 30_000)))),
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -113,7 +113,7 @@
         run.cluster().runFor(LONGEST_FAULT_MS);
         run.log("faults are over");
         run.cluster().users().setCancelAtCompletionShare(0);
-        run.cluster().faultsOver();
+        run.cluster().markFaultsOver();
         run.cluster().runFor(SETTLING_MS);
     }
 
--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -84,7 +84,8 @@
         cluster.users().setCancelAtCompletionShare(0.2);
         for (int i = 0; i < STREAM_JOBS; i++) {
             String job = String.format("run-01%04d", i);
-            cluster.time().after(STREAM_INTERVAL_MS * i, () -> submitValid(job, Map.of("tasks", "3", "team", "b"), 5));
+            cluster.time()
+                    .schedule(STREAM_INTERVAL_MS * i, () -> submitValid(job, Map.of("tasks", "3", "team", "b"), 5));
         }
     }
 
@@ -151,12 +152,12 @@
     }
 
     void log(String event) {
-        eventLog.add("at " + cluster.time().now() / 1000.0 + " " + event);
+        eventLog.add("at " + cluster.time().nowMs() / 1000.0 + " " + event);
     }
 
     /** Does something later and logs it then. */
     void later(long delayMs, String event, Runnable work) {
-        cluster.time().after(delayMs, () -> {
+        cluster.time().schedule(delayMs, () -> {
             log(event);
             work.run();
         });
@@ -179,7 +180,7 @@
     /** Cuts the link between two hosts or groups for a while. */
     void cut(String one, String other, long durationMs) {
         network().cut(one, other, Cut.HOLD);
-        cluster.time().after(durationMs, () -> network().heal(one, other));
+        cluster.time().schedule(durationMs, () -> network().heal(one, other));
     }
 
     /** Packets in one direction take longer for a while. */
@@ -245,8 +246,8 @@
     /** Goes on until shortly after the event has come about once more, or has not for a while. */
     private void awaitEvent(String event, IntSupplier count) {
         int before = count.getAsInt();
-        long until = cluster.time().now() + MAX_WAIT_MS;
-        while (count.getAsInt() == before && cluster.time().now() < until) {
+        long until = cluster.time().nowMs() + MAX_WAIT_MS;
+        while (count.getAsInt() == before && cluster.time().nowMs() < until) {
             cluster.runFor(WAIT_STEP_MS);
         }
         log(count.getAsInt() == before ? "no " + event + " came" : "after " + event);
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -121,7 +121,7 @@
             disturbLink(cluster, random, nodes, REACHABLE_FOR_WORKERS);
             cluster.runFor(500 + random.nextInt(4500));
         }
-        assertEquals(0, cluster.invariants().killedByLeaseExpiry(), "seed " + seed);
+        assertEquals(0, cluster.invariants().tasksKilledByLeaseExpiry(), "seed " + seed);
         assertRecovers(cluster, seed, List.of("done"));
     }
 
@@ -143,7 +143,7 @@
                 case 0 -> cluster.controllers().crash(node, 200 + random.nextInt(6000));
                 case 1 -> cluster.controllers().freeze(node, 500 + random.nextInt(20_000));
                 case 2 -> cluster.stateStore().setOutage(random.nextInt(3) == 0);
-                case 3 -> cluster.stateStore().loseCommits(1 + random.nextInt(3), random.nextInt(20_000));
+                case 3 -> cluster.stateStore().leaveCommitsUnanswered(1 + random.nextInt(3), random.nextInt(20_000));
                 case 4 -> {
                     if (i == 15) {
                         cluster.users().cancel(JOBS.get(2));
--- a/src/test/java/notchpick/ScenarioExpectations.java
+++ b/src/test/java/notchpick/ScenarioExpectations.java
@@ -25,7 +25,7 @@
                     "longest-start-order-after-cancel",
                     cluster -> cluster.invariants().longestStartOrderAfterCancelMs() / 1000.0),
             entry("lost-start-orders", SimulatedCluster::lostStartOrders),
-            entry("killed-by-lease-expiry", cluster -> cluster.invariants().killedByLeaseExpiry()),
+            entry("killed-by-lease-expiry", cluster -> cluster.invariants().tasksKilledByLeaseExpiry()),
             entry("longest-pause", cluster -> cluster.invariants().longestPauseMs() / 1000.0),
             entry(
                     "running-tasks",
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -107,7 +107,8 @@
             entry("enforce-announced-limits", (cluster, step) -> cluster.enforceAnnouncedLimits()),
             entry(
                     "lose-commits",
-                    (cluster, step) -> cluster.stateStore().loseCommits(step.intArgument(0), step.millisArgument(1))),
+                    (cluster, step) ->
+                            cluster.stateStore().leaveCommitsUnanswered(step.intArgument(0), step.millisArgument(1))),
             entry(
                     "unanswered-writes",
                     (cluster, step) -> cluster.stateStore()
@@ -140,20 +141,25 @@
             entry(
                     "unhang-all",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
-            entry("deaf", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
-            entry("mute", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
+            entry(
+                    "deaf",
+                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setInboundLost(true))),
+            entry(
+                    "mute",
+                    (cluster, step) ->
+                            workers(cluster, step.subject()).forEach(worker -> worker.setOutboundLost(true))),
             entry(
                     "heal-machines",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
-                        worker.setDeaf(false);
-                        worker.setMute(false);
+                        worker.setInboundLost(false);
+                        worker.setOutboundLost(false);
                     })),
-            entry("sick", (cluster, step) -> worker(cluster, step).setSick()));
+            entry("sick", (cluster, step) -> worker(cluster, step).setFaulty()));
 
     private static final Map<String, Verb> CHECK_VERBS = Map.of(
             "expect", ScenarioExpectations::check,
             "reset-longest-pause", (cluster, step) -> cluster.invariants().resetLongestPause(),
-            "faults-over", (cluster, step) -> cluster.faultsOver());
+            "faults-over", (cluster, step) -> cluster.markFaultsOver());
 
     private ScenarioVerbs() {}
 
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -71,7 +71,7 @@
         for (int i = 0; i < jobs; i++) {
             String id = prefix + (1000 + i);
             long submitAtMs = (long) (1000 * i / jobsPerS);
-            cluster.time().after(submitAtMs, () -> {
+            cluster.time().schedule(submitAtMs, () -> {
                 try {
                     submit(cluster, id, options);
                 } catch (InvalidMessageException e) {
@@ -80,7 +80,7 @@
             });
             if (random.nextDouble() < cancelShare) {
                 cluster.time()
-                        .after(
+                        .schedule(
                                 submitAtMs + 200 + random.nextInt(4000),
                                 () -> cluster.users().cancel(id));
             }
--- a/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
+++ b/src/test/java/notchpick/coordination/leader/allocation/ResourceAllocatorTest.java
@@ -47,7 +47,7 @@
 class ResourceAllocatorTest {
     private static final long TERM = 7;
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final ClusterState cluster = new ClusterState(over -> {});
     private final List<TaskAssignment> placedTasks = new ArrayList<>();
     private Grant granted;
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -37,7 +37,7 @@
             List.of());
 
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final LinkMonitor links = new LinkMonitor(loop, DEPLOYMENT);
     private final PeerRegistry peers = new PeerRegistry(loop, DEPLOYMENT, links);
     private final HeartbeatRoutingPolicy policy = new HeartbeatRoutingPolicy(DEPLOYMENT, peers, links);
@@ -83,7 +83,7 @@
     }
 
     private void advance(long ms) {
-        simulation.runUntil(simulation.now() + ms);
+        simulation.runUntil(simulation.nowMs() + ms);
         leaderCanRelay();
     }
 
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -18,11 +18,11 @@
 /** A state store with records of another format is refused, not misread. */
 class LeaderElectionTest {
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final SimulatedStateStore stateStore =
-            new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
+            new SimulatedStateStore(simulation::nowMs, simulation::schedule, 12, 300, 100);
     private final StateStoreClient client = new StateStoreClient(
-            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> stateStore.handle(call, then)),
+            (call, timeoutMs, hasty, then) -> simulation.schedule(5, () -> stateStore.handle(call, then)),
             loop,
             "s:1",
             1500,
--- a/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
+++ b/src/test/java/notchpick/coordination/membership/PeerRegistryTest.java
@@ -32,7 +32,7 @@
             new Deployment.WorkerTiming(4, 20, 40), List.of(new Peer("n-1", "b:2"), new Peer("n-2", "c:2")), List.of());
 
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final LinkMonitor links = new LinkMonitor(loop, DEPLOYMENT);
     private final PeerRegistry peers = new PeerRegistry(loop, DEPLOYMENT, links);
 
--- a/src/test/java/notchpick/load/FleetLoad.java
+++ b/src/test/java/notchpick/load/FleetLoad.java
@@ -39,7 +39,7 @@
  * machines (0: only the start), seconds of measuring, seconds that a task runs, and the command that runs the
  * controller, but for its settings file. The stand-ins run in real time here.
  */
-public final class FleetLoad implements SimulatedWorker.Jobs {
+public final class FleetLoad implements SimulatedWorker.JobBehavior {
     private static final WorkerTiming TIMING = new WorkerTiming(5, 30, 60);
     private static final int TASKS_PER_MACHINE = 4;
     private static final int TASKS_PER_JOB = 200;
@@ -54,8 +54,8 @@
     private final SimulatedTime time = new SimulatedTime();
     private final ConcurrentLinkedQueue<Runnable> arrived = new ConcurrentLinkedQueue<>();
     private final long startedAt = System.nanoTime();
-    private final InvariantChecker invariants = new InvariantChecker(time::now, 60_000, Map.of());
-    private final SimulatedStateStore stateStore = new SimulatedStateStore(time::now, time::after, 12, 1000, 60);
+    private final InvariantChecker invariants = new InvariantChecker(time::nowMs, 60_000, Map.of());
+    private final SimulatedStateStore stateStore = new SimulatedStateStore(time::nowMs, time::schedule, 12, 1000, 60);
     private final Resources demand = new Resources(2, 0, 4);
     private long heartbeats;
     private int jobs;
@@ -92,7 +92,7 @@
         try {
             awaitReady(caller, addresses.get(2), controller);
             if (machines > 0) {
-                time.after(SUBMIT_AFTER_MS, () -> submit(caller, addresses.get(2)));
+                time.schedule(SUBMIT_AFTER_MS, () -> submit(caller, addresses.get(2)));
                 measure(seconds, controller);
             }
         } finally {
@@ -113,8 +113,8 @@
                 time, invariants, this, new SimulatedWorker.Listener() {}, controllers, TIMING, new HashMap<>());
         MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1, 1, 0.3, 5, List.of("east", "west"));
         SimulatedCloud cloud = new SimulatedCloud(
-                time::now,
-                time::after,
+                time::nowMs,
+                time::schedule,
                 Map.of(type.name(), type),
                 machine -> new SimulatedWorker(machine, countingCaller, environment));
         cloud.setCapacity(new NodePool(type.name(), "east", true), machines / 2);
@@ -236,7 +236,7 @@
                     .put("bookmarkWriteS", 0.0);
             caller.call(new Request(address, "POST", "/submissions", Json.bytes(body)), 5000, answer -> {});
         }
-        time.after(1000, () -> submit(caller, address));
+        time.schedule(1000, () -> submit(caller, address));
     }
 
     private static ObjectNode settings(List<String> addresses) {
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -43,7 +43,7 @@
      * @param cancelRequested the jobs that users have asked to cancel
      */
     void leaderRefused(List<String> cancelRequested) {
-        leaderRefusedAt = time.now();
+        leaderRefusedAt = time.nowMs();
         // A cancellation from a moment before has left the store by now.
         cancelRequested.stream()
                 .map(this::openRecordDeletedAt)
@@ -67,7 +67,7 @@
         }
         if (controllers.leader().isEmpty() || controllers.term() == controllers.lastTermEndedByCrash()) {
             occurrences.increment(Occurrence.CANCELLED_WITHOUT_LEADER);
-        } else if (stateStore.refuses(controllers.leader().get())) {
+        } else if (stateStore.isRefused(controllers.leader().get())) {
             occurrences.increment(Occurrence.CANCELLED_WHILE_LEADER_REFUSED);
         }
     }
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -68,7 +68,7 @@
             keptForNextLeader.add(heartbeat);
         } else {
             int sentInTerm = controllers.term();
-            time.after(MIN_DELAY_MS + random.nextInt((int) (MAX_EXTRA_DELAY_LEASES * leaseMs)), () -> {
+            time.schedule(MIN_DELAY_MS + random.nextInt((int) (MAX_EXTRA_DELAY_LEASES * leaseMs)), () -> {
                 boolean isLaterTerm = controllers.term() > sentInTerm;
                 occurrences.increment(
                         isLaterTerm ? Occurrence.HEARTBEAT_DUPLICATED_IN_LATER_TERM : Occurrence.HEARTBEAT_DUPLICATED);
@@ -78,7 +78,7 @@
     }
 
     private void awaitElection() {
-        time.after(ELECTION_CHECK_PERIOD_MS, () -> {
+        time.schedule(ELECTION_CHECK_PERIOD_MS, () -> {
             int term = controllers.leader().isPresent() ? controllers.term() : 0;
             if (term > keptInTerm) {
                 keptInTerm = term;
@@ -97,7 +97,7 @@
         keptForNextLeader.clear();
         for (int i = 0; i < copies.size(); i++) {
             byte[] copy = copies.get(i);
-            time.after(KEPT_COPIES_WITHIN_MS * i / copies.size(), () -> {
+            time.schedule(KEPT_COPIES_WITHIN_MS * i / copies.size(), () -> {
                 occurrences.increment(Occurrence.HEARTBEAT_DUPLICATED_FOR_NEXT_LEADER);
                 deliver(copy);
             });
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -79,7 +79,7 @@
     }
 
     /** Tasks that were killed since their worker got no answer for its whole lease. */
-    public int killedByLeaseExpiry() {
+    public int tasksKilledByLeaseExpiry() {
         return killedByLeaseExpiry;
     }
 
--- a/src/test/java/notchpick/simulation/JobGroundTruth.java
+++ b/src/test/java/notchpick/simulation/JobGroundTruth.java
@@ -10,7 +10,7 @@
 import notchpick.scheduling.Resources;
 
 /** What the tasks of the submitted jobs do when they run, which the service does not know. */
-final class JobGroundTruth implements SimulatedWorker.Jobs {
+final class JobGroundTruth implements SimulatedWorker.JobBehavior {
     /**
      * A submitted job.
      *
--- a/src/test/java/notchpick/simulation/RentedMachine.java
+++ b/src/test/java/notchpick/simulation/RentedMachine.java
@@ -5,6 +5,6 @@
 /**
  * A machine that somebody pays for.
  *
- * @param rentedAt when it was rented, by the cloud's clock in milliseconds
+ * @param rentedAtMs when it was rented, by the cloud's clock in milliseconds
  */
-public record RentedMachine(String name, MachineType type, String zone, boolean spot, long rentedAt) {}
+public record RentedMachine(String name, MachineType type, String zone, boolean spot, long rentedAtMs) {}
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -233,7 +233,7 @@
                 .put("site", machine.zone())
                 .put("borrowed", machine.spot())
                 .put("status", listedStatus(machine))
-                .put("ageS", (clock.getAsLong() - machine.rentedAt()) / MS_PER_S);
+                .put("ageS", (clock.getAsLong() - machine.rentedAtMs()) / MS_PER_S);
     }
 
     private String listedStatus(RentedMachine machine) {
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -44,10 +44,10 @@
         WorkerTiming timing = config.timing();
         Random random = new Random(RANDOM_SEED);
         HttpCaller userCaller = network.callerOf(USER_HOST, () -> true);
-        invariants = new InvariantChecker(time::now, timing.cancelTimeoutMs(), coreLimits(config.teams()));
+        invariants = new InvariantChecker(time::nowMs, timing.cancelTimeoutMs(), coreLimits(config.teams()));
         stateStore = new SimulatedStateStore(
-                time::now,
-                time::after,
+                time::nowMs,
+                time::schedule,
                 config.limits().transactionWrites(),
                 config.requestsPerS(),
                 config.limits().writesPerS());
@@ -58,7 +58,7 @@
         WorkerEnvironment environment = new WorkerEnvironment(
                 time, invariants, jobs, new WorkerEvents(), controllers.userAddresses(), timing, new HashMap<>());
         fleet = new SimulatedFleet(network, jobs, occurrences, environment);
-        cloud = new SimulatedCloud(time::now, time::after, machineTypes(config.machineTypes()), fleet);
+        cloud = new SimulatedCloud(time::nowMs, time::schedule, machineTypes(config.machineTypes()), fleet);
         cancellationCircumstances =
                 new CancellationCircumstances(config.teams(), time, stateStore, controllers, fleet, occurrences);
         waitingJobMonitor = new WaitingJobMonitor(time, invariants, config.teams(), jobs, fleet, users);
@@ -92,7 +92,7 @@
             network.joinZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
         }
         users.setCancellationListener(cancellationCircumstances);
-        stateStore.whenPut(StateKeys.LEADER, users::leaderElected);
+        stateStore.setPutListener(StateKeys.LEADER, users::leaderElected);
         occurrences.countedBy(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
         occurrences.countedBy(Occurrence.PACKET_DELAYED, network::delayedPackets);
     }
@@ -109,7 +109,7 @@
 
     /** Advances the time by this much and runs what falls due. */
     public void runFor(long durationMs) {
-        time.runUntil(time.now() + durationMs);
+        time.runUntil(time.nowMs() + durationMs);
     }
 
     public SimulatedNetwork network() {
@@ -161,7 +161,7 @@
 
     /** From now on the state store accepts no more than the announced limits allow. */
     public void enforceAnnouncedLimits() {
-        stateStore.limits(config.announcedLimits());
+        stateStore.setLimits(config.announcedLimits());
     }
 
     /** An outage of the state store begins or ends. */
@@ -194,7 +194,7 @@
     }
 
     /** No fault is active from now on: a job that waits though it could start breaks a rule. */
-    public void faultsOver() {
+    public void markFaultsOver() {
         invariants.faultsOver();
         waitingJobMonitor.start();
     }
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -121,7 +121,7 @@
             case 1 -> SLOW_CLOCK_PERCENT;
             default -> 0;
         };
-        return time.loop(
+        return time.newEventLoop(
                 fastPercent,
                 index * 100L - 100,
                 () -> generations.get(node) == generation,
@@ -172,19 +172,19 @@
     /** Ends a controller's process and starts another one later. */
     public void crash(String node, long restartMs) {
         crash(node);
-        time.after(restartMs, () -> start(node));
+        time.schedule(restartMs, () -> start(node));
     }
 
     /** The host loses power: nothing refuses, nothing answers. When the power is back a new process starts. */
     public void losePower(String node, long durationMs) {
         crash(node, durationMs);
         network.setPowered(node, false);
-        time.after(durationMs, () -> network.setPowered(node, true));
+        time.schedule(durationMs, () -> network.setPowered(node, true));
     }
 
     /** The process is paused while its clocks run on; what is sent to it waits. */
     public void freeze(String node, long durationMs) {
-        long until = time.now() + durationMs;
+        long until = time.nowMs() + durationMs;
         frozenUntil.put(node, until);
         network.freeze(node, until);
     }
--- a/src/test/java/notchpick/simulation/SimulatedFleet.java
+++ b/src/test/java/notchpick/simulation/SimulatedFleet.java
@@ -115,7 +115,7 @@
     /** The worker's machine stands still for a while. */
     public void hang(SimulatedWorker worker, long durationMs) {
         worker.setHanging(true);
-        time.after(durationMs, () -> worker.setHanging(false));
+        time.schedule(durationMs, () -> worker.setHanging(false));
         occurrences.increment(Occurrence.MACHINE_HANG);
     }
 
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -135,7 +135,7 @@
             cuts.remove(route);
             List<Runnable> late = heldBack.remove(route);
             if (late != null) {
-                late.forEach(packet -> time.after(LATENCY_MS, packet));
+                late.forEach(packet -> time.schedule(LATENCY_MS, packet));
             }
         }
     }
@@ -170,12 +170,12 @@
         if (cut.isEmpty()) {
             long delayMs = delayMsBetween(from, to);
             delayedPackets += delayMs > 0 ? 1 : 0;
-            long frozenForMs = frozenUntil.getOrDefault(to, 0L) - time.now();
-            time.after(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
+            long frozenForMs = frozenUntil.getOrDefault(to, 0L) - time.nowMs();
+            time.schedule(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
         } else if (cuts.get(cut.get()) == Cut.HOLD) {
             heldBack.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
         } else {
-            time.after(LATENCY_MS, reset);
+            time.schedule(LATENCY_MS, reset);
         }
     }
 
@@ -183,12 +183,12 @@
     public HttpCaller callerOf(String host, BooleanSupplier isAlive) {
         return (call, timeoutMs, then) -> {
             callCounts.merge(call.target(), 1, Integer::sum);
-            transcript.called(time.now(), host, call);
+            transcript.called(time.nowMs(), host, call);
             Consumer<Response> answerOnce = once(then, isAlive);
-            time.after(timeoutMs, () -> answerOnce.accept(Response.UNANSWERED));
+            time.schedule(timeoutMs, () -> answerOnce.accept(Response.UNANSWERED));
             String to = hostsByAddress.get(call.target());
             if (cutBetween(host, to).filter(cut -> cuts.get(cut) == Cut.REFUSE).isPresent()) {
-                time.after(LATENCY_MS, () -> answerOnce.accept(Response.CONNECTION_REFUSED));
+                time.schedule(LATENCY_MS, () -> answerOnce.accept(Response.CONNECTION_REFUSED));
                 return;
             }
             Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
@@ -216,7 +216,7 @@
         }
         // The state store refuses by who calls, so the caller's name goes along.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
-            transcript.answered(time.now(), to, from, call, answer);
+            transcript.answered(time.nowMs(), to, from, call, answer);
             carry(to, from, () -> answerOnce.accept(answer), reset);
         });
     }
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -84,8 +84,8 @@
     }
 
     /** Runs the listener each time the key is written. */
-    public void whenPut(String key, Runnable listener) {
-        data.whenPut(key, listener);
+    public void setPutListener(String key, Runnable listener) {
+        data.setPutListener(key, listener);
     }
 
     /** Stores a value as another version of the service left it. */
@@ -122,7 +122,7 @@
     // ---- limits and faults ---------------------------------------------------------------------
 
     /** From now on these limits hold; what is stored stays readable. */
-    public void limits(StateStoreLimits limits) {
+    public void setLimits(StateStoreLimits limits) {
         maxValueBytes = limits.valueBytes();
         maxTransactionWrites = limits.transactionWrites();
         writeRate.setRate(limits.writesPerS());
@@ -150,13 +150,13 @@
         }
     }
 
-    public boolean refuses(String host) {
-        return faults.refuses(host);
+    public boolean isRefused(String host) {
+        return faults.isRefused(host);
     }
 
     /** The next so many transactions get no answer, and are applied this much later. */
-    public void loseCommits(int count, long delayMs) {
-        faults.loseCommits(count, delayMs);
+    public void leaveCommitsUnanswered(int count, long delayMs) {
+        faults.leaveCommitsUnanswered(count, delayMs);
     }
 
     /**
@@ -187,7 +187,7 @@
             reply.accept(OVER_RATE);
             return;
         }
-        if (faults.isOutage() || faults.refuses(call.target())) {
+        if (faults.isOutage() || faults.isRefused(call.target())) {
             // Watches that are open already wait; no new one is accepted.
             reply.accept(UNAVAILABLE);
             return;
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -16,32 +16,32 @@
 
     private final PriorityQueue<ScheduledWork> queue =
             new PriorityQueue<>(Comparator.comparingLong(ScheduledWork::at).thenComparingLong(ScheduledWork::sequence));
-    private long now;
+    private long nowMs;
     private long sequence;
 
     /** Milliseconds since the start of the simulation. */
-    public long now() {
-        return now;
+    public long nowMs() {
+        return nowMs;
     }
 
     /** Schedules work; a negative delay counts as none. */
-    public void after(long delayMs, Runnable work) {
-        queue.add(new ScheduledWork(now + Math.max(0, delayMs), sequence++, work));
+    public void schedule(long delayMs, Runnable work) {
+        queue.add(new ScheduledWork(nowMs + Math.max(0, delayMs), sequence++, work));
     }
 
     /** Advances the time and runs all work that falls due. */
     public void runUntil(long end) {
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             ScheduledWork next = queue.poll();
-            now = next.at();
+            nowMs = next.at();
             next.work().run();
         }
-        now = end;
+        nowMs = end;
     }
 
     /** The event loop of a process that is never paused. */
-    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
-        return loop(fastPercent, wallOffsetMs, isAlive, () -> 0);
+    public EventLoop newEventLoop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
+        return newEventLoop(fastPercent, wallOffsetMs, isAlive, () -> 0);
     }
 
     /**
@@ -51,17 +51,18 @@
      * @param wallOffsetMs by how much its time of day is off
      * @param frozenUntil until when the process is paused while its clocks run on
      */
-    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntil) {
+    public EventLoop newEventLoop(
+            double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntil) {
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
             public long nowMs() {
-                return STEADY_CLOCK_START_MS + (long) (now * rate);
+                return STEADY_CLOCK_START_MS + (long) (nowMs * rate);
             }
 
             @Override
             public long wallTimeMs() {
-                return WALL_CLOCK_START_MS + now + wallOffsetMs;
+                return WALL_CLOCK_START_MS + nowMs + wallOffsetMs;
             }
 
             @Override
@@ -75,8 +76,8 @@
             }
 
             private void runAfter(long delayMs, Runnable work) {
-                SimulatedTime.this.after(delayMs, () -> {
-                    long frozenForMs = frozenUntil.getAsLong() - now;
+                SimulatedTime.this.schedule(delayMs, () -> {
+                    long frozenForMs = frozenUntil.getAsLong() - nowMs;
                     if (frozenForMs > 0) {
                         runAfter(frozenForMs, work);
                     } else if (isAlive.getAsBoolean()) {
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -121,21 +121,21 @@
             throws InvalidMessageException {
         SubmittedJob job = jobs.add(body, runS, runTimeVariation, fails);
         invariants.submitted(job.spec());
-        submitUntil(job.spec().id(), body, time.now() + SUBMISSION_RETRIES_MS);
+        submitUntil(job.spec().id(), body, time.nowMs() + SUBMISSION_RETRIES_MS);
     }
 
     private void submitUntil(String job, ObjectNode body, long retryUntil) {
-        long requestedAt = time.now();
+        long requestedAt = time.nowMs();
         call("POST", "/submissions", Json.bytes(body), answer -> {
             lastHttpStatuses.put(job, answer.status());
             recordAnswer(job, answer, requestedAt);
             if (isSuccess(answer)) {
                 readIfClosely(job);
-                time.after(POLL_PERIOD_MS, () -> poll(job));
-            } else if (!isRefusal(answer) && time.now() < retryUntil) {
+                time.schedule(POLL_PERIOD_MS, () -> poll(job));
+            } else if (!isRefusal(answer) && time.nowMs() < retryUntil) {
                 deferredSubmissions++;
                 deferredWithoutRetryAfter += answer.status() == 503 && answer.retryAfterS() <= 0 ? 1 : 0;
-                time.after(RETRY_DELAY_MS, () -> submitUntil(job, body, retryUntil));
+                time.schedule(RETRY_DELAY_MS, () -> submitUntil(job, body, retryUntil));
             }
         });
     }
@@ -162,7 +162,7 @@
 
     /** Submits an accepted job once more, to one controller. */
     public void resubmit(String job) {
-        long requestedAt = time.now();
+        long requestedAt = time.nowMs();
         call("POST", "/submissions", Json.bytes(jobs.job(job).body()), answer -> {
             lastHttpStatuses.put(job, answer.status());
             recordAnswer(job, answer, requestedAt);
@@ -170,7 +170,7 @@
     }
 
     private void resubmitAtAllControllers(String job) {
-        long requestedAt = time.now();
+        long requestedAt = time.nowMs();
         byte[] body = Json.bytes(jobs.job(job).body());
         for (String node : controllers.nodes()) {
             callNode(node, "POST", "/submissions", body, answer -> recordAnswer(job, answer, requestedAt));
@@ -181,12 +181,12 @@
 
     /** Reads the job's state, now and again until the job has ended. */
     public void poll(String job) {
-        long requestedAt = time.now();
+        long requestedAt = time.nowMs();
         call("GET", "/submissions/" + job, null, answer -> {
             lastHttpStatuses.put(job, answer.status());
             recordAnswer(job, answer, requestedAt);
             if (jobs.contains(job) && !InvariantChecker.isFinal(lastState(job))) {
-                time.after(POLL_PERIOD_MS, () -> poll(job));
+                time.schedule(POLL_PERIOD_MS, () -> poll(job));
             }
         });
     }
@@ -194,8 +194,8 @@
     /** Reads the job's state so many times within a second; a read without an answer is not retried. */
     public void pollBurst(String job, int polls) {
         for (int i = 0; i < polls; i++) {
-            time.after(1000L * i / polls, () -> {
-                long requestedAt = time.now();
+            time.schedule(1000L * i / polls, () -> {
+                long requestedAt = time.nowMs();
                 call("GET", "/submissions/" + job, null, answer -> {
                     recordAnswer(job, answer, requestedAt);
                     pollBurstAnswers.merge(answer.status(), 1, Integer::sum);
@@ -208,8 +208,8 @@
     public void readAtAllControllers(String job) {
         resubmitAtAllControllers(job);
         for (int i = 0; i < READS_AT_ALL_CONTROLLERS; i++) {
-            time.after(READ_INTERVAL_MS * i, () -> {
-                long requestedAt = time.now();
+            time.schedule(READ_INTERVAL_MS * i, () -> {
+                long requestedAt = time.nowMs();
                 for (String node : controllers.nodes()) {
                     callNode(
                             node, "GET", "/submissions/" + job, null, answer -> recordAnswer(job, answer, requestedAt));
@@ -264,12 +264,12 @@
     /** Cancels the job; repeats the request until a controller has confirmed the job's state. */
     public void cancel(String job) {
         invariants.cancelRequested(job);
-        long requestedAt = time.now();
+        long requestedAt = time.nowMs();
         call("POST", "/submissions/" + job + "/abort", new byte[0], answer -> {
             String stateBefore = lastState(job);
             recordAnswer(job, answer, requestedAt);
             if (answer.status() != 200) {
-                time.after(RETRY_DELAY_MS, () -> cancel(job));
+                time.schedule(RETRY_DELAY_MS, () -> cancel(job));
                 return;
             }
             if (lastState(job).equals("cancelled") && !stateBefore.equals("cancelled")) {
@@ -286,7 +286,7 @@
                 .sorted(Comparator.comparingLong((String job) -> -jobs.job(job).runMs()))
                 .limit(count)
                 .toList();
-        chosen.forEach(job -> time.after(random.nextInt(CANCELLATIONS_WITHIN_MS), () -> cancel(job)));
+        chosen.forEach(job -> time.schedule(random.nextInt(CANCELLATIONS_WITHIN_MS), () -> cancel(job)));
         return chosen;
     }
 
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -14,7 +14,7 @@
 /** A worker, written from its published protocol: exchanges heartbeats with a controller and carries out orders. */
 public final class SimulatedWorker {
     /** What is true of the jobs that users submitted. */
-    public interface Jobs {
+    public interface JobBehavior {
         /** What each task of the job takes; null if there is no such job. */
         Resources demand(String job);
 
@@ -90,7 +90,7 @@
         this.tasks = new WorkerTasks(machine, environment, faults, this::reportChange);
         this.lease = new WorkerLease(time, environment.timing().leaseMs(), faults, this::leaseExpired);
         lease.scheduleExpiry();
-        scheduleHeartbeat(time.now());
+        scheduleHeartbeat(time.nowMs());
     }
 
     public String name() {
@@ -128,23 +128,23 @@
             faults.startHanging();
         } else {
             faults.stopHanging();
-            scheduleHeartbeat(time.now());
+            scheduleHeartbeat(time.nowMs());
         }
     }
 
     /** From now on what is sent to the worker is lost, while its heartbeats arrive; or no longer. */
-    public void setDeaf(boolean active) {
-        faults.setDeaf(active);
+    public void setInboundLost(boolean active) {
+        faults.setInboundLost(active);
     }
 
     /** From now on the worker's heartbeats are lost, or no longer. */
-    public void setMute(boolean active) {
-        faults.setMute(active);
+    public void setOutboundLost(boolean active) {
+        faults.setOutboundLost(active);
     }
 
     /** From now on every task on the machine fails soon after its start. */
-    public void setSick() {
-        faults.setSick();
+    public void setFaulty() {
+        faults.setFaulty();
     }
 
     /** The cloud announces that it takes the machine back after so many seconds. */
@@ -169,7 +169,7 @@
     private void scheduleHeartbeat(long at) {
         long scheduledAt = Math.max(at, lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS);
         nextHeartbeatAt = scheduledAt;
-        time.after(scheduledAt - time.now(), () -> {
+        time.schedule(scheduledAt - time.nowMs(), () -> {
             if (nextHeartbeatAt == scheduledAt) {
                 sendHeartbeat();
             }
@@ -178,7 +178,7 @@
 
     private void reportChange() {
         if (!awaitsAnswer) {
-            scheduleHeartbeat(Math.min(nextHeartbeatAt, time.now()));
+            scheduleHeartbeat(Math.min(nextHeartbeatAt, time.nowMs()));
         }
     }
 
@@ -187,12 +187,12 @@
             return;
         }
         awaitsAnswer = true;
-        lastHeartbeatAt = time.now();
-        SentHeartbeat sent = new SentHeartbeat(time.now(), lease.incarnation(), tasks.toHeartbeat());
+        lastHeartbeatAt = time.nowMs();
+        SentHeartbeat sent = new SentHeartbeat(time.nowMs(), lease.incarnation(), tasks.toHeartbeat());
         byte[] heartbeat = Json.bytes(heartbeat(sent.tasks()));
         environment.listener().heartbeatSent(heartbeat);
-        if (faults.isMute()) {
-            time.after(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
+        if (faults.isOutboundLost()) {
+            time.schedule(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
             return;
         }
         String address = environment.controllers().get(controllers.get(controller));
@@ -218,7 +218,7 @@
     }
 
     private void receiveAnswer(Response answer, SentHeartbeat sent) {
-        if (!faults.isDeaf()) {
+        if (!faults.isInboundLost()) {
             handleAnswer(answer, sent);
             return;
         }
@@ -229,7 +229,7 @@
                 }
             });
         }
-        time.after(sent.sentAt() + ANSWER_TIMEOUT_MS - time.now(), () -> handleAnswer(Response.UNANSWERED, sent));
+        time.schedule(sent.sentAt() + ANSWER_TIMEOUT_MS - time.nowMs(), () -> handleAnswer(Response.UNANSWERED, sent));
     }
 
     private void handleAnswer(Response answer, SentHeartbeat sent) {
@@ -250,7 +250,7 @@
     }
 
     private boolean isTimedOut(SentHeartbeat sent) {
-        return time.now() - sent.sentAt() >= ANSWER_TIMEOUT_MS;
+        return time.nowMs() - sent.sentAt() >= ANSWER_TIMEOUT_MS;
     }
 
     private void handleOrders(ObjectNode answer, SentHeartbeat sent) {
@@ -265,7 +265,7 @@
         }
         boolean hasChanged =
                 isNewTerm || !sent.tasks().equals(tasks.toHeartbeat()) || sent.incarnation() != lease.incarnation();
-        scheduleHeartbeat(hasChanged ? time.now() : nextPeriodicHeartbeatAt());
+        scheduleHeartbeat(hasChanged ? time.nowMs() : nextPeriodicHeartbeatAt());
     }
 
     private long nextPeriodicHeartbeatAt() {
@@ -276,7 +276,7 @@
     private void followRedirect(String leader) {
         if (controllers.contains(leader) && controllers.indexOf(leader) != controller) {
             controller = controllers.indexOf(leader);
-            scheduleHeartbeat(time.now() + REDIRECT_DELAY_MS);
+            scheduleHeartbeat(time.nowMs() + REDIRECT_DELAY_MS);
         } else {
             tryNextController();
         }
@@ -284,7 +284,7 @@
 
     private void tryNextController() {
         controller = (controller + 1) % controllers.size();
-        scheduleHeartbeat(time.now() + NEXT_CONTROLLER_DELAY_MS);
+        scheduleHeartbeat(time.nowMs() + NEXT_CONTROLLER_DELAY_MS);
     }
 
     // ---- orders --------------------------------------------------------------------------------
@@ -307,7 +307,7 @@
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
         }
-        if (faults.isDead() || faults.isHanging() || faults.isDeaf()) {
+        if (faults.isDead() || faults.isHanging() || faults.isInboundLost()) {
             return Response.UNANSWERED;
         }
         long token = body.path("mandate").asLong();
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -18,10 +18,10 @@
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedWorker worker = new SimulatedWorker(
             new RentedMachine("m-1", ClusterConfig.machineType("m8", 10), "east", true, 0),
-            (call, timeoutMs, then) -> time.after(timeoutMs, () -> then.accept(Response.UNANSWERED)),
+            (call, timeoutMs, then) -> time.schedule(timeoutMs, () -> then.accept(Response.UNANSWERED)),
             new WorkerEnvironment(
                     time,
-                    new InvariantChecker(time::now, TIMING.cancelTimeoutMs(), Map.of()),
+                    new InvariantChecker(time::nowMs, TIMING.cancelTimeoutMs(), Map.of()),
                     new OneMinuteJobs(),
                     new SimulatedWorker.Listener() {},
                     Map.of("node-0", "10.0.0.1:8080"),
@@ -29,7 +29,7 @@
                     new HashMap<>()));
 
     /** Every task takes one core for a minute. */
-    private static final class OneMinuteJobs implements SimulatedWorker.Jobs {
+    private static final class OneMinuteJobs implements SimulatedWorker.JobBehavior {
         @Override
         public Resources demand(String job) {
             return new Resources(1, 0, 1);
@@ -89,7 +89,7 @@
 
     @Test
     void receivesNoCommandWhileDeaf() {
-        worker.setDeaf(true);
+        worker.setInboundLost(true);
         assertEquals(Response.UNANSWERED.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
     }
--- a/src/test/java/notchpick/simulation/StateStoreData.java
+++ b/src/test/java/notchpick/simulation/StateStoreData.java
@@ -96,7 +96,7 @@
         return deletedAt.getOrDefault(key, -1L);
     }
 
-    void whenPut(String key, Runnable listener) {
+    void setPutListener(String key, Runnable listener) {
         putListeners.put(key, listener);
     }
 }
--- a/src/test/java/notchpick/simulation/StateStoreFaults.java
+++ b/src/test/java/notchpick/simulation/StateStoreFaults.java
@@ -31,7 +31,7 @@
         outage = active;
     }
 
-    boolean refuses(String host) {
+    boolean isRefused(String host) {
         return refusedHosts.contains(host);
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** The next so many transactions get no answer, and are applied this much later. */
-    void loseCommits(int count, long delayMs) {
+    void leaveCommitsUnanswered(int count, long delayMs) {
         commitsToLose = count;
         lostCommitDelayMs = delayMs;
     }
--- a/src/test/java/notchpick/simulation/StateStoreWatches.java
+++ b/src/test/java/notchpick/simulation/StateStoreWatches.java
@@ -52,7 +52,7 @@
             return;
         }
         for (Watch watch : List.copyOf(open)) {
-            if (faults.refuses(watch.host()) || (faults.areWatchesHanging() && watch.mayWait())) {
+            if (faults.isRefused(watch.host()) || (faults.areWatchesHanging() && watch.mayWait())) {
                 continue;
             }
             List<Change> changes = data.changesSince(watch.since(), watch.prefix());
--- a/src/test/java/notchpick/simulation/WaitingJobMonitor.java
+++ b/src/test/java/notchpick/simulation/WaitingJobMonitor.java
@@ -38,7 +38,7 @@
         jobs.jobs().stream()
                 .filter(job -> users.hasAnswerAbout(job.spec().id()))
                 .forEach(job -> invariants.waits(job.spec().id(), couldStart(job)));
-        time.after(PERIOD_MS, this::start);
+        time.schedule(PERIOD_MS, this::start);
     }
 
     private boolean couldStart(SubmittedJob job) {
--- a/src/test/java/notchpick/simulation/WorkerEnvironment.java
+++ b/src/test/java/notchpick/simulation/WorkerEnvironment.java
@@ -13,7 +13,7 @@
 public record WorkerEnvironment(
         SimulatedTime time,
         InvariantChecker invariants,
-        SimulatedWorker.Jobs jobs,
+        SimulatedWorker.JobBehavior jobs,
         SimulatedWorker.Listener listener,
         Map<String, String> controllers,
         WorkerTiming timing,
--- a/src/test/java/notchpick/simulation/WorkerFaults.java
+++ b/src/test/java/notchpick/simulation/WorkerFaults.java
@@ -44,29 +44,29 @@
     }
 
     /** Whether its heartbeats arrive and what is sent to it is lost. */
-    boolean isDeaf() {
+    boolean isInboundLost() {
         return deaf;
     }
 
-    void setDeaf(boolean active) {
+    void setInboundLost(boolean active) {
         deaf = active;
     }
 
     /** Whether its heartbeats are lost. */
-    boolean isMute() {
+    boolean isOutboundLost() {
         return mute;
     }
 
-    void setMute(boolean active) {
+    void setOutboundLost(boolean active) {
         mute = active;
     }
 
     /** Whether every task on it fails soon after its start. */
-    boolean isSick() {
+    boolean isFaulty() {
         return sick;
     }
 
-    void setSick() {
+    void setFaulty() {
         sick = true;
     }
 
--- a/src/test/java/notchpick/simulation/WorkerLease.java
+++ b/src/test/java/notchpick/simulation/WorkerLease.java
@@ -23,7 +23,7 @@
         this.leaseMs = leaseMs;
         this.faults = faults;
         this.listener = listener;
-        this.renewedAt = time.now();
+        this.renewedAt = time.nowMs();
     }
 
     long incarnation() {
@@ -48,13 +48,13 @@
     /** Ends the incarnation unless the lease is renewed until then. */
     void scheduleExpiry() {
         long renewedAtNow = renewedAt;
-        time.after(renewedAtNow + leaseMs - time.now() + 1, () -> {
+        time.schedule(renewedAtNow + leaseMs - time.nowMs() + 1, () -> {
             if (faults.isDead()) {
                 return;
             }
             if (renewedAt == renewedAtNow) {
                 incarnation++;
-                renewedAt = time.now();
+                renewedAt = time.nowMs();
                 listener.leaseExpired();
             }
             scheduleExpiry();
--- a/src/test/java/notchpick/simulation/WorkerTasks.java
+++ b/src/test/java/notchpick/simulation/WorkerTasks.java
@@ -108,7 +108,7 @@
         } else if (!demand.fitsIn(machine.type().size().minus(used))) {
             exit(task, "full");
         } else {
-            time.after(FETCH_MS, () -> run(key, task));
+            time.schedule(FETCH_MS, () -> run(key, task));
         }
     }
 
@@ -134,11 +134,11 @@
             faults.defer(() -> run(key, task));
             return;
         }
-        task.start(time.now());
+        task.start(time.nowMs());
         invariants.started(machine.name(), task.name(), machine.type().name(), machine.zone(), machine.spot());
         listener.tasksChanged();
-        long runMs = faults.isSick() ? RUN_ON_SICK_MACHINE_MS : remainingRunMs(task.name());
-        time.after(Math.max(MIN_RUN_MS, runMs), () -> complete(key, task));
+        long runMs = faults.isFaulty() ? RUN_ON_SICK_MACHINE_MS : remainingRunMs(task.name());
+        time.schedule(Math.max(MIN_RUN_MS, runMs), () -> complete(key, task));
     }
 
     private long remainingRunMs(String task) {
@@ -156,7 +156,7 @@
             return;
         }
         invariants.stopped(machine.name(), task.name());
-        if (faults.isSick() || environment.jobs().fails(task.job())) {
+        if (faults.isFaulty() || environment.jobs().fails(task.job())) {
             exit(task, "error");
         } else {
             invariants.completed(task.name());
@@ -181,9 +181,9 @@
 
     private void save(WorkerTask task) {
         task.startSaving();
-        time.after(SAVE_MS, () -> {
+        time.schedule(SAVE_MS, () -> {
             if (!faults.isDead() && tasks.containsValue(task) && task.state() == State.SAVING) {
-                environment.checkpoints().merge(task.name(), time.now() - task.startedAt(), Long::sum);
+                environment.checkpoints().merge(task.name(), time.nowMs() - task.startedAt(), Long::sum);
                 invariants.stopped(machine.name(), task.name());
                 exit(task, "stopped");
             }
--- a/src/test/java/notchpick/storage/FencedWriterTest.java
+++ b/src/test/java/notchpick/storage/FencedWriterTest.java
@@ -24,11 +24,12 @@
     private static final String KEY = "open/run-000001";
 
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final SimulatedStateStore state =
-            new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
+            new SimulatedStateStore(simulation::nowMs, simulation::schedule, MAX_WRITES, 300, 60);
     private final StateStoreClient client = new StateStoreClient(
-            StateStoreTransport.direct((call, timeoutMs, then) -> simulation.after(5, () -> state.handle(call, then))),
+            StateStoreTransport.direct(
+                    (call, timeoutMs, then) -> simulation.schedule(5, () -> state.handle(call, then))),
             loop,
             "s:1",
             1500,
@@ -134,13 +135,13 @@
 
     @Test
     void rejectedChangeDoesNotBlockOthers() {
-        state.limits(new StateStoreLimits(100, MAX_WRITES, 60));
+        state.setLimits(new StateStoreLimits(100, MAX_WRITES, 60));
         write("first", KeyWrite.put("a", value("1")));
         write("too long", KeyWrite.put("b", value("x".repeat(200))));
         write("last", KeyWrite.put("c", value("3")));
         simulation.runUntil(2000);
         assertEquals(List.of("first committed", "too long rejected", "last committed"), events);
-        state.limits(new StateStoreLimits(1000, MAX_WRITES, 60));
+        state.setLimits(new StateStoreLimits(1000, MAX_WRITES, 60));
         simulation.runUntil(15_000);
         assertEquals("too long committed", events.get(events.size() - 1));
     }
--- a/src/test/java/notchpick/storage/PackedRecordsTest.java
+++ b/src/test/java/notchpick/storage/PackedRecordsTest.java
@@ -38,9 +38,9 @@
     private static final int MAX_WRITES = 12;
 
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final SimulatedStateStore state =
-            new SimulatedStateStore(simulation::now, simulation::after, MAX_WRITES, 300, 60);
+            new SimulatedStateStore(simulation::nowMs, simulation::schedule, MAX_WRITES, 300, 60);
     private final StateStoreClient client =
             new StateStoreClient(StateStoreTransport.direct(this::call), loop, "s:1", 1500, 250);
     private final FencedWriter writer = new FencedWriter(client, loop, loop, 0, MAX_WRITES, 42, () -> {});
@@ -61,8 +61,8 @@
                 then.accept(response);
             }
         };
-        simulation.after(6, () -> state.handle(call, once));
-        simulation.after(timeoutMs, () -> once.accept(Response.UNANSWERED));
+        simulation.schedule(6, () -> state.handle(call, once));
+        simulation.schedule(timeoutMs, () -> once.accept(Response.UNANSWERED));
     }
 
     private static JobSpec spec(String id, int tasks) {
@@ -106,10 +106,10 @@
             }
             // About 50 ms between batches of launches.
             if (i % 4 == 3) {
-                simulation.runUntil(simulation.now() + 53);
+                simulation.runUntil(simulation.nowMs() + 53);
             }
         }
-        simulation.runUntil(simulation.now() + 2000);
+        simulation.runUntil(simulation.nowMs() + 2000);
         assertTrue(durable.containsAll(all), "all launches are durable");
         assertTrue(state.writes() < 4500 / 3, state.writes() + " writes for 4500 launches");
         Set<String> stored = stored();
@@ -135,7 +135,7 @@
 
     @Test
     void unansweredWriteIsRepeated() {
-        state.loseCommits(2, 4000);
+        state.leaveCommitsUnanswered(2, 4000);
         TaskAssignment first = assignment(1);
         launches.save(first);
         simulation.runUntil(1000);
@@ -229,7 +229,7 @@
     @Test
     void oversizedValueIsKeptUntilItsRecordsAreDurableElsewhere() {
         List<TaskAssignment> records = preloadLargeValue(0, 200);
-        state.limits(new StateStoreLimits(SMALL_VALUE_BYTES, 4, 42));
+        state.setLimits(new StateStoreLimits(SMALL_VALUE_BYTES, 4, 42));
         FencedWriter smallWriter = new FencedWriter(client, loop, loop, 0, 4, 29, () -> {});
         PackedRecords<TaskAssignment> values = smallValues(smallWriter);
         values.load(StateKeys.LAUNCHES + 0, records);
@@ -241,7 +241,7 @@
         changed.forEach(values::save);
         for (int i = 0; i < 400; i++) {
             values.compact();
-            simulation.runUntil(simulation.now() + 7);
+            simulation.runUntil(simulation.nowMs() + 7);
             Set<String> stored = stored();
             for (TaskAssignment assignment : records.subList(60, 200)) {
                 assertTrue(
@@ -259,7 +259,7 @@
 
     @Test
     void rejectedValueIsSplitAndDoesNotBlockOtherWrites() {
-        state.limits(new StateStoreLimits(SMALL_VALUE_BYTES, 12, 42));
+        state.setLimits(new StateStoreLimits(SMALL_VALUE_BYTES, 12, 42));
         // The values that the settings allow are larger than the state store accepts.
         for (int i = 0; i < 150; i++) {
             launches.save(assignment(i));
--- a/src/test/java/notchpick/transport/TokenBucketTest.java
+++ b/src/test/java/notchpick/transport/TokenBucketTest.java
@@ -8,14 +8,14 @@
 /** A token bucket refills at its rate, up to its capacity. */
 class TokenBucketTest {
     private final SimulatedTime simulation = new SimulatedTime();
-    private final TokenBucket bucket = new TokenBucket(simulation.loop(0, 0, () -> true), 100, 20, 5);
+    private final TokenBucket bucket = new TokenBucket(simulation.newEventLoop(0, 0, () -> true), 100, 20, 5);
 
     @Test
     void refillsAtItsRateUpToItsCapacity() {
         assertEquals(5, bucket.available());
-        simulation.runUntil(simulation.now() + 100);
+        simulation.runUntil(simulation.nowMs() + 100);
         assertEquals(15, bucket.available());
-        simulation.runUntil(simulation.now() + 100);
+        simulation.runUntil(simulation.nowMs() + 100);
         assertEquals(20, bucket.available());
     }
 
@@ -24,7 +24,7 @@
         bucket.take(8);
         assertEquals(-3, bucket.available());
         assertEquals(40, bucket.msUntil(1));
-        simulation.runUntil(simulation.now() + 40);
+        simulation.runUntil(simulation.nowMs() + 40);
         assertEquals(1, bucket.available());
         assertEquals(0, bucket.msUntil(1));
     }
