--- a/src/test/java/notchpick/simulation/CancellationChecker.java
+++ b/src/test/java/notchpick/simulation/CancellationChecker.java
@@ -12,7 +12,7 @@
     private final LongSupplier clock;
     private final long cancelTimeoutMs;
     private final Set<String> requested = new HashSet<>();
-    private final Map<String, Long> confirmedAt = new HashMap<>();
+    private final Map<String, Long> confirmedAtMs = new HashMap<>();
     private long starts;
     private long startOrders;
     private long longestUntilStoppedMs;
@@ -24,7 +24,7 @@
         this.cancelTimeoutMs = cancelTimeoutMs;
     }
 
-    void requested(String job) {
+    void recordRequest(String job) {
         requested.add(job);
     }
 
@@ -33,17 +33,17 @@
     }
 
     /** A user got the answer that the job is cancelled; the first answer counts. */
-    void confirmed(String job) {
-        confirmedAt.putIfAbsent(job, clock.getAsLong());
+    void recordConfirmation(String job) {
+        confirmedAtMs.putIfAbsent(job, clock.getAsLong());
     }
 
     boolean isConfirmed(String job) {
-        return confirmedAt.containsKey(job);
+        return confirmedAtMs.containsKey(job);
     }
 
     /** The time since the job's cancellation was confirmed; empty if none was. */
     private Optional<Long> sinceConfirmationMs(String job) {
-        return Optional.ofNullable(confirmedAt.get(job)).map(at -> clock.getAsLong() - at);
+        return Optional.ofNullable(confirmedAtMs.get(job)).map(atMs -> clock.getAsLong() - atMs);
     }
 
     /** Whether the tasks of the job must have stopped by now. */
@@ -51,8 +51,8 @@
         return sinceConfirmationMs(job).filter(ms -> ms > cancelTimeoutMs).isPresent();
     }
 
-    /** A worker was ordered to start a task of the job; answers how long after its cancellation, if it was cancelled. */
-    Optional<Long> startOrdered(String job) {
+    /** Records a start order for a task of the job; returns the time since the confirmation, empty if there was none. */
+    Optional<Long> recordStartOrder(String job) {
         Optional<Long> delayMs = sinceConfirmationMs(job);
         delayMs.ifPresent(ms -> {
             startOrders++;
@@ -61,11 +61,11 @@
         return delayMs;
     }
 
-    void started(String job) {
+    void recordStart(String job) {
         starts += isConfirmed(job) ? 1 : 0;
     }
 
-    void stopped(String job) {
+    void recordStop(String job) {
         sinceConfirmationMs(job).ifPresent(ms -> longestUntilStoppedMs = Math.max(longestUntilStoppedMs, ms));
     }
 
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -10,7 +10,7 @@
     /** A cancellation and a refusal of the leader no further apart count as simultaneous. */
     private static final long SIMULTANEOUS_MS = 20;
     /** A team that may not hold this much more is at its limit. */
-    private static final Resources LEAST_HEADROOM = new Resources(1, 0, 0);
+    private static final Resources MIN_HEADROOM = new Resources(1, 0, 0);
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -20,7 +20,7 @@
     private final SimulatedControllers controllers;
     private final SimulatedFleet fleet;
     private final OccurrenceCounters occurrences;
-    private long leaderRefusedAt = NEVER;
+    private long leaderRefusedAtMs = NEVER;
 
     CancellationCircumstances(
             List<Quota> teams,
@@ -42,23 +42,23 @@
      *
      * @param cancelRequested the jobs that users have asked to cancel
      */
-    void leaderRefused(List<String> cancelRequested) {
-        leaderRefusedAt = time.nowMs();
+    void recordLeaderRefusal(List<String> cancelRequested) {
+        leaderRefusedAtMs = time.nowMs();
         // A cancellation from a moment before has left the store by now.
         cancelRequested.stream()
-                .map(this::openRecordDeletedAt)
-                .filter(deletedAt -> deletedAt >= 0 && leaderRefusedAt - deletedAt <= SIMULTANEOUS_MS)
-                .forEach(deletedAt -> occurrences.increment(Occurrence.CANCELLED_JUST_BEFORE_LEADER_REFUSED));
+                .map(this::openRecordDeletedAtMs)
+                .filter(deletedAtMs -> deletedAtMs >= 0 && leaderRefusedAtMs - deletedAtMs <= SIMULTANEOUS_MS)
+                .forEach(deletedAtMs -> occurrences.increment(Occurrence.CANCELLED_JUST_BEFORE_LEADER_REFUSED));
     }
 
-    private long openRecordDeletedAt(String job) {
-        return stateStore.deletedAt(StateKeys.OPEN_JOBS + job);
+    private long openRecordDeletedAtMs(String job) {
+        return stateStore.deletedAtMs(StateKeys.OPEN_JOBS + job);
     }
 
     @Override
     public void cancellationConfirmed(String job) {
         occurrences.increment(Occurrence.CANCELLATION_CONFIRMED);
-        long afterRefusalMs = openRecordDeletedAt(job) - leaderRefusedAt;
+        long afterRefusalMs = openRecordDeletedAtMs(job) - leaderRefusedAtMs;
         if (afterRefusalMs >= 0 && afterRefusalMs <= SIMULTANEOUS_MS) {
             occurrences.increment(Occurrence.CANCELLED_JUST_AFTER_LEADER_REFUSED);
         }
@@ -79,6 +79,6 @@
         return !limited.isEmpty()
                 && limited.stream()
                         .noneMatch(
-                                team -> team.allows(fleet.usageOf(team.team()).plus(LEAST_HEADROOM)));
+                                team -> team.allows(fleet.usageOf(team.team()).plus(MIN_HEADROOM)));
     }
 }
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -13,7 +13,7 @@
     /** How much longer it may be under way, in workers' leases. */
     private static final double MAX_EXTRA_DELAY_LEASES = 1.4;
     /** Copies that were kept for the next leader arrive within so long. */
-    private static final long KEPT_COPIES_WITHIN_MS = 2000;
+    private static final long KEPT_COPIES_DELIVERY_MS = 2000;
 
     private static final long ELECTION_CHECK_PERIOD_MS = 20;
     private static final int TIMEOUT_MS = 5000;
@@ -28,7 +28,7 @@
     private double share;
     private boolean forNextLeader;
     private int keptInTerm;
-    private boolean awaitsElection;
+    private boolean isAwaitingElection;
 
     HeartbeatDuplicator(
             SimulatedTime time,
@@ -49,18 +49,18 @@
      * From now on a copy of this share of the heartbeats arrives again: from two seconds to well over a lease later, or
      * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to 0.
      */
-    void set(double newShare, boolean keepForNextLeader) {
+    void setShare(double newShare, boolean keepForNextLeader) {
         share = newShare;
         forNextLeader = keepForNextLeader;
-        if (forNextLeader && !awaitsElection) {
-            awaitsElection = true;
+        if (forNextLeader && !isAwaitingElection) {
+            isAwaitingElection = true;
             keptInTerm = controllers.term();
             awaitElection();
         }
     }
 
     /** A worker sends this heartbeat. */
-    void heartbeatSent(byte[] heartbeat) {
+    void onHeartbeatSent(byte[] heartbeat) {
         if (random.nextDouble() >= share) {
             return;
         }
@@ -84,8 +84,8 @@
                 keptInTerm = term;
                 deliverKept();
             }
-            awaitsElection = forNextLeader;
-            if (awaitsElection) {
+            isAwaitingElection = forNextLeader;
+            if (isAwaitingElection) {
                 awaitElection();
             }
         });
@@ -97,7 +97,7 @@
         keptForNextLeader.clear();
         for (int i = 0; i < copies.size(); i++) {
             byte[] copy = copies.get(i);
-            time.schedule(KEPT_COPIES_WITHIN_MS * i / copies.size(), () -> {
+            time.schedule(KEPT_COPIES_DELIVERY_MS * i / copies.size(), () -> {
                 occurrences.increment(Occurrence.HEARTBEAT_DUPLICATED_FOR_NEXT_LEADER);
                 deliver(copy);
             });
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -12,13 +12,13 @@
 import java.util.function.LongSupplier;
 import notchpick.scheduling.JobSpec;
 
-/** Checks the protocol's rules from what really happens on machines and what users are answered. */
+/** Checks the protocol's rules against the events on machines and the answers that users get. */
 public final class InvariantChecker {
-    /** "Once all troubles are over, a job about which no question is answered for 75 s counts as forgotten." */
+    /** Once all faults are over, a job about which no request is answered for longer than this counts as lost. */
     static final long MAX_UNANSWERED_MS = 75_000;
-    /** "No job is left waiting for 90 s while a machine that fits has room and its team is under its limit." */
+    /** The longest time that a job may wait while a suitable machine has room and its team is under its limit. */
     static final long MAX_WAITING_MS = 90_000;
-    /** The sum of what a team's tasks hold is rounded; the rule "more than the team's limit" allows nothing else. */
+    /** Allowance for rounding in the sum of a team's cores; a team may not exceed its limit by anything else. */
     private static final double ROUNDING = 1e-6;
 
     private static final double MS_PER_S = 1000;
@@ -30,28 +30,28 @@
     private final Map<String, Double> coreLimits;
     private final Map<String, JobSpec> jobs = new HashMap<>();
     private final Map<String, RunningTask> running = new HashMap<>();
-    private final Set<String> complete = new HashSet<>();
+    private final Set<String> completed = new HashSet<>();
     private final CancellationChecker cancellations;
     private final AnswerHistory answers = new AnswerHistory();
-    private final ServedJobs served = new ServedJobs();
-    /** When a request about the job was last answered. */
-    private final Map<String, Long> lastAnswerAt = new HashMap<>();
-    /** Since when a job waits though it could start. */
-    private final Map<String, Long> waitingSince = new HashMap<>();
-    /** Submissions that must not be accepted. */
-    private final Set<String> invalid = new HashSet<>();
+    private final ServedJobs servedJobs = new ServedJobs();
+    /** When a request about a job was last answered, by job. */
+    private final Map<String, Long> lastAnswerAtMs = new HashMap<>();
+    /** Since when a job has been waiting although it could start, by job. */
+    private final Map<String, Long> waitingSinceMs = new HashMap<>();
+    /** Ids of submissions that must not be accepted. */
+    private final Set<String> invalidJobs = new HashSet<>();
 
     private final List<String> violations = new ArrayList<>();
     private int starts;
-    private int killedByLeaseExpiry;
-    private long lastStartAt;
+    private int tasksKilledByLeaseExpiry;
+    private long lastStartAtMs;
     private long longestPauseMs;
-    private long faultsOverAt = Long.MAX_VALUE / 2;
+    private long faultsOverAtMs = Long.MAX_VALUE / 2;
 
     /**
-     * @param clock the time in milliseconds
-     * @param cancelTimeoutMs how long tasks of a cancelled job may still run
-     * @param coreLimits by team; absent: none
+     * @param clock the current time in milliseconds
+     * @param cancelTimeoutMs how long tasks of a job may still run after a user was told that it is cancelled
+     * @param coreLimits the most cores a team may hold, by team; a team without an entry has no limit
      */
     public InvariantChecker(LongSupplier clock, long cancelTimeoutMs, Map<String, Double> coreLimits) {
         this.clock = clock;
@@ -59,18 +59,16 @@
         this.cancellations = new CancellationChecker(clock, cancelTimeoutMs);
     }
 
-    // ---- results -------------------------------------------------------------------------------
-
-    /** The violations of rules so far, a line each. */
+    /** The rule violations so far, one line each. */
     public List<String> violations() {
         List<String> all = new ArrayList<>(violations);
         running.keySet().forEach(task -> checkCancelledTaskStopped(task, all));
         return all;
     }
 
-    /** Classes, teams and largest jobs of a class of which less than half was served, or which began too late. */
+    /** Classes, teams and largest jobs of a class that were less than half served, or mostly started too late. */
     public List<String> underserved() {
-        return served.underserved();
+        return servedJobs.underserved();
     }
 
     /** How many tasks have started. */
@@ -78,58 +76,58 @@
         return starts;
     }
 
-    /** Tasks that were killed since their worker got no answer for its whole lease. */
+    /** How many tasks were killed because their worker got no answer for a whole lease. */
     public int tasksKilledByLeaseExpiry() {
-        return killedByLeaseExpiry;
+        return tasksKilledByLeaseExpiry;
     }
 
-    /** The longest time in which nothing started anywhere. */
+    /** The longest time without a task start on any machine. */
     public long longestPauseMs() {
-        return Math.max(longestPauseMs, clock.getAsLong() - lastStartAt);
+        return Math.max(longestPauseMs, clock.getAsLong() - lastStartAtMs);
     }
 
-    /** From now on pauses between starts are measured anew. */
+    /** Restarts the measurement of {@link #longestPauseMs}. */
     public void resetLongestPause() {
-        lastStartAt = clock.getAsLong();
+        lastStartAtMs = clock.getAsLong();
         longestPauseMs = 0;
     }
 
-    /** Starts of jobs whose cancellation had been confirmed, whether or not the order was already in flight. */
+    /** Task starts after the job's cancellation was confirmed, including those ordered before the confirmation. */
     public long startsAfterCancel() {
         return cancellations.starts();
     }
 
-    /** Orders to start that a worker was given after the job's cancellation had been confirmed. */
+    /** Start orders that a worker received after the job's cancellation was confirmed. */
     public long startOrdersAfterCancel() {
         return cancellations.startOrders();
     }
 
-    /** The longest time from a confirmation until a worker was ordered to start a task of the job; 0: none was. */
+    /** The longest time from a confirmation until a worker was ordered to start a task of the job; 0 if none was. */
     public long longestStartOrderAfterCancelMs() {
         return cancellations.longestUntilStartOrderMs();
     }
 
-    /** The longest time from a confirmation until a task of the job had stopped. */
+    /** The longest time from a confirmed cancellation until a task of the job stopped; 0 if none did. */
     public long longestRunAfterCancelMs() {
         return cancellations.longestUntilStoppedMs();
     }
 
-    /** Whether the task has completed on some machine. */
+    /** Whether the task has completed on any machine. */
     public boolean isComplete(String task) {
-        return complete.contains(task);
+        return completed.contains(task);
     }
 
     /** How many tasks of the job have completed. */
     public long completedTasks(JobSpec job) {
-        return complete.stream().filter(task -> jobOf(task).equals(job.id())).count();
+        return completed.stream().filter(task -> jobOf(task).equals(job.id())).count();
     }
 
-    private void violation(String rule, String what) {
-        violations.add(violationNow(rule, what));
+    private void addViolation(String rule, String details) {
+        violations.add(formatViolation(rule, details));
     }
 
-    private String violationNow(String rule, String what) {
-        return rule + ": " + what + " at " + clock.getAsLong() / MS_PER_S;
+    private String formatViolation(String rule, String details) {
+        return rule + ": " + details + " at " + clock.getAsLong() / MS_PER_S;
     }
 
     static String jobOf(String task) {
@@ -140,96 +138,92 @@
         return "done".equals(state) || "cancelled".equals(state);
     }
 
-    // ---- what users do -------------------------------------------------------------------------
-
-    /** A user submits a job. */
-    public void submitted(JobSpec job) {
+    /** Records that a user submits a job. */
+    public void recordSubmission(JobSpec job) {
         jobs.put(job.id(), job);
-        served.submitted(job, clock.getAsLong());
+        servedJobs.recordSubmission(job, clock.getAsLong());
     }
 
-    /** A user sends a submission of this id that can never run or lacks a field. */
-    public void submittedInvalid(String job) {
-        invalid.add(job);
-        served.excused(job);
+    /** Records that a user sends a submission under this id that must be rejected. */
+    public void recordInvalidSubmission(String job) {
+        invalidJobs.add(job);
+        servedJobs.exempt(job);
     }
 
-    /** A user asks to cancel the job. */
-    public void cancelRequested(String job) {
-        cancellations.requested(job);
-        served.excused(job);
+    /** Records that a user asks to cancel the job. */
+    public void recordCancelRequest(String job) {
+        cancellations.recordRequest(job);
+        servedJobs.exempt(job);
     }
 
     boolean isCancelRequested(String job) {
         return cancellations.isRequested(job);
     }
 
-    // ---- what happens on machines --------------------------------------------------------------
-
-    /** So many tasks were killed at the end of their worker's lease. */
-    public void killedByLeaseExpiry(int tasks) {
-        killedByLeaseExpiry += tasks;
+    /** Records that this many tasks were killed when their worker's lease expired. */
+    public void recordKilledByLeaseExpiry(int tasks) {
+        tasksKilledByLeaseExpiry += tasks;
     }
 
     /**
-     * A worker has been ordered to start a task.
+     * Records that a worker was ordered to start a task.
      *
-     * @param maxDelayMs how long after a confirmed cancellation a start may still be on its way
+     * @param maxDelayMs how long after a confirmed cancellation a start order may still arrive
      */
-    public void startOrdered(String machine, String task, long maxDelayMs) {
+    public void recordStartOrder(String machine, String task, long maxDelayMs) {
         cancellations
-                .startOrdered(jobOf(task))
+                .recordStartOrder(jobOf(task))
                 .filter(delayMs -> delayMs > maxDelayMs)
-                .ifPresent(delayMs -> violation(
+                .ifPresent(delayMs -> addViolation(
                         "started_cancelled",
                         task + " was ordered on " + machine + " " + delayMs / MS_PER_S
-                                + " s after its job was called cancelled"));
+                                + " s after its job was reported as cancelled"));
     }
 
-    /** A task has its image and runs from now on. */
-    public void started(String machine, String task, String type, String zone, boolean spot) {
+    /** Records that a task has fetched its image and starts to run. */
+    public void recordStart(String machine, String task, String type, String zone, boolean spot) {
         starts++;
         longestPauseMs = longestPauseMs();
-        lastStartAt = clock.getAsLong();
+        lastStartAtMs = clock.getAsLong();
         RunningTask other = running.get(task);
         if (other != null) {
-            violation("ran_twice", task + " on " + other.machine() + " and " + machine);
+            addViolation("ran_twice", task + " on " + other.machine() + " and " + machine);
         }
         checkCancelledTaskStopped(task, violations);
         String jobId = jobOf(task);
-        cancellations.started(jobId);
-        served.begun(jobId, clock.getAsLong());
-        waitingSince.remove(jobId);
+        cancellations.recordStart(jobId);
+        servedJobs.recordStart(jobId, clock.getAsLong());
+        waitingSinceMs.remove(jobId);
         running.put(task, new RunningTask(machine, zone));
         JobSpec job = jobs.get(jobId);
         if (job != null) {
             checkDependencies(job, task);
             checkOneZone(job, task, zone);
             if (!job.allows(type, zone, spot) || runningInZone(job, zone) > job.maxTasksPerZone()) {
-                violation("wrong_place", task + " on " + type + " in " + zone);
+                addViolation("invalid_placement", task + " on " + type + " in " + zone);
             }
             checkQuota(job.team());
         }
     }
 
-    /** A task is not on the machine any more. */
-    public void stopped(String machine, String task) {
-        RunningTask where = running.get(task);
-        if (where != null && where.machine().equals(machine)) {
+    /** Records that a task no longer runs on the machine; ignored if it is recorded as running on another one. */
+    public void recordStop(String machine, String task) {
+        RunningTask location = running.get(task);
+        if (location != null && location.machine().equals(machine)) {
             checkCancelledTaskStopped(task, violations);
-            cancellations.stopped(jobOf(task));
+            cancellations.recordStop(jobOf(task));
             running.remove(task);
         }
     }
 
-    /** A task has completed. */
-    public void completed(String task) {
-        complete.add(task);
+    /** Records that a task has completed. */
+    public void recordCompletion(String task) {
+        completed.add(task);
     }
 
-    private void checkCancelledTaskStopped(String task, List<String> into) {
+    private void checkCancelledTaskStopped(String task, List<String> target) {
         if (cancellations.isOverdue(jobOf(task))) {
-            into.add(violationNow("ran_cancelled", task));
+            target.add(formatViolation("ran_cancelled", task));
         }
     }
 
@@ -237,7 +231,7 @@
         for (String dependency : job.dependencies()) {
             JobSpec required = jobs.get(dependency);
             if (cancellations.isConfirmed(dependency) || completedTasks(required) < required.tasks()) {
-                violation("too_early", task + " before " + dependency + " is done");
+                addViolation("dependency_not_done", task + " before " + dependency + " is done");
             }
         }
     }
@@ -246,9 +240,9 @@
         if (!job.colocated()) {
             return;
         }
-        running.forEach((other, where) -> {
-            if (jobOf(other).equals(job.id()) && !where.zone().equals(zone)) {
-                violation("wrong_place", task + " is not in the zone of " + other);
+        running.forEach((other, location) -> {
+            if (jobOf(other).equals(job.id()) && !location.zone().equals(zone)) {
+                addViolation("invalid_placement", task + " is not in the zone of " + other);
             }
         });
     }
@@ -268,98 +262,101 @@
             cores += job != null && job.team().equals(team) ? job.demand().cores() : 0;
         }
         if (limit != null && cores > limit + ROUNDING) {
-            violation("quota", team + " holds " + cores);
+            addViolation("quota_exceeded", team + " holds " + cores);
         }
     }
 
-    // ---- jobs left behind ----------------------------------------------------------------------
-
-    /** From now on nothing fails any more: a job that still waits or is not answered has been left behind. */
-    public void faultsOver() {
-        faultsOverAt = clock.getAsLong();
-        waitingSince.clear();
+    /** Records that no fault is active from now on; only then are waiting and unanswered jobs violations. */
+    public void recordFaultsOver() {
+        faultsOverAtMs = clock.getAsLong();
+        waitingSinceMs.clear();
     }
 
-    /** Whether a task of the job waits that may run on a machine with room, while its team is under its limit. */
-    public void waits(String job, boolean couldStart) {
-        long now = clock.getAsLong();
-        if (!couldStart || now < faultsOverAt) {
-            waitingSince.remove(job);
-        } else if (now - waitingSince.computeIfAbsent(job, j -> now) > MAX_WAITING_MS) {
-            violation("left_waiting", job + " since " + waitingSince.get(job) / MS_PER_S);
-            waitingSince.put(job, now);
+    /**
+     * Records whether a waiting task of the job could start: some machine that the job allows has room, and its team is
+     * under its limit. Must be called regularly, as the wait counts from the first call with {@code couldStart} set.
+     */
+    public void recordWaitingJob(String job, boolean couldStart) {
+        long nowMs = clock.getAsLong();
+        if (!couldStart || nowMs < faultsOverAtMs) {
+            waitingSinceMs.remove(job);
+        } else if (nowMs - waitingSinceMs.computeIfAbsent(job, j -> nowMs) > MAX_WAITING_MS) {
+            addViolation("left_waiting", job + " since " + waitingSinceMs.get(job) / MS_PER_S);
+            waitingSinceMs.put(job, nowMs);
         }
     }
 
     private void checkIsAnswered(String job) {
-        long unansweredSince = Math.max(faultsOverAt, lastAnswerAt.getOrDefault(job, 0L));
-        if (answers.hasAnswerAbout(job) && clock.getAsLong() - unansweredSince > MAX_UNANSWERED_MS) {
-            violation("forgotten", "no question about " + job + " is answered since " + unansweredSince / MS_PER_S);
-            lastAnswerAt.put(job, clock.getAsLong());
+        long unansweredSinceMs = Math.max(faultsOverAtMs, lastAnswerAtMs.getOrDefault(job, 0L));
+        if (answers.hasAnswerAbout(job) && clock.getAsLong() - unansweredSinceMs > MAX_UNANSWERED_MS) {
+            addViolation("job_lost", "no request about " + job + " was answered since " + unansweredSinceMs / MS_PER_S);
+            lastAnswerAtMs.put(job, clock.getAsLong());
         }
     }
 
-    // ---- answers to users ----------------------------------------------------------------------
-
-    /** A user sent a request about a job at this moment, and got this answer. */
-    public void answered(String job, int httpStatus, String state) {
-        answered(job, httpStatus, state, clock.getAsLong());
+    /** Records an answer to a request that a user sent about a job at the same moment. */
+    public void recordAnswer(String job, int httpStatus, String state) {
+        recordAnswer(job, httpStatus, state, clock.getAsLong());
     }
 
     /**
-     * A user sent a request about a job, or submitted it again, and got this answer now.
+     * Records the answer that a user got now to a request about a job, which may be a repeated submission.
      *
-     * @param requestedAt when the request was sent: its answer must not fall behind what any user knew by then
+     * @param requestedAtMs when the request was sent; the answer must not be older than any answer received by then
      */
-    public void answered(String job, int httpStatus, String state, long requestedAt) {
+    public void recordAnswer(String job, int httpStatus, String state, long requestedAtMs) {
         JobSpec spec = jobs.get(job);
-        if (httpStatus / 100 == 2 && invalid.contains(job)) {
-            violation("accepted_unfit", job);
+        if (httpStatus / 100 == 2 && invalidJobs.contains(job)) {
+            addViolation("accepted_invalid", job);
         }
         if (httpStatus == 200 && spec == null) {
-            violation("invented", job);
+            addViolation("unknown_job", job);
         }
-        String knownState = answers.stateKnownAt(job, requestedAt);
+        String knownState = answers.latestStateAt(job, requestedAtMs);
         if (knownState != null && (httpStatus == 404 || httpStatus == 400 || httpStatus == 422)) {
-            violation("forgotten", job + " was answered " + httpStatus);
+            addViolation("job_lost", job + " was answered " + httpStatus);
         }
         if ((httpStatus != 200 && httpStatus != 201) || spec == null) {
             checkIsAnswered(job);
             return;
         }
-        lastAnswerAt.put(job, clock.getAsLong());
+        lastAnswerAtMs.put(job, clock.getAsLong());
         if (isFinal(knownState) && !knownState.equals(state)) {
-            violation("went_back", job + " from " + knownState + " to " + state);
+            addViolation("invalid_transition", job + " from " + knownState + " to " + state);
         }
         checkState(spec, state);
-        served.answered(job, state);
+        servedJobs.recordAnswer(job, state);
         answers.add(job, state, clock.getAsLong());
     }
 
     private void checkState(JobSpec job, String state) {
         if ("cancelled".equals(state)) {
             if (withDependencies(job.id()).stream().noneMatch(cancellations::isRequested)) {
-                violation("went_back", job.id() + " was not cancelled by its user, nor anything that it needs");
+                addViolation(
+                        "invalid_transition",
+                        job.id() + " is cancelled, but no user cancelled it or a job it depends on");
             }
-            cancellations.confirmed(job.id());
+            cancellations.recordConfirmation(job.id());
         }
         if ("queued".equals(state) || "running".equals(state)) {
             checkNotOrphaned(job.id(), state);
         }
         if ("done".equals(state) && completedTasks(job) < job.tasks()) {
-            violation("not_done", job.id());
+            addViolation("reported_done_early", job.id());
         }
     }
 
     private void checkNotOrphaned(String job, String state) {
         for (String dependency : withDependencies(job)) {
             if (cancellations.isOverdue(dependency)) {
-                violation("orphaned", job + " is called " + state + " long after " + dependency + " was cancelled");
+                addViolation(
+                        "orphaned",
+                        job + " is reported as " + state + " too long after " + dependency + " was cancelled");
             }
         }
     }
 
-    /** The job and all that it depends on, directly or through others, as far as anybody submitted them. */
+    /** The job and all its direct and indirect dependencies; those of a job that was not submitted are unknown. */
     private Set<String> withDependencies(String job) {
         Set<String> all = new LinkedHashSet<>();
         Deque<String> queue = new ArrayDeque<>(List.of(job));
--- a/src/test/java/notchpick/simulation/OccurrenceCounters.java
+++ b/src/test/java/notchpick/simulation/OccurrenceCounters.java
@@ -7,7 +7,7 @@
 /** How often each {@link Occurrence} has come about. */
 public final class OccurrenceCounters {
     private final Map<Occurrence, Integer> counts = new EnumMap<>(Occurrence.class);
-    private final Map<Occurrence, IntSupplier> countedElsewhere = new EnumMap<>(Occurrence.class);
+    private final Map<Occurrence, IntSupplier> externalCounters = new EnumMap<>(Occurrence.class);
 
     /** The occurrence has come about once more. */
     void increment(Occurrence occurrence) {
@@ -15,13 +15,13 @@
     }
 
     /** Another component counts this occurrence. */
-    void countedBy(Occurrence occurrence, IntSupplier count) {
-        countedElsewhere.put(occurrence, count);
+    void setExternalCounter(Occurrence occurrence, IntSupplier count) {
+        externalCounters.put(occurrence, count);
     }
 
     /** How often the occurrence has come about so far. */
     public int count(Occurrence occurrence) {
-        IntSupplier elsewhere = countedElsewhere.get(occurrence);
-        return elsewhere == null ? counts.getOrDefault(occurrence, 0) : elsewhere.getAsInt();
+        IntSupplier externalCounter = externalCounters.get(occurrence);
+        return externalCounter == null ? counts.getOrDefault(occurrence, 0) : externalCounter.getAsInt();
     }
 }
--- a/src/test/java/notchpick/simulation/ServedJobs.java
+++ b/src/test/java/notchpick/simulation/ServedJobs.java
@@ -13,37 +13,37 @@
 /** Which classes, teams and largest jobs were served too little: a day on which work is never served has failed. */
 final class ServedJobs {
     /** "The largest ones too have to begin within four minutes." */
-    static final long LARGEST_BEGIN_MS = 240_000;
+    static final long MAX_START_DELAY_OF_LARGEST_MS = 240_000;
     /** "If less than half of a class, of a team or of a class's largest jobs is served": one in so many at least. */
-    private static final int HALF = 2;
+    private static final int MIN_SERVED_DIVISOR = 2;
     /** One in so many jobs of a class, but one at least, counts among its largest; the rules name no number. */
-    private static final int LARGEST_PART = 10;
+    private static final int LARGEST_DIVISOR = 10;
 
     private final Map<String, JobSpec> jobs = new LinkedHashMap<>();
-    private final Map<String, Long> submittedAt = new HashMap<>();
-    private final Map<String, Long> begunAt = new HashMap<>();
+    private final Map<String, Long> submittedAtMs = new HashMap<>();
+    private final Map<String, Long> startedAtMs = new HashMap<>();
     private final Map<String, String> lastStates = new HashMap<>();
     /** Jobs that need not be served. */
-    private final Set<String> excused = new HashSet<>();
+    private final Set<String> exemptJobs = new HashSet<>();
 
     /** A user has submitted the job. */
-    void submitted(JobSpec job, long at) {
+    void recordSubmission(JobSpec job, long atMs) {
         jobs.put(job.id(), job);
-        submittedAt.put(job.id(), at);
+        submittedAtMs.put(job.id(), atMs);
     }
 
     /** The job need not be served: its user cancelled it, or it can't run. */
-    void excused(String job) {
-        excused.add(job);
+    void exempt(String job) {
+        exemptJobs.add(job);
     }
 
     /** A task of the job has started. */
-    void begun(String job, long at) {
-        begunAt.putIfAbsent(job, at);
+    void recordStart(String job, long atMs) {
+        startedAtMs.putIfAbsent(job, atMs);
     }
 
     /** A user was answered with the state of the job. */
-    void answered(String job, String state) {
+    void recordAnswer(String job, String state) {
         lastStates.put(job, state);
     }
 
@@ -52,29 +52,29 @@
         Map<String, List<JobSpec>> groups = new LinkedHashMap<>();
         Map<String, List<JobSpec>> classes = new LinkedHashMap<>();
         for (JobSpec job : jobs.values()) {
-            if (!excused.contains(job.id())) {
+            if (!exemptJobs.contains(job.id())) {
                 add(groups, "team " + job.team(), job);
                 add(groups, "class " + job.jobClass(), job);
                 add(classes, job.jobClass(), job);
             }
         }
-        List<String> poor = new ArrayList<>();
+        List<String> underserved = new ArrayList<>();
         classes.forEach((name, members) -> {
             List<JobSpec> largest = largest(members);
             groups.put("largest of " + name, largest);
-            if (largest.stream().filter(this::beganLate).count() * HALF > largest.size()) {
-                poor.add("largest of " + name + " begin late");
+            if (largest.stream().filter(this::startedLate).count() * MIN_SERVED_DIVISOR > largest.size()) {
+                underserved.add("largest of " + name + " begin late");
             }
         });
         groups.forEach((name, members) -> {
             long served = members.stream()
                     .filter(job -> "done".equals(lastStates.get(job.id())))
                     .count();
-            if (served * HALF < members.size()) {
-                poor.add(name + ": " + served + " of " + members.size() + " served");
+            if (served * MIN_SERVED_DIVISOR < members.size()) {
+                underserved.add(name + ": " + served + " of " + members.size() + " served");
             }
         });
-        return poor;
+        return underserved;
     }
 
     private static void add(Map<String, List<JobSpec>> groups, String name, JobSpec job) {
@@ -85,11 +85,12 @@
         return members.stream()
                 .sorted(Comparator.comparingDouble(
                         (JobSpec job) -> -job.tasks() * job.demand().cores()))
-                .limit((members.size() + LARGEST_PART - 1) / LARGEST_PART)
+                .limit((members.size() + LARGEST_DIVISOR - 1) / LARGEST_DIVISOR)
                 .toList();
     }
 
-    private boolean beganLate(JobSpec job) {
-        return begunAt.getOrDefault(job.id(), Long.MAX_VALUE) - submittedAt.get(job.id()) > LARGEST_BEGIN_MS;
+    private boolean startedLate(JobSpec job) {
+        return startedAtMs.getOrDefault(job.id(), Long.MAX_VALUE) - submittedAtMs.get(job.id())
+                > MAX_START_DELAY_OF_LARGEST_MS;
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -58,7 +58,7 @@
     private boolean unavailable;
     private long releaseDelayMs;
     private long rentalDelayMs;
-    private int machinesThatNeverBoot;
+    private int bootsToFail;
     private double bootTimeFactor = 1;
     private Listing listing = Listing.RIGHT;
 
@@ -97,7 +97,7 @@
 
     /** So many of the next machines never come up. */
     public void failNextBoots(int machineCount) {
-        machinesThatNeverBoot = machineCount;
+        bootsToFail = machineCount;
     }
 
     /** What is rented from now on takes so many boot times of its type to come up. */
@@ -168,9 +168,9 @@
     }
 
     private Response rent(JsonNode body) {
-        String request = body.path("hireSlip").asText();
-        if (rentalAnswers.containsKey(request)) {
-            return Response.of(200, rentalAnswers.get(request));
+        String requestId = body.path("hireSlip").asText();
+        if (rentalAnswers.containsKey(requestId)) {
+            return Response.of(200, rentalAnswers.get(requestId));
         }
         MachineType type = types.get(body.path("boxKind").asText());
         NodePool pool = new NodePool(
@@ -184,8 +184,8 @@
         for (int i = 0; i < number; i++) {
             names.add(rentMachine(type, pool, i * BOOT_INTERVAL_MS));
         }
-        rentalAnswers.put(request, Json.bytes(answer));
-        return Response.of(200, rentalAnswers.get(request));
+        rentalAnswers.put(requestId, Json.bytes(answer));
+        return Response.of(200, rentalAnswers.get(requestId));
     }
 
     private int rentedIn(NodePool pool) {
@@ -200,8 +200,8 @@
         String name = String.format("m-%06d", rentedCount++);
         RentedMachine machine = new RentedMachine(name, type, pool.zone(), pool.spot(), clock.getAsLong());
         machines.put(name, machine);
-        if (machinesThatNeverBoot > 0) {
-            machinesThatNeverBoot--;
+        if (bootsToFail > 0) {
+            bootsToFail--;
         } else {
             timer.schedule((long) (type.bootS() * bootTimeFactor * MS_PER_S) + extraBootMs, () -> boot(machine));
         }
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -62,7 +62,7 @@
         cancellationCircumstances =
                 new CancellationCircumstances(config.teams(), time, stateStore, controllers, fleet, occurrences);
         waitingJobMonitor = new WaitingJobMonitor(time, invariants, config.teams(), jobs, fleet, users);
-        connect();
+        connectHosts();
         controllers.nodes().forEach(controllers::start);
     }
 
@@ -80,21 +80,21 @@
         return byName;
     }
 
-    private void connect() {
+    private void connectHosts() {
         network.serve(STATE_ADDRESS, "state", stateStore);
         network.serve(CLOUD_ADDRESS, "cloud", cloud);
         for (String zone : ClusterConfig.ZONES) {
-            List.of("state", "cloud", USER_HOST).forEach(host -> network.join(host, "outside-" + zone));
+            List.of("state", "cloud", USER_HOST).forEach(host -> network.addToGroup(host, "outside-" + zone));
         }
         List<String> nodes = controllers.nodes();
         for (int i = 0; i < nodes.size(); i++) {
-            network.join(nodes.get(i), "controllers");
-            network.joinZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
+            network.addToGroup(nodes.get(i), "controllers");
+            network.addToZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
         }
         users.setCancellationListener(cancellationCircumstances);
-        stateStore.setPutListener(StateKeys.LEADER, users::leaderElected);
-        occurrences.countedBy(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
-        occurrences.countedBy(Occurrence.PACKET_DELAYED, network::delayedPackets);
+        stateStore.setPutListener(StateKeys.LEADER, users::onLeaderElected);
+        occurrences.setExternalCounter(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
+        occurrences.setExternalCounter(Occurrence.PACKET_DELAYED, network::delayedPackets);
     }
 
     /** From now on all messages and transactions are written to the transcript. */
@@ -168,7 +168,7 @@
     public void setOutage(boolean active) {
         stateStore.setOutage(active);
         if (!active) {
-            users.outageEnded();
+            users.onOutageEnded();
         }
     }
 
@@ -176,7 +176,7 @@
     public void setRefused(String node, boolean refused) {
         stateStore.setRefused(node, refused);
         if (refused && controllers.isLeader(node)) {
-            cancellationCircumstances.leaderRefused(jobs.jobs().stream()
+            cancellationCircumstances.recordLeaderRefusal(jobs.jobs().stream()
                     .map(job -> job.spec().id())
                     .filter(invariants::isCancelRequested)
                     .toList());
@@ -188,14 +188,14 @@
         return users.cancelSome(fleet.tasksByJob().keySet(), count);
     }
 
-    /** See {@link HeartbeatDuplicator#set}. */
+    /** See {@link HeartbeatDuplicator#setShare}. */
     public void duplicateHeartbeats(double share, boolean forNextLeader) {
-        heartbeatDuplicator.set(share, forNextLeader);
+        heartbeatDuplicator.setShare(share, forNextLeader);
     }
 
     /** No fault is active from now on: a job that waits though it could start breaks a rule. */
     public void markFaultsOver() {
-        invariants.faultsOver();
+        invariants.recordFaultsOver();
         waitingJobMonitor.start();
     }
 
@@ -203,13 +203,13 @@
     private final class WorkerEvents implements SimulatedWorker.Listener {
         @Override
         public void heartbeatSent(byte[] heartbeat) {
-            heartbeatDuplicator.heartbeatSent(heartbeat);
+            heartbeatDuplicator.onHeartbeatSent(heartbeat);
         }
 
         @Override
         public void taskCompleted(String task) {
             occurrences.increment(Occurrence.TASK_COMPLETED);
-            users.taskCompleted(task);
+            users.onTaskCompleted(task);
         }
 
         @Override
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -33,7 +33,7 @@
     /** Rises with each start and each crash; a process runs for as long as this stays what it was at its start. */
     private final Map<String, Integer> generations = new HashMap<>();
 
-    private final Map<String, Long> frozenUntil = new HashMap<>();
+    private final Map<String, Long> frozenUntilMs = new HashMap<>();
     private final Map<String, String> aliases = new HashMap<>();
     private int lastTermEndedByCrash;
 
@@ -125,7 +125,7 @@
                 fastPercent,
                 index * 100L - 100,
                 () -> generations.get(node) == generation,
-                () -> frozenUntil.getOrDefault(node, 0L));
+                () -> frozenUntilMs.getOrDefault(node, 0L));
     }
 
     private Deployment deployment(String node, boolean isFirstStart) {
@@ -184,8 +184,8 @@
 
     /** The process is paused while its clocks run on; what is sent to it waits. */
     public void freeze(String node, long durationMs) {
-        long until = time.nowMs() + durationMs;
-        frozenUntil.put(node, until);
-        network.freeze(node, until);
+        long untilMs = time.nowMs() + durationMs;
+        frozenUntilMs.put(node, untilMs);
+        network.freeze(node, untilMs);
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedFleet.java
+++ b/src/test/java/notchpick/simulation/SimulatedFleet.java
@@ -36,9 +36,9 @@
     public void machineStarted(RentedMachine machine) {
         String name = machine.name();
         zones.put(name, machine.zone());
-        network.join(name, "workers");
-        network.join(name, "workers-" + machine.zone());
-        network.joinZone(name, machine.zone());
+        network.addToGroup(name, "workers");
+        network.addToGroup(name, "workers-" + machine.zone());
+        network.addToZone(name, machine.zone());
         workers.put(name, new SimulatedWorker(machine, network.callerOf(name, () -> true), environment));
     }
 
@@ -46,7 +46,7 @@
     public void machineRemoved(String name) {
         SimulatedWorker worker = workers.remove(name);
         if (worker != null) {
-            worker.die();
+            worker.terminate();
         }
     }
 
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -40,13 +40,13 @@
     private final Map<String, Integer> callCounts = new HashMap<>();
 
     private int delayedPackets;
-    private final Map<Route, List<Runnable>> heldBack = new HashMap<>();
+    private final Map<Route, List<Runnable>> heldPackets = new HashMap<>();
     /** Names that stand for many hosts, by host. */
     private final Map<String, Set<String>> groups = new HashMap<>();
     /** Hosts without power: what is sent to them gets no answer of any kind. */
-    private final Set<String> withoutPower = new HashSet<>();
+    private final Set<String> unpoweredHosts = new HashSet<>();
     /** Hosts whose processes are paused, and until when. What comes meanwhile waits in their sockets. */
-    private final Map<String, Long> frozenUntil = new HashMap<>();
+    private final Map<String, Long> frozenUntilMs = new HashMap<>();
 
     private Transcript transcript = Transcript.NONE;
 
@@ -73,44 +73,44 @@
     /** The host loses its power, or has it back. */
     public void setPowered(String host, boolean powered) {
         if (powered) {
-            withoutPower.remove(host);
+            unpoweredHosts.remove(host);
         } else {
-            withoutPower.add(host);
+            unpoweredHosts.add(host);
         }
     }
 
     /** The host's processes are paused until then; what is sent to it waits. */
     public void freeze(String host, long untilMs) {
-        frozenUntil.put(host, untilMs);
+        frozenUntilMs.put(host, untilMs);
     }
 
     /** A host belongs to a group, which cuts may name in its place. */
-    public void join(String host, String group) {
+    public void addToGroup(String host, String group) {
         groups.computeIfAbsent(host, h -> new HashSet<>()).add(group);
     }
 
     /** A host is in this zone: it belongs to the zone's group, and to the group outside of each other zone. */
-    void joinZone(String host, String zone) {
+    void addToZone(String host, String zone) {
         for (String other : ClusterConfig.ZONES) {
-            join(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
+            addToGroup(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
         }
     }
 
     /** Cuts both directions between two hosts or groups. */
-    public void cut(String one, String other, Cut how) {
-        cutOneWay(one, other, how);
-        cutOneWay(other, one, how);
+    public void cut(String one, String other, Cut mode) {
+        cutOneWay(one, other, mode);
+        cutOneWay(other, one, mode);
     }
 
     /** Cuts one direction; packets in the other still pass. */
-    public void cutOneWay(String from, String to, Cut how) {
-        cuts.put(new Route(from, to), how);
+    public void cutOneWay(String from, String to, Cut mode) {
+        cuts.put(new Route(from, to), mode);
     }
 
     /** Packets in one direction take longer by this from now on; 0 ends that. */
-    public void delayOneWay(String from, String to, long byMs) {
-        if (byMs > 0) {
-            delaysMs.put(new Route(from, to), byMs);
+    public void delayOneWay(String from, String to, long extraMs) {
+        if (extraMs > 0) {
+            delaysMs.put(new Route(from, to), extraMs);
         } else {
             delaysMs.remove(new Route(from, to));
         }
@@ -133,47 +133,47 @@
     public void heal(String one, String other) {
         for (Route route : List.of(new Route(one, other), new Route(other, one))) {
             cuts.remove(route);
-            List<Runnable> late = heldBack.remove(route);
-            if (late != null) {
-                late.forEach(packet -> time.schedule(LATENCY_MS, packet));
+            List<Runnable> released = heldPackets.remove(route);
+            if (released != null) {
+                released.forEach(packet -> time.schedule(LATENCY_MS, packet));
             }
         }
     }
 
-    private boolean isOrBelongsTo(String host, String name) {
+    private boolean matches(String host, String name) {
         return host.equals(name) || groups.getOrDefault(host, Set.of()).contains(name);
     }
 
     /** The first cut between the two hosts in this direction. */
     private Optional<Route> cutBetween(String from, String to) {
         return cuts.keySet().stream()
-                .filter(route -> isOrBelongsTo(from, route.from()) && isOrBelongsTo(to, route.to()))
+                .filter(route -> matches(from, route.from()) && matches(to, route.to()))
                 .findFirst();
     }
 
     private long delayMsBetween(String from, String to) {
-        long longest = 0;
+        long longestMs = 0;
         for (Map.Entry<Route, Long> delay : delaysMs.entrySet()) {
-            if (isOrBelongsTo(from, delay.getKey().from())
-                    && isOrBelongsTo(to, delay.getKey().to())) {
-                longest = Math.max(longest, delay.getValue());
+            if (matches(from, delay.getKey().from())
+                    && matches(to, delay.getKey().to())) {
+                longestMs = Math.max(longestMs, delay.getValue());
             }
         }
-        return longest;
+        return longestMs;
     }
 
-    private void carry(String from, String to, Runnable packet, Runnable reset) {
-        if (withoutPower.contains(to)) {
+    private void transmit(String from, String to, Runnable packet, Runnable reset) {
+        if (unpoweredHosts.contains(to)) {
             return;
         }
         Optional<Route> cut = cutBetween(from, to);
         if (cut.isEmpty()) {
             long delayMs = delayMsBetween(from, to);
             delayedPackets += delayMs > 0 ? 1 : 0;
-            long frozenForMs = frozenUntil.getOrDefault(to, 0L) - time.nowMs();
+            long frozenForMs = frozenUntilMs.getOrDefault(to, 0L) - time.nowMs();
             time.schedule(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
         } else if (cuts.get(cut.get()) == Cut.HOLD) {
-            heldBack.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
+            heldPackets.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> transmit(from, to, packet, reset));
         } else {
             time.schedule(LATENCY_MS, reset);
         }
@@ -192,7 +192,7 @@
                 return;
             }
             Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
-            carry(host, to, () -> serveCall(host, call, answerOnce), reset);
+            transmit(host, to, () -> serveCall(host, call, answerOnce), reset);
         };
     }
 
@@ -211,13 +211,13 @@
         Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
         HttpHandler handler = handlers.get(call.target());
         if (handler == null) {
-            carry(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
+            transmit(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
         // The state store refuses by who calls, so the caller's name goes along.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
             transcript.answered(time.nowMs(), to, from, call, answer);
-            carry(to, from, () -> answerOnce.accept(answer), reset);
+            transmit(to, from, () -> answerOnce.accept(answer), reset);
         });
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -18,7 +18,7 @@
 import notchpick.transport.HttpHandler;
 import notchpick.transport.Timer;
 
-/** The state store, written from its published protocol. */
+/** An in-memory state store that implements the published protocol, with limits and faults that tests set. */
 public final class SimulatedStateStore implements HttpHandler {
     public static final int MAX_VALUE_BYTES = 16 << 10;
     private static final int MAX_TRANSACTION_BYTES = 64 << 10;
@@ -48,10 +48,10 @@
     private int appliedWithoutAnswer;
 
     /**
-     * @param clock the time in milliseconds
+     * @param clock the current time in milliseconds
      * @param maxTransactionWrites the most puts and deletes in one transaction
-     * @param requestsPerS requests accepted in a second, with bursts of one second's worth
-     * @param writesPerS puts and deletes accepted in a second, likewise
+     * @param requestsPerS requests accepted per second; a burst may be as large as one second's quota
+     * @param writesPerS puts and deletes accepted per second, with the same burst
      */
     public SimulatedStateStore(
             LongSupplier clock, Timer timer, int maxTransactionWrites, double requestsPerS, double writesPerS) {
@@ -65,30 +65,28 @@
         this.watches = new StateStoreWatches(clock, timer, data, faults);
     }
 
-    /** From now on all transactions are written to the transcript. */
+    /** Writes all later transactions to the transcript. */
     void record(Transcript to) {
         transcript = to;
     }
 
-    // ---- what it holds and has counted ---------------------------------------------------------
-
-    /** The value of a key; null: there is none. */
+    /** The value of a key; null if there is none. */
     public JsonNode value(String key) {
         Entry entry = data.get(key);
         return entry == null ? null : entry.value();
     }
 
-    /** When the key was deleted last; negative: never. */
-    public long deletedAt(String key) {
-        return data.deletedAt(key);
+    /** When the key was last deleted; negative if never. */
+    public long deletedAtMs(String key) {
+        return data.deletedAtMs(key);
     }
 
-    /** Runs the listener each time the key is written. */
+    /** Runs the listener each time the key is written; replaces the key's earlier listener. */
     public void setPutListener(String key, Runnable listener) {
         data.setPutListener(key, listener);
     }
 
-    /** Stores a value as another version of the service left it. */
+    /** Stores a value in its own revision, bypassing limits and counters, as if an earlier version had written it. */
     public void preload(String key, JsonNode value) {
         data.nextRevision();
         data.put(key, value, 0);
@@ -99,12 +97,12 @@
         return writes;
     }
 
-    /** Transactions rejected for the rate of writes. */
+    /** Transactions rejected because of the write rate limit. */
     public int transactionsOverRate() {
         return transactionsOverRate;
     }
 
-    /** Requests rejected for their rate. */
+    /** Requests rejected because of the request rate limit. */
     public int requestsOverRate() {
         return requestsOverRate;
     }
@@ -114,35 +112,33 @@
         return transactionsTooLarge;
     }
 
-    /** Transactions that were applied though nobody got an answer to them. */
+    /** Transactions that were applied although their sender got no answer. */
     public int appliedWithoutAnswer() {
         return appliedWithoutAnswer;
     }
 
-    // ---- limits and faults ---------------------------------------------------------------------
-
-    /** From now on these limits hold; what is stored stays readable. */
+    /** Replaces the limits; stored values stay readable even if they exceed the new ones. */
     public void setLimits(StateStoreLimits limits) {
         maxValueBytes = limits.valueBytes();
         maxTransactionWrites = limits.transactionWrites();
         writeRate.setRate(limits.writesPerS());
     }
 
-    /** Lists are truncated after so many items. */
+    /** Sets after how many items a list is truncated. */
     public void setMaxListItems(int items) {
         maxListItems = items;
     }
 
-    /** Everybody is refused from now on, or served again with full leases. */
+    /** Starts or ends an outage, in which all requests are refused; its end renews all leases in full. */
     public void setOutage(boolean active) {
         if (faults.isOutage() && !active) {
-            leases.keepAllAlive();
+            leases.renewAll();
         }
         faults.setOutage(active);
         watches.answerDue();
     }
 
-    /** This host alone is refused from now on, or no longer. */
+    /** Starts or stops refusing the requests of one host. */
     public void setRefused(String host, boolean refused) {
         faults.setRefused(host, refused);
         if (!refused) {
@@ -154,32 +150,30 @@
         return faults.isRefused(host);
     }
 
-    /** The next so many transactions get no answer, and are applied this much later. */
+    /** The next {@code count} transactions get no answer and are applied after the delay. */
     public void leaveCommitsUnanswered(int count, long delayMs) {
         faults.leaveCommitsUnanswered(count, delayMs);
     }
 
     /**
-     * From now on this share of the transactions gets no answer, and is applied two to twelve seconds later, after newer
-     * ones, or immediately.
+     * Sets the share of transactions that get no answer. They are applied immediately, or two to twelve seconds later
+     * and thus possibly after newer ones.
      */
     public void setUnansweredCommits(double share, boolean appliedImmediately) {
         faults.setUnansweredShare(share, appliedImmediately);
     }
 
-    /** Watches that wait for changes get no answer, as in an outage, while all else does. */
+    /** Starts or stops leaving watches that wait for changes unanswered; all other requests are answered. */
     public void setWatchesHanging(boolean active) {
         faults.setWatchesHanging(active);
         watches.answerDue();
     }
 
-    /** Lists take so long. */
+    /** Sets how long a list request takes to be answered. */
     public void setListDelay(long delayMs) {
         faults.setListDelay(delayMs);
     }
 
-    // ---- requests ------------------------------------------------------------------------------
-
     @Override
     public void handle(Request call, Consumer<Response> reply) {
         if (!faults.isOutage() && !requestRate.tryTake(1)) {
@@ -188,33 +182,33 @@
             return;
         }
         if (faults.isOutage() || faults.isRefused(call.target())) {
-            // Watches that are open already wait; no new one is accepted.
+            // Watches that are already open keep waiting; no new one is accepted.
             reply.accept(UNAVAILABLE);
             return;
         }
         String path = call.path().split("\\?", 2)[0];
         switch (path) {
-            case "/changes" -> watches.open(watch(call, reply));
+            case "/changes" -> watches.open(newWatch(call, reply));
             case "/commit" -> handleCommit(call, reply);
             case "/keys" -> handleList(call, reply);
             default -> reply.accept(path.startsWith(KEYS_PATH) ? read(path) : handleLease(call, path));
         }
     }
 
-    private Watch watch(Request call, Consumer<Response> reply) {
+    private Watch newWatch(Request call, Consumer<Response> reply) {
         Map<String, String> query = query(call);
-        long now = clock.getAsLong();
+        long nowMs = clock.getAsLong();
         return new Watch(
                 call.target(),
                 query.getOrDefault("prefix", ""),
                 Long.parseLong(query.get("since")),
-                now,
-                now + Long.parseLong(query.getOrDefault("holdMs", "0")),
+                nowMs,
+                nowMs + Long.parseLong(query.getOrDefault("holdMs", "0")),
                 reply);
     }
 
     private void handleCommit(Request call, Consumer<Response> reply) {
-        OptionalLong unansweredDelayMs = faults.delayOfUnansweredCommit();
+        OptionalLong unansweredDelayMs = faults.nextUnansweredCommitDelayMs();
         if (unansweredDelayMs.isPresent()) {
             timer.schedule(unansweredDelayMs.getAsLong(), () -> applyWithoutAnswer(call));
         } else {
@@ -253,7 +247,7 @@
         if (call.method().equals("DELETE")) {
             leases.end(lease);
         } else {
-            leases.keepAlive(lease);
+            leases.renew(lease);
         }
         return ok(Json.object());
     }
@@ -274,7 +268,7 @@
         int limit = Math.min(maxListItems, Integer.parseInt(query.getOrDefault("limit", "1000")));
         String after = query.getOrDefault("since", "");
         boolean truncated = false;
-        for (Map.Entry<String, Entry> entry : data.from(prefix).entrySet()) {
+        for (Map.Entry<String, Entry> entry : data.entriesFrom(prefix).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
@@ -289,8 +283,6 @@
         return ok(body.put("truncated", truncated).put("ledgerNo", data.revision()));
     }
 
-    // ---- transactions --------------------------------------------------------------------------
-
     private Response commit(ObjectNode body) {
         if (faults.isOutage()) {
             return UNAVAILABLE;
@@ -356,8 +348,6 @@
         watches.answerDue();
     }
 
-    // ---- messages ------------------------------------------------------------------------------
-
     private static Response ok(JsonNode body) {
         return Response.of(200, Json.bytes(body));
     }
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -9,13 +9,13 @@
 /** Simulated time: runs scheduled work in the order of its due times, without waiting. */
 public final class SimulatedTime {
     /** Work of the same time runs in the order in which it was scheduled. */
-    private record ScheduledWork(long at, long sequence, Runnable work) {}
+    private record ScheduledWork(long dueMs, long sequence, Runnable work) {}
 
     private static final long STEADY_CLOCK_START_MS = 1_000_000;
     private static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
 
-    private final PriorityQueue<ScheduledWork> queue =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledWork::at).thenComparingLong(ScheduledWork::sequence));
+    private final PriorityQueue<ScheduledWork> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledWork::dueMs).thenComparingLong(ScheduledWork::sequence));
     private long nowMs;
     private long sequence;
 
@@ -30,13 +30,13 @@
     }
 
     /** Advances the time and runs all work that falls due. */
-    public void runUntil(long end) {
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
+    public void runUntil(long endMs) {
+        while (!queue.isEmpty() && queue.peek().dueMs() <= endMs) {
             ScheduledWork next = queue.poll();
-            nowMs = next.at();
+            nowMs = next.dueMs();
             next.work().run();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
     /** The event loop of a process that is never paused. */
@@ -49,10 +49,10 @@
      *
      * @param fastPercent by how much its steady clock runs fast
      * @param wallOffsetMs by how much its time of day is off
-     * @param frozenUntil until when the process is paused while its clocks run on
+     * @param frozenUntilMs until when the process is paused while its clocks run on
      */
     public EventLoop newEventLoop(
-            double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntil) {
+            double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntilMs) {
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
@@ -77,7 +77,7 @@
 
             private void runAfter(long delayMs, Runnable work) {
                 SimulatedTime.this.schedule(delayMs, () -> {
-                    long frozenForMs = frozenUntil.getAsLong() - nowMs;
+                    long frozenForMs = frozenUntilMs.getAsLong() - nowMs;
                     if (frozenForMs > 0) {
                         runAfter(frozenForMs, work);
                     } else if (isAlive.getAsBoolean()) {
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -30,7 +30,7 @@
     private static final long SUBMISSION_RETRIES_MS = 60_000;
     private static final int READS_AT_ALL_CONTROLLERS = 3;
     private static final long READ_INTERVAL_MS = 2;
-    private static final int CANCELLATIONS_WITHIN_MS = 200;
+    private static final int MAX_CANCELLATION_DELAY_MS = 200;
 
     private final SimulatedTime time;
     private final HttpCaller caller;
@@ -108,8 +108,6 @@
         return pollBurstAnswers.getOrDefault(httpStatus, 0);
     }
 
-    // ---- submissions ---------------------------------------------------------------------------
-
     /**
      * Submits a job, and again until it is accepted or refused; then polls it until it ends.
      *
@@ -120,22 +118,22 @@
     public void submit(ObjectNode body, double runS, double runTimeVariation, boolean fails)
             throws InvalidMessageException {
         SubmittedJob job = jobs.add(body, runS, runTimeVariation, fails);
-        invariants.submitted(job.spec());
+        invariants.recordSubmission(job.spec());
         submitUntil(job.spec().id(), body, time.nowMs() + SUBMISSION_RETRIES_MS);
     }
 
-    private void submitUntil(String job, ObjectNode body, long retryUntil) {
-        long requestedAt = time.nowMs();
+    private void submitUntil(String job, ObjectNode body, long retryUntilMs) {
+        long requestedAtMs = time.nowMs();
         call("POST", "/submissions", Json.bytes(body), answer -> {
             lastHttpStatuses.put(job, answer.status());
-            recordAnswer(job, answer, requestedAt);
+            recordAnswer(job, answer, requestedAtMs);
             if (isSuccess(answer)) {
-                readIfClosely(job);
+                readAfterChange(job);
                 time.schedule(POLL_PERIOD_MS, () -> poll(job));
-            } else if (!isRefusal(answer) && time.nowMs() < retryUntil) {
+            } else if (!isRefusal(answer) && time.nowMs() < retryUntilMs) {
                 deferredSubmissions++;
                 deferredWithoutRetryAfter += answer.status() == 503 && answer.retryAfterS() <= 0 ? 1 : 0;
-                time.schedule(RETRY_DELAY_MS, () -> submitUntil(job, body, retryUntil));
+                time.schedule(RETRY_DELAY_MS, () -> submitUntil(job, body, retryUntilMs));
             }
         });
     }
@@ -147,11 +145,11 @@
 
     /** Sends a submission that must not be accepted to every controller. */
     public void submitInvalid(String job, byte[] body) {
-        invariants.submittedInvalid(job);
+        invariants.recordInvalidSubmission(job);
         for (String node : controllers.nodes()) {
             callNode(node, "POST", "/submissions", body, answer -> {
                 lastHttpStatuses.put(job, answer.status());
-                invariants.answered(job, answer.status(), null);
+                invariants.recordAnswer(job, answer.status(), null);
                 occurrences.increment(
                         isRefusal(answer)
                                 ? Occurrence.INVALID_SUBMISSION_REFUSED
@@ -162,29 +160,27 @@
 
     /** Submits an accepted job once more, to one controller. */
     public void resubmit(String job) {
-        long requestedAt = time.nowMs();
+        long requestedAtMs = time.nowMs();
         call("POST", "/submissions", Json.bytes(jobs.job(job).body()), answer -> {
             lastHttpStatuses.put(job, answer.status());
-            recordAnswer(job, answer, requestedAt);
+            recordAnswer(job, answer, requestedAtMs);
         });
     }
 
     private void resubmitAtAllControllers(String job) {
-        long requestedAt = time.nowMs();
+        long requestedAtMs = time.nowMs();
         byte[] body = Json.bytes(jobs.job(job).body());
         for (String node : controllers.nodes()) {
-            callNode(node, "POST", "/submissions", body, answer -> recordAnswer(job, answer, requestedAt));
+            callNode(node, "POST", "/submissions", body, answer -> recordAnswer(job, answer, requestedAtMs));
         }
     }
 
-    // ---- reads ---------------------------------------------------------------------------------
-
     /** Reads the job's state, now and again until the job has ended. */
     public void poll(String job) {
-        long requestedAt = time.nowMs();
+        long requestedAtMs = time.nowMs();
         call("GET", "/submissions/" + job, null, answer -> {
             lastHttpStatuses.put(job, answer.status());
-            recordAnswer(job, answer, requestedAt);
+            recordAnswer(job, answer, requestedAtMs);
             if (jobs.contains(job) && !InvariantChecker.isFinal(lastState(job))) {
                 time.schedule(POLL_PERIOD_MS, () -> poll(job));
             }
@@ -195,9 +191,9 @@
     public void pollBurst(String job, int polls) {
         for (int i = 0; i < polls; i++) {
             time.schedule(1000L * i / polls, () -> {
-                long requestedAt = time.nowMs();
+                long requestedAtMs = time.nowMs();
                 call("GET", "/submissions/" + job, null, answer -> {
-                    recordAnswer(job, answer, requestedAt);
+                    recordAnswer(job, answer, requestedAtMs);
                     pollBurstAnswers.merge(answer.status(), 1, Integer::sum);
                 });
             });
@@ -209,10 +205,14 @@
         resubmitAtAllControllers(job);
         for (int i = 0; i < READS_AT_ALL_CONTROLLERS; i++) {
             time.schedule(READ_INTERVAL_MS * i, () -> {
-                long requestedAt = time.nowMs();
+                long requestedAtMs = time.nowMs();
                 for (String node : controllers.nodes()) {
                     callNode(
-                            node, "GET", "/submissions/" + job, null, answer -> recordAnswer(job, answer, requestedAt));
+                            node,
+                            "GET",
+                            "/submissions/" + job,
+                            null,
+                            answer -> recordAnswer(job, answer, requestedAtMs));
                 }
             });
         }
@@ -224,7 +224,7 @@
         readAfterEachChange = enabled;
     }
 
-    private void readIfClosely(String job) {
+    private void readAfterChange(String job) {
         if (readAfterEachChange) {
             readAtAllControllers(job);
         }
@@ -236,14 +236,14 @@
     }
 
     /** A controller has become leader. */
-    void leaderElected() {
+    void onLeaderElected() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_ELECTION);
         }
     }
 
     /** The state store serves again. */
-    void outageEnded() {
+    void onOutageEnded() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_OUTAGE_END);
         }
@@ -259,15 +259,13 @@
         });
     }
 
-    // ---- cancellations -------------------------------------------------------------------------
-
     /** Cancels the job; repeats the request until a controller has confirmed the job's state. */
     public void cancel(String job) {
-        invariants.cancelRequested(job);
-        long requestedAt = time.nowMs();
+        invariants.recordCancelRequest(job);
+        long requestedAtMs = time.nowMs();
         call("POST", "/submissions/" + job + "/abort", new byte[0], answer -> {
             String stateBefore = lastState(job);
-            recordAnswer(job, answer, requestedAt);
+            recordAnswer(job, answer, requestedAtMs);
             if (answer.status() != 200) {
                 time.schedule(RETRY_DELAY_MS, () -> cancel(job));
                 return;
@@ -275,7 +273,7 @@
             if (lastState(job).equals("cancelled") && !stateBefore.equals("cancelled")) {
                 cancellationListener.cancellationConfirmed(job);
             }
-            readIfClosely(job);
+            readAfterChange(job);
         });
     }
 
@@ -286,7 +284,7 @@
                 .sorted(Comparator.comparingLong((String job) -> -jobs.job(job).runMs()))
                 .limit(count)
                 .toList();
-        chosen.forEach(job -> time.schedule(random.nextInt(CANCELLATIONS_WITHIN_MS), () -> cancel(job)));
+        chosen.forEach(job -> time.schedule(random.nextInt(MAX_CANCELLATION_DELAY_MS), () -> cancel(job)));
         return chosen;
     }
 
@@ -296,7 +294,7 @@
     }
 
     /** A task has completed: users may cancel its job at this moment. */
-    void taskCompleted(String task) {
+    void onTaskCompleted(String task) {
         SubmittedJob job = jobs.job(InvariantChecker.jobOf(task));
         if (cancelAtCompletionShare > 0
                 && invariants.completedTasks(job.spec()) == job.spec().tasks()
@@ -306,8 +304,6 @@
         }
     }
 
-    // ---- calls ---------------------------------------------------------------------------------
-
     private void call(String method, String path, byte[] body, Consumer<Response> then) {
         callNode(nextRunningController(), method, path, body, then);
     }
@@ -336,10 +332,10 @@
         return answer.status() == 400 || answer.status() == 422;
     }
 
-    private void recordAnswer(String job, Response answer, long requestedAt) {
+    private void recordAnswer(String job, Response answer, long requestedAtMs) {
         ObjectNode body = answer.body().length == 0 ? null : Json.object(answer.body());
         String state = body == null ? null : body.path("status").asText(null);
-        invariants.answered(job, answer.status(), state, requestedAt);
+        invariants.recordAnswer(job, answer.status(), state, requestedAtMs);
         if (!isSuccess(answer)) {
             return;
         }
@@ -349,7 +345,7 @@
             lastStates.put(job, state);
         }
         if ("done".equals(state) && !"done".equals(stateBefore)) {
-            readIfClosely(job);
+            readAfterChange(job);
         }
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -47,7 +47,7 @@
     }
 
     /** What a heartbeat's answer is compared with. */
-    private record SentHeartbeat(long sentAt, long incarnation, ArrayNode tasks) {}
+    private record SentHeartbeat(long sentAtMs, long incarnation, ArrayNode tasks) {}
 
     /** Where workers could be sent direct commands. */
     static final String ADDRESS = "10.1.0.1:9000";
@@ -62,7 +62,7 @@
 
     private static final Response MALFORMED = Response.empty(400);
     private static final Response STALE = Response.empty(409);
-    private static final Response OK = Response.empty(200);
+    private static final Response ACCEPTED = Response.empty(200);
 
     private final RentedMachine machine;
     private final HttpCaller caller;
@@ -75,9 +75,9 @@
     private Double reclaimNoticeS;
     private long sequence;
     private int controller;
-    private boolean awaitsAnswer;
-    private long lastHeartbeatAt;
-    private long nextHeartbeatAt;
+    private boolean isAwaitingAnswer;
+    private long lastHeartbeatAtMs;
+    private long nextHeartbeatAtMs;
 
     /** Starts a worker, which sends its first heartbeat now. */
     public SimulatedWorker(RentedMachine machine, HttpCaller caller, WorkerEnvironment environment) {
@@ -114,11 +114,9 @@
         return tasks.active();
     }
 
-    // ---- faults --------------------------------------------------------------------------------
-
     /** The machine stops with all that is on it. */
-    public void die() {
-        faults.setDead();
+    public void terminate() {
+        faults.setTerminated();
         tasks.killAll();
     }
 
@@ -159,35 +157,33 @@
     }
 
     private void leaseExpired() {
-        environment.invariants().killedByLeaseExpiry(tasks.active().size());
+        environment.invariants().recordKilledByLeaseExpiry(tasks.active().size());
         tasks.killAll();
         reportChange();
     }
 
-    // ---- heartbeats ----------------------------------------------------------------------------
-
-    private void scheduleHeartbeat(long at) {
-        long scheduledAt = Math.max(at, lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS);
-        nextHeartbeatAt = scheduledAt;
-        time.schedule(scheduledAt - time.nowMs(), () -> {
-            if (nextHeartbeatAt == scheduledAt) {
+    private void scheduleHeartbeat(long atMs) {
+        long scheduledAtMs = Math.max(atMs, lastHeartbeatAtMs + MIN_HEARTBEAT_INTERVAL_MS);
+        nextHeartbeatAtMs = scheduledAtMs;
+        time.schedule(scheduledAtMs - time.nowMs(), () -> {
+            if (nextHeartbeatAtMs == scheduledAtMs) {
                 sendHeartbeat();
             }
         });
     }
 
     private void reportChange() {
-        if (!awaitsAnswer) {
-            scheduleHeartbeat(Math.min(nextHeartbeatAt, time.nowMs()));
+        if (!isAwaitingAnswer) {
+            scheduleHeartbeat(Math.min(nextHeartbeatAtMs, time.nowMs()));
         }
     }
 
     private void sendHeartbeat() {
-        if (faults.isDead() || faults.isHanging() || awaitsAnswer) {
+        if (faults.isTerminated() || faults.isHanging() || isAwaitingAnswer) {
             return;
         }
-        awaitsAnswer = true;
-        lastHeartbeatAt = time.nowMs();
+        isAwaitingAnswer = true;
+        lastHeartbeatAtMs = time.nowMs();
         SentHeartbeat sent = new SentHeartbeat(time.nowMs(), lease.incarnation(), tasks.toHeartbeat());
         byte[] heartbeat = Json.bytes(heartbeat(sent.tasks()));
         environment.listener().heartbeatSent(heartbeat);
@@ -229,16 +225,17 @@
                 }
             });
         }
-        time.schedule(sent.sentAt() + ANSWER_TIMEOUT_MS - time.nowMs(), () -> handleAnswer(Response.UNANSWERED, sent));
+        time.schedule(
+                sent.sentAtMs() + ANSWER_TIMEOUT_MS - time.nowMs(), () -> handleAnswer(Response.UNANSWERED, sent));
     }
 
     private void handleAnswer(Response answer, SentHeartbeat sent) {
-        if (faults.isHanging() && !faults.isDead()) {
+        if (faults.isHanging() && !faults.isTerminated()) {
             faults.defer(() -> handleAnswer(isTimedOut(sent) ? Response.UNANSWERED : answer, sent));
             return;
         }
-        awaitsAnswer = false;
-        if (faults.isDead()) {
+        isAwaitingAnswer = false;
+        if (faults.isTerminated()) {
             return;
         }
         switch (answer.status()) {
@@ -250,7 +247,7 @@
     }
 
     private boolean isTimedOut(SentHeartbeat sent) {
-        return time.nowMs() - sent.sentAt() >= ANSWER_TIMEOUT_MS;
+        return time.nowMs() - sent.sentAtMs() >= ANSWER_TIMEOUT_MS;
     }
 
     private void handleOrders(ObjectNode answer, SentHeartbeat sent) {
@@ -260,17 +257,17 @@
             environment.listener().staleAnswerDropped();
         } else if (sent.incarnation() == lease.incarnation()) {
             lease.raiseToken(token);
-            lease.renew(sent.sentAt());
+            lease.renew(sent.sentAtMs());
             executeAll(answer.path("orders"));
         }
         boolean hasChanged =
                 isNewTerm || !sent.tasks().equals(tasks.toHeartbeat()) || sent.incarnation() != lease.incarnation();
-        scheduleHeartbeat(hasChanged ? time.nowMs() : nextPeriodicHeartbeatAt());
+        scheduleHeartbeat(hasChanged ? time.nowMs() : nextPeriodicHeartbeatAtMs());
     }
 
-    private long nextPeriodicHeartbeatAt() {
+    private long nextPeriodicHeartbeatAtMs() {
         long periodMs = environment.timing().heartbeatPeriodMs();
-        return lastHeartbeatAt + periodMs * 3 / 4 + sequence * JITTER_STEP_MS % (periodMs / 2);
+        return lastHeartbeatAtMs + periodMs * 3 / 4 + sequence * JITTER_STEP_MS % (periodMs / 2);
     }
 
     private void followRedirect(String leader) {
@@ -287,8 +284,6 @@
         scheduleHeartbeat(time.nowMs() + NEXT_CONTROLLER_DELAY_MS);
     }
 
-    // ---- orders --------------------------------------------------------------------------------
-
     private static boolean isStart(JsonNode order) {
         return order.path("orderKind").asText().equals("run");
     }
@@ -303,11 +298,11 @@
     }
 
     /** Serves a direct command: carried out only under the newest token, for the present incarnation. */
-    public Response command(ObjectNode body) {
+    public Response handleCommand(ObjectNode body) {
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
         }
-        if (faults.isDead() || faults.isHanging() || faults.isInboundLost()) {
+        if (faults.isTerminated() || faults.isHanging() || faults.isInboundLost()) {
             return Response.UNANSWERED;
         }
         long token = body.path("mandate").asLong();
@@ -317,6 +312,6 @@
         lease.raiseToken(token);
         executeAll(body.path("orders"));
         reportChange();
-        return OK;
+        return ACCEPTED;
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -11,7 +11,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** A worker carries out orders only under the newest fencing token that it has seen, and for its present incarnation. */
+/** A worker carries out orders only for its current incarnation and under the highest fencing token it has seen. */
 class SimulatedWorkerTest {
     private static final WorkerTiming TIMING = new WorkerTiming(3, 20, 40);
 
@@ -58,11 +58,11 @@
                 .put("orderKind", "run")
                 .put("piece", task)
                 .put("tryNo", 1);
-        return worker.command(body).status();
+        return worker.handleCommand(body).status();
     }
 
     @Test
-    void dropsCommandsUnderAnEarlierToken() {
+    void rejectsCommandsUnderAnEarlierToken() {
         assertEquals(200, start(2, 1, "run-1/0"));
         assertEquals(409, start(1, 1, "run-1/1"));
         assertEquals(List.of("run-1/0"), worker.tasks());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void dropsCommandsForAnEarlierIncarnation() {
+    void rejectsCommandsForAnEarlierIncarnation() {
         assertEquals(200, start(2, 1, "run-1/0"));
         // No heartbeat is answered: with the lease the incarnation ends, and all its tasks.
         time.runUntil(TIMING.leaseMs() + 2);
@@ -82,13 +82,13 @@
 
     @Test
     void rejectsCommandsWithoutTokenOrIncarnation() {
-        assertEquals(400, worker.command(Json.object().put("mandate", 2)).status());
-        assertEquals(400, worker.command(Json.object().put("shift", 1)).status());
+        assertEquals(400, worker.handleCommand(Json.object().put("mandate", 2)).status());
+        assertEquals(400, worker.handleCommand(Json.object().put("shift", 1)).status());
         assertEquals(List.of(), worker.tasks());
     }
 
     @Test
-    void receivesNoCommandWhileDeaf() {
+    void answersNoCommandWhileInboundMessagesAreLost() {
         worker.setInboundLost(true);
         assertEquals(Response.UNANSWERED.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
--- a/src/test/java/notchpick/simulation/StateStoreData.java
+++ b/src/test/java/notchpick/simulation/StateStoreData.java
@@ -14,17 +14,17 @@
      * A stored value.
      *
      * @param version the revision at which it was written
-     * @param lease the lease that it is bound to; 0: none
+     * @param lease the lease that the entry is bound to; 0 if none
      */
     record Entry(JsonNode value, long version, long lease) {}
 
-    /** A change of a key; a null value stands for a deletion. */
+    /** A change to a key; a null value means a deletion. */
     record Change(String key, JsonNode value, long revision) {}
 
     private final LongSupplier clock;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Change> log = new ArrayList<>();
-    private final Map<String, Long> deletedAt = new HashMap<>();
+    private final Map<String, Long> deletedAtMs = new HashMap<>();
     private final Map<String, Runnable> putListeners = new HashMap<>();
     private long revision;
 
@@ -36,12 +36,12 @@
         return revision;
     }
 
-    /** Begins another transaction. */
+    /** Starts a new revision, to which all following changes belong. */
     void nextRevision() {
         revision++;
     }
 
-    /** The entry of this key; null if there is none. */
+    /** The key's entry; null if there is none. */
     Entry get(String key) {
         return entries.get(key);
     }
@@ -52,16 +52,16 @@
         return entry == null ? 0 : entry.version();
     }
 
-    /** The entries from this key on, in order of their keys. */
-    Map<String, Entry> from(String key) {
+    /** The entries with this key or a later one, in key order; a live view. */
+    Map<String, Entry> entriesFrom(String key) {
         return entries.tailMap(key);
     }
 
     /** Changes after this revision to keys with the prefix. */
-    List<Change> changesSince(long since, String prefix) {
+    List<Change> changesSince(long sinceRevision, String prefix) {
         List<Change> changes = new ArrayList<>();
         for (Change change : log) {
-            if (change.revision() > since && change.key().startsWith(prefix)) {
+            if (change.revision() > sinceRevision && change.key().startsWith(prefix)) {
                 changes.add(change);
             }
         }
@@ -76,24 +76,24 @@
                 .toList();
     }
 
-    /** Writes a value under the present revision; a lease of 0 stands for none. */
+    /** Writes a value in the current revision; a lease of 0 means none. */
     void put(String key, JsonNode value, long lease) {
         entries.put(key, new Entry(value, revision, lease));
         log.add(new Change(key, value, revision));
         putListeners.getOrDefault(key, () -> {}).run();
     }
 
-    /** Deletes a key under the present revision; does nothing if there is none. */
+    /** Deletes a key in the current revision; does nothing if the key does not exist. */
     void delete(String key) {
         if (entries.remove(key) != null) {
             log.add(new Change(key, null, revision));
-            deletedAt.put(key, clock.getAsLong());
+            deletedAtMs.put(key, clock.getAsLong());
         }
     }
 
-    /** When the key was deleted last; negative: never. */
-    long deletedAt(String key) {
-        return deletedAt.getOrDefault(key, -1L);
+    /** When the key was last deleted; negative if never. */
+    long deletedAtMs(String key) {
+        return deletedAtMs.getOrDefault(key, -1L);
     }
 
     void setPutListener(String key, Runnable listener) {
--- a/src/test/java/notchpick/simulation/StateStoreFaults.java
+++ b/src/test/java/notchpick/simulation/StateStoreFaults.java
@@ -5,20 +5,20 @@
 import java.util.Random;
 import java.util.Set;
 
-/** What is wrong with the state store. */
+/** The faults that are currently injected into the state store. */
 final class StateStoreFaults {
     private static final int RANDOM_SEED = 7;
     private static final int MIN_UNANSWERED_DELAY_MS = 2000;
     private static final int UNANSWERED_DELAY_RANGE_MS = 10_000;
 
-    /** Draws which transactions get no answer, and how late they are applied. */
+    /** Decides which transactions get no answer and when they are applied; seeded, so that runs can be repeated. */
     private final Random random = new Random(RANDOM_SEED);
 
     private final Set<String> refusedHosts = new HashSet<>();
     private boolean outage;
     private boolean watchesHang;
-    private int commitsToLose;
-    private long lostCommitDelayMs;
+    private int commitsToLeaveUnanswered;
+    private long unansweredCommitDelayMs;
     private double unansweredShare;
     private boolean unansweredAppliedImmediately;
     private long listDelayMs;
@@ -35,7 +35,7 @@
         return refusedHosts.contains(host);
     }
 
-    /** Whether this host alone is refused. */
+    /** Starts or stops refusing the requests of one host. */
     void setRefused(String host, boolean refused) {
         if (refused) {
             refusedHosts.add(host);
@@ -60,23 +60,23 @@
         listDelayMs = delayMs;
     }
 
-    /** The next so many transactions get no answer, and are applied this much later. */
+    /** The next {@code count} transactions get no answer and are applied after the delay. */
     void leaveCommitsUnanswered(int count, long delayMs) {
-        commitsToLose = count;
-        lostCommitDelayMs = delayMs;
+        commitsToLeaveUnanswered = count;
+        unansweredCommitDelayMs = delayMs;
     }
 
-    /** This share of the transactions gets no answer, and is applied immediately or seconds later. */
+    /** Sets the share of transactions that get no answer and are applied immediately or seconds later. */
     void setUnansweredShare(double share, boolean appliedImmediately) {
         unansweredShare = share;
         unansweredAppliedImmediately = appliedImmediately;
     }
 
-    /** For the transaction that has just arrived: empty if it is answered, else how much later it is applied. */
-    OptionalLong delayOfUnansweredCommit() {
-        if (commitsToLose > 0) {
-            commitsToLose--;
-            return OptionalLong.of(lostCommitDelayMs);
+    /** Decides whether the arriving transaction is answered (empty), or else after which delay it is applied. */
+    OptionalLong nextUnansweredCommitDelayMs() {
+        if (commitsToLeaveUnanswered > 0) {
+            commitsToLeaveUnanswered--;
+            return OptionalLong.of(unansweredCommitDelayMs);
         }
         if (random.nextDouble() >= unansweredShare) {
             return OptionalLong.empty();
--- a/src/test/java/notchpick/simulation/StateStoreLeases.java
+++ b/src/test/java/notchpick/simulation/StateStoreLeases.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import notchpick.transport.Timer;
 
-/** The leases of the state store: a lease that is not kept alive ends, and its keys with it. */
+/** The leases of the state store. A lease that is not renewed in time ends, and the keys bound to it are deleted. */
 final class StateStoreLeases {
     /** Is notified when a lease has ended. */
     interface EndListener {
@@ -16,7 +16,7 @@
     private final Timer timer;
     private final StateStoreFaults faults;
     private final EndListener listener;
-    private final Map<Long, Long> expiresAt = new HashMap<>();
+    private final Map<Long, Long> expiresAtMs = new HashMap<>();
     private final Map<Long, Long> durationsMs = new HashMap<>();
     private long lastLease;
 
@@ -28,10 +28,10 @@
     }
 
     boolean exists(long lease) {
-        return expiresAt.containsKey(lease);
+        return expiresAtMs.containsKey(lease);
     }
 
-    /** Grants a lease and answers its number. */
+    /** Grants a lease and returns its number. */
     long grant(long durationMs) {
         long lease = ++lastLease;
         durationsMs.put(lease, durationMs);
@@ -39,28 +39,28 @@
         return lease;
     }
 
-    void keepAlive(long lease) {
+    void renew(long lease) {
         extend(lease, durationsMs.get(lease));
     }
 
-    /** After an outage no lease has lost time. */
-    void keepAllAlive() {
+    /** Renews every lease for its full duration, so that an outage costs no lease any time. */
+    void renewAll() {
         durationsMs.forEach(this::extend);
     }
 
-    /** The lease ends now, with the keys that are bound to it. */
+    /** Ends the lease now; the listener deletes the keys bound to it. */
     void end(long lease) {
-        expiresAt.remove(lease);
+        expiresAtMs.remove(lease);
         durationsMs.remove(lease);
         listener.leaseEnded(lease);
     }
 
     private void extend(long lease, long durationMs) {
-        long end = clock.getAsLong() + durationMs;
-        expiresAt.put(lease, end);
-        timer.schedule(end - clock.getAsLong() + 1, () -> {
-            Long current = expiresAt.get(lease);
-            if (current != null && current <= clock.getAsLong() && !faults.isOutage()) {
+        long expiryMs = clock.getAsLong() + durationMs;
+        expiresAtMs.put(lease, expiryMs);
+        timer.schedule(expiryMs - clock.getAsLong() + 1, () -> {
+            Long currentExpiryMs = expiresAtMs.get(lease);
+            if (currentExpiryMs != null && currentExpiryMs <= clock.getAsLong() && !faults.isOutage()) {
                 end(lease);
             }
         });
--- a/src/test/java/notchpick/simulation/StateStoreLimits.java
+++ b/src/test/java/notchpick/simulation/StateStoreLimits.java
@@ -1,16 +1,16 @@
 package notchpick.simulation;
 
 /**
- * What the state store accepts.
+ * Limits that the state store enforces.
  *
- * @param valueBytes the largest value
+ * @param valueBytes the size of the largest value
  * @param transactionWrites the most puts and deletes in one transaction
- * @param writesPerS puts and deletes in a second
+ * @param writesPerS puts and deletes accepted per second
  */
 public record StateStoreLimits(int valueBytes, int transactionWrites, double writesPerS) {
     private static final int DEFAULT_TRANSACTION_WRITES = 12;
 
-    /** The usual limits with another rate of writes. */
+    /** The default limits with the given write rate. */
     static StateStoreLimits withRate(double writesPerS) {
         return new StateStoreLimits(SimulatedStateStore.MAX_VALUE_BYTES, DEFAULT_TRANSACTION_WRITES, writesPerS);
     }
--- a/src/test/java/notchpick/simulation/StateStoreWatches.java
+++ b/src/test/java/notchpick/simulation/StateStoreWatches.java
@@ -11,18 +11,19 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.Timer;
 
-/** Watches of the state store: reads of the log that wait until there is a change. */
+/** Open watches of the state store: reads of the change log that wait until there is a change. */
 final class StateStoreWatches {
     /**
      * A read of the log.
      *
-     * @param host who watches
-     * @param since the revision after which changes are wanted
-     * @param until when it is answered even without a change
+     * @param host the host that watches
+     * @param sinceRevision only changes after this revision are returned
+     * @param untilMs when the watch is answered even without a change
      */
-    record Watch(String host, String prefix, long since, long openedAt, long until, Consumer<Response> reply) {
-        boolean mayWait() {
-            return until > openedAt;
+    record Watch(
+            String host, String prefix, long sinceRevision, long openedAtMs, long untilMs, Consumer<Response> reply) {
+        boolean isLongPoll() {
+            return untilMs > openedAtMs;
         }
     }
 
@@ -39,24 +40,24 @@
         this.faults = faults;
     }
 
-    /** Answers the watch as soon as it is due. */
+    /** Opens a watch, which is answered as soon as it is due. */
     void open(Watch watch) {
         open.add(watch);
-        timer.schedule(watch.until() - clock.getAsLong() + 1, this::answerDue);
+        timer.schedule(watch.untilMs() - clock.getAsLong() + 1, this::answerDue);
         answerDue();
     }
 
-    /** Answers the watches that have a change or have run out; in an outage and for refused hosts all of them wait. */
+    /** Answers the watches that have a change or have timed out, but none during an outage and none of a refused host. */
     void answerDue() {
         if (faults.isOutage()) {
             return;
         }
         for (Watch watch : List.copyOf(open)) {
-            if (faults.isRefused(watch.host()) || (faults.areWatchesHanging() && watch.mayWait())) {
+            if (faults.isRefused(watch.host()) || (faults.areWatchesHanging() && watch.isLongPoll())) {
                 continue;
             }
-            List<Change> changes = data.changesSince(watch.since(), watch.prefix());
-            if (!changes.isEmpty() || clock.getAsLong() >= watch.until()) {
+            List<Change> changes = data.changesSince(watch.sinceRevision(), watch.prefix());
+            if (!changes.isEmpty() || clock.getAsLong() >= watch.untilMs()) {
                 open.remove(watch);
                 watch.reply().accept(answer(changes));
             }
--- a/src/test/java/notchpick/simulation/TokenBucket.java
+++ b/src/test/java/notchpick/simulation/TokenBucket.java
@@ -9,13 +9,13 @@
     private final LongSupplier clock;
     private double ratePerS;
     private double tokens;
-    private long refilledAt;
+    private long refilledAtMs;
 
     TokenBucket(LongSupplier clock, double ratePerS) {
         this.clock = clock;
         this.ratePerS = ratePerS;
         this.tokens = ratePerS;
-        this.refilledAt = clock.getAsLong();
+        this.refilledAtMs = clock.getAsLong();
     }
 
     void setRate(double newRatePerS) {
@@ -24,9 +24,9 @@
 
     /** Takes so many tokens, or none and answers false. */
     boolean tryTake(int count) {
-        long now = clock.getAsLong();
-        tokens = Math.min(ratePerS, tokens + (now - refilledAt) * ratePerS / MS_PER_S);
-        refilledAt = now;
+        long nowMs = clock.getAsLong();
+        tokens = Math.min(ratePerS, tokens + (nowMs - refilledAtMs) * ratePerS / MS_PER_S);
+        refilledAtMs = nowMs;
         if (tokens < count) {
             return false;
         }
--- a/src/test/java/notchpick/simulation/Transcript.java
+++ b/src/test/java/notchpick/simulation/Transcript.java
@@ -27,7 +27,7 @@
         this.out = out;
     }
 
-    /** Opens the transcript of a test in the folder that {@code -Dtranscript=DIR} names; without it nothing is written. */
+    /** Opens the transcript of a test in the directory set by {@code -Dtranscript=DIR}; if unset, nothing is written. */
     public static Transcript open(String test) {
         String folder = System.getProperty("transcript");
         if (folder == null) {
--- a/src/test/java/notchpick/simulation/WaitingJobMonitor.java
+++ b/src/test/java/notchpick/simulation/WaitingJobMonitor.java
@@ -37,7 +37,7 @@
     void start() {
         jobs.jobs().stream()
                 .filter(job -> users.hasAnswerAbout(job.spec().id()))
-                .forEach(job -> invariants.waits(job.spec().id(), couldStart(job)));
+                .forEach(job -> invariants.recordWaitingJob(job.spec().id(), couldStart(job)));
         time.schedule(PERIOD_MS, this::start);
     }
 
--- a/src/test/java/notchpick/simulation/WorkerFaults.java
+++ b/src/test/java/notchpick/simulation/WorkerFaults.java
@@ -8,18 +8,18 @@
     /** What would have happened on the machine while it hung, in order. */
     private final List<Runnable> deferred = new ArrayList<>();
 
-    private boolean dead;
+    private boolean terminated;
     private boolean hanging;
-    private boolean deaf;
-    private boolean mute;
-    private boolean sick;
+    private boolean inboundLost;
+    private boolean outboundLost;
+    private boolean faulty;
 
-    boolean isDead() {
-        return dead;
+    boolean isTerminated() {
+        return terminated;
     }
 
-    void setDead() {
-        dead = true;
+    void setTerminated() {
+        terminated = true;
     }
 
     boolean isHanging() {
@@ -33,9 +33,9 @@
     /** The machine goes on; what it should have done meanwhile happens now. */
     void stopHanging() {
         hanging = false;
-        List<Runnable> due = List.copyOf(deferred);
+        List<Runnable> deferredWork = List.copyOf(deferred);
         deferred.clear();
-        due.forEach(Runnable::run);
+        deferredWork.forEach(Runnable::run);
     }
 
     /** Runs the work when the machine goes on after a hang. */
@@ -45,33 +45,33 @@
 
     /** Whether its heartbeats arrive and what is sent to it is lost. */
     boolean isInboundLost() {
-        return deaf;
+        return inboundLost;
     }
 
     void setInboundLost(boolean active) {
-        deaf = active;
+        inboundLost = active;
     }
 
     /** Whether its heartbeats are lost. */
     boolean isOutboundLost() {
-        return mute;
+        return outboundLost;
     }
 
     void setOutboundLost(boolean active) {
-        mute = active;
+        outboundLost = active;
     }
 
     /** Whether every task on it fails soon after its start. */
     boolean isFaulty() {
-        return sick;
+        return faulty;
     }
 
     void setFaulty() {
-        sick = true;
+        faulty = true;
     }
 
     /** Whether the machine can take part in the work like any other. */
     boolean isHealthy() {
-        return !dead && !hanging && !deaf && !mute && !sick;
+        return !terminated && !hanging && !inboundLost && !outboundLost && !faulty;
     }
 }
--- a/src/test/java/notchpick/simulation/WorkerLease.java
+++ b/src/test/java/notchpick/simulation/WorkerLease.java
@@ -16,14 +16,14 @@
     private final ExpiryListener listener;
     private long incarnation = 1;
     private long token;
-    private long renewedAt;
+    private long renewedAtMs;
 
     WorkerLease(SimulatedTime time, long leaseMs, WorkerFaults faults, ExpiryListener listener) {
         this.time = time;
         this.leaseMs = leaseMs;
         this.faults = faults;
         this.listener = listener;
-        this.renewedAt = time.nowMs();
+        this.renewedAtMs = time.nowMs();
     }
 
     long incarnation() {
@@ -40,21 +40,21 @@
     }
 
     /** The lease runs from the moment at which the answered heartbeat was sent. */
-    void renew(long sentAt) {
-        renewedAt = Math.max(renewedAt, sentAt);
+    void renew(long sentAtMs) {
+        renewedAtMs = Math.max(renewedAtMs, sentAtMs);
         scheduleExpiry();
     }
 
     /** Ends the incarnation unless the lease is renewed until then. */
     void scheduleExpiry() {
-        long renewedAtNow = renewedAt;
-        time.schedule(renewedAtNow + leaseMs - time.nowMs() + 1, () -> {
-            if (faults.isDead()) {
+        long renewedAtBeforeMs = renewedAtMs;
+        time.schedule(renewedAtBeforeMs + leaseMs - time.nowMs() + 1, () -> {
+            if (faults.isTerminated()) {
                 return;
             }
-            if (renewedAt == renewedAtNow) {
+            if (renewedAtMs == renewedAtBeforeMs) {
                 incarnation++;
-                renewedAt = time.nowMs();
+                renewedAtMs = time.nowMs();
                 listener.leaseExpired();
             }
             scheduleExpiry();
--- a/src/test/java/notchpick/simulation/WorkerTask.java
+++ b/src/test/java/notchpick/simulation/WorkerTask.java
@@ -24,7 +24,7 @@
     private final long attempt;
     private State state = State.FETCHING;
     private String exitCause;
-    private long startedAt;
+    private long startedAtMs;
 
     WorkerTask(String name, long attempt) {
         this.name = name;
@@ -52,8 +52,8 @@
         return exitCause;
     }
 
-    long startedAt() {
-        return startedAt;
+    long startedAtMs() {
+        return startedAtMs;
     }
 
     boolean hasExited() {
@@ -66,9 +66,9 @@
     }
 
     /** The image has been fetched and the task runs. */
-    void start(long now) {
+    void start(long nowMs) {
         state = State.RUNNING;
-        startedAt = now;
+        startedAtMs = nowMs;
     }
 
     void startSaving() {
--- a/src/test/java/notchpick/simulation/WorkerTasks.java
+++ b/src/test/java/notchpick/simulation/WorkerTasks.java
@@ -19,7 +19,7 @@
     private static final long FETCH_MS = 1000;
     private static final long SAVE_MS = 1000;
     private static final long MIN_RUN_MS = 10;
-    private static final long RUN_ON_SICK_MACHINE_MS = 200;
+    private static final long RUN_ON_FAULTY_MACHINE_MS = 200;
 
     private final RentedMachine machine;
     private final WorkerEnvironment environment;
@@ -63,7 +63,7 @@
     void killAll() {
         for (WorkerTask task : tasks.values()) {
             if (task.isOnMachine()) {
-                invariants.stopped(machine.name(), task.name());
+                invariants.recordStop(machine.name(), task.name());
             }
         }
         tasks.clear();
@@ -79,7 +79,7 @@
             case "run" -> {
                 if (task == null) {
                     long maxDelayMs = environment.timing().heartbeatPeriodMs() + SimulatedWorker.ANSWER_TIMEOUT_MS;
-                    invariants.startOrdered(machine.name(), name, maxDelayMs);
+                    invariants.recordStartOrder(machine.name(), name, maxDelayMs);
                     fetch(key, new WorkerTask(name, attempt));
                 }
             }
@@ -97,13 +97,13 @@
     }
 
     private void fetch(String key, WorkerTask task) {
-        boolean isPresent = active().contains(task.name());
+        boolean isAlreadyActive = active().contains(task.name());
         Resources used = usedResources();
         tasks.put(key, task);
         Resources demand = environment.jobs().demand(task.job());
         if (demand == null) {
             exit(task, "unknown");
-        } else if (isPresent) {
+        } else if (isAlreadyActive) {
             exit(task, "in_use");
         } else if (!demand.fitsIn(machine.type().size().minus(used))) {
             exit(task, "full");
@@ -123,7 +123,7 @@
     }
 
     private boolean isActive(String key, WorkerTask task) {
-        return !faults.isDead() && tasks.get(key) == task && !task.hasExited();
+        return !faults.isTerminated() && tasks.get(key) == task && !task.hasExited();
     }
 
     private void run(String key, WorkerTask task) {
@@ -135,9 +135,9 @@
             return;
         }
         task.start(time.nowMs());
-        invariants.started(machine.name(), task.name(), machine.type().name(), machine.zone(), machine.spot());
+        invariants.recordStart(machine.name(), task.name(), machine.type().name(), machine.zone(), machine.spot());
         listener.tasksChanged();
-        long runMs = faults.isFaulty() ? RUN_ON_SICK_MACHINE_MS : remainingRunMs(task.name());
+        long runMs = faults.isFaulty() ? RUN_ON_FAULTY_MACHINE_MS : remainingRunMs(task.name());
         time.schedule(Math.max(MIN_RUN_MS, runMs), () -> complete(key, task));
     }
 
@@ -155,11 +155,11 @@
             faults.defer(() -> complete(key, task));
             return;
         }
-        invariants.stopped(machine.name(), task.name());
+        invariants.recordStop(machine.name(), task.name());
         if (faults.isFaulty() || environment.jobs().fails(task.job())) {
             exit(task, "error");
         } else {
-            invariants.completed(task.name());
+            invariants.recordCompletion(task.name());
             exit(task, "done");
             environment.listener().taskCompleted(task.name());
         }
@@ -173,7 +173,7 @@
             save(task);
         } else if (!mayFinishSaving || task.state() != State.SAVING) {
             if (task.isOnMachine()) {
-                invariants.stopped(machine.name(), task.name());
+                invariants.recordStop(machine.name(), task.name());
             }
             exit(task, "stopped");
         }
@@ -182,9 +182,9 @@
     private void save(WorkerTask task) {
         task.startSaving();
         time.schedule(SAVE_MS, () -> {
-            if (!faults.isDead() && tasks.containsValue(task) && task.state() == State.SAVING) {
-                environment.checkpoints().merge(task.name(), time.nowMs() - task.startedAt(), Long::sum);
-                invariants.stopped(machine.name(), task.name());
+            if (!faults.isTerminated() && tasks.containsValue(task) && task.state() == State.SAVING) {
+                environment.checkpoints().merge(task.name(), time.nowMs() - task.startedAtMs(), Long::sum);
+                invariants.recordStop(machine.name(), task.name());
                 exit(task, "stopped");
             }
         });
