--- a/src/test/java/notchpick/simulation/AnswerHistory.java
+++ b/src/test/java/notchpick/simulation/AnswerHistory.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** What users have been answered about jobs, and when. */
+/** The answers that users have got about jobs, in the order in which they arrived. */
 final class AnswerHistory {
-    /** A job's state in an answer, and when a user got it. */
+    /** A job's state in an answer, and when the user received it. */
     private record Answer(String state, long receivedAtMs) {}
 
     private final Map<String, List<Answer>> answers = new HashMap<>();
@@ -20,7 +20,7 @@
         return answers.containsKey(job);
     }
 
-    /** The state that some user knew by then: the final one if there was any, else the latest; null: none. */
+    /** The first final state in answers received by this time, else the latest state; null if there was no answer. */
     String latestStateAt(String job, long timeMs) {
         String latest = null;
         for (Answer answer : answers.getOrDefault(job, List.of())) {
--- a/src/test/java/notchpick/simulation/CancellationChecker.java
+++ b/src/test/java/notchpick/simulation/CancellationChecker.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** What users have cancelled, and how long after the confirmation something of the job still happened. */
+/** Tracks which jobs users cancelled, and how long after the confirmation their tasks were still ordered or running. */
 final class CancellationChecker {
     private final LongSupplier clock;
     private final long cancelTimeoutMs;
@@ -18,7 +18,7 @@
     private long longestUntilStoppedMs;
     private long longestUntilStartOrderMs;
 
-    /** @param cancelTimeoutMs how long tasks may still run after the confirmation */
+    /** @param cancelTimeoutMs how long tasks may still run after the confirmation of a cancellation */
     CancellationChecker(LongSupplier clock, long cancelTimeoutMs) {
         this.clock = clock;
         this.cancelTimeoutMs = cancelTimeoutMs;
@@ -32,7 +32,7 @@
         return requested.contains(job);
     }
 
-    /** A user got the answer that the job is cancelled; the first answer counts. */
+    /** Records that a user was told that the job is cancelled; only the first call per job counts. */
     void recordConfirmation(String job) {
         confirmedAtMs.putIfAbsent(job, clock.getAsLong());
     }
@@ -41,17 +41,17 @@
         return confirmedAtMs.containsKey(job);
     }
 
-    /** The time since the job's cancellation was confirmed; empty if none was. */
+    /** The time since the job's cancellation was confirmed; empty if it was not. */
     private Optional<Long> sinceConfirmationMs(String job) {
         return Optional.ofNullable(confirmedAtMs.get(job)).map(atMs -> clock.getAsLong() - atMs);
     }
 
-    /** Whether the tasks of the job must have stopped by now. */
+    /** Whether the job's cancellation was confirmed so long ago that its tasks must have stopped. */
     boolean isOverdue(String job) {
         return sinceConfirmationMs(job).filter(ms -> ms > cancelTimeoutMs).isPresent();
     }
 
-    /** Records a start order for a task of the job; returns the time since the confirmation, empty if there was none. */
+    /** Records a start order for a task of the job; returns the time since the confirmation, empty without one. */
     Optional<Long> recordStartOrder(String job) {
         Optional<Long> delayMs = sinceConfirmationMs(job);
         delayMs.ifPresent(ms -> {
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -5,11 +5,11 @@
 import notchpick.scheduling.Resources;
 import notchpick.storage.StateKeys;
 
-/** Counts under which circumstances cancellations were confirmed to users. */
+/** Counts the circumstances under which cancellations were confirmed to users. */
 final class CancellationCircumstances implements SimulatedUsers.CancellationListener {
-    /** A cancellation and a refusal of the leader no further apart count as simultaneous. */
+    /** A cancellation and a refusal of the leader at most this far apart count as simultaneous. */
     private static final long SIMULTANEOUS_MS = 20;
-    /** A team that may not hold this much more is at its limit. */
+    /** A team that may not take this much more is at its limit. */
     private static final Resources MIN_HEADROOM = new Resources(1, 0, 0);
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -38,13 +38,13 @@
     }
 
     /**
-     * The state store refuses the leader alone from now on.
+     * Records that the state store refuses the leader's requests from now on.
      *
      * @param cancelRequested the jobs that users have asked to cancel
      */
     void recordLeaderRefusal(List<String> cancelRequested) {
         leaderRefusedAtMs = time.nowMs();
-        // A cancellation from a moment before has left the store by now.
+        // A cancellation just before the refusal has already deleted the record of the open job.
         cancelRequested.stream()
                 .map(this::openRecordDeletedAtMs)
                 .filter(deletedAtMs -> deletedAtMs >= 0 && leaderRefusedAtMs - deletedAtMs <= SIMULTANEOUS_MS)
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Teams without a limit do not count; where none has one, none is at its limit. */
+    /** Ignores teams without a limit; false if no team has one. */
     private boolean areAllTeamsAtTheirLimits() {
         List<Quota> limited =
                 teams.stream().filter(team -> team.maximum().cores() > 0).toList();
--- a/src/test/java/notchpick/simulation/ClusterConfig.java
+++ b/src/test/java/notchpick/simulation/ClusterConfig.java
@@ -6,14 +6,14 @@
 import notchpick.scheduling.Resources;
 
 /**
- * What a simulated cluster consists of.
+ * The configuration of a simulated cluster.
  *
  * @param controllers the number of controllers
- * @param requestsPerS requests that the state store accepts in a second
- * @param limits what the state store accepts at first
- * @param announcedLimits what it will accept from some moment of the test on
- * @param limitsAnnouncedAtRestart whether a controller reads the announced limits only when it is restarted, as in a
- *     rolling upgrade; otherwise it keeps to them from its first start
+ * @param requestsPerS requests that the state store accepts per second
+ * @param limits the limits that the state store enforces at first
+ * @param announcedLimits the limits that it enforces later in the test, when the test says so
+ * @param limitsAnnouncedAtRestart whether a controller applies the announced limits only after a restart, as in a
+ *     rolling upgrade; otherwise from its first start
  */
 public record ClusterConfig(
         int controllers,
@@ -31,17 +31,17 @@
         return new Builder();
     }
 
-    /** A type of machine with 8 cores and 64 GB, which both zones offer. */
+    /** A machine type with 8 cores and 64 GB, available in both zones. */
     public static MachineType machineType(String name, double bootS) {
         return machineType(name, new Resources(8, 0, 64), bootS);
     }
 
-    /** A type of machine that both zones offer. */
+    /** A machine type that is available in both zones. */
     public static MachineType machineType(String name, Resources size, double bootS) {
         return new MachineType(name, size, 100, 1, 1, 0.3, bootS, ZONES);
     }
 
-    /** Makes configurations; each setter takes what the component of the same name stands for. */
+    /** Builds configurations; the setters correspond to the record components of the same names. */
     public static final class Builder {
         private int controllers = 3;
         private List<Quota> teams = List.of(new Quota("a", Resources.NONE, Resources.NONE));
@@ -66,38 +66,38 @@
             return this;
         }
 
-        /** The types of machines that the cloud rents out. */
+        /** The machine types that the cloud offers. */
         public Builder machineTypes(List<MachineType> value) {
             machineTypes = value;
             return this;
         }
 
-        /** The periods that workers keep to. */
+        /** The timing of the worker protocol. */
         public Builder timing(WorkerTiming value) {
             timing = value;
             return this;
         }
 
-        /** Requests that the state store accepts in a second. */
+        /** Requests that the state store accepts per second. */
         public Builder requestsPerS(double value) {
             requestsPerS = value;
             return this;
         }
 
-        /** Puts and deletes that the state store accepts in a second at first. */
+        /** Puts and deletes that the state store accepts per second at first. */
         public Builder writesPerS(double value) {
             writesPerS = value;
             return this;
         }
 
-        /** Limits that will hold from some moment on, and whether controllers read them only at a restart. */
+        /** The announced limits, and whether controllers apply them only after a restart. */
         public Builder announcedLimits(StateStoreLimits value, boolean atRestart) {
             announcedLimits = value;
             limitsAnnouncedAtRestart = atRestart;
             return this;
         }
 
-        /** The configuration; without announced limits the present ones stay. */
+        /** The configuration; the announced limits default to the initial ones. */
         public ClusterConfig build() {
             StateStoreLimits limits = StateStoreLimits.withRate(writesPerS);
             return new ClusterConfig(
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -6,13 +6,13 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 
-/** Copies of workers' heartbeats, which arrive again at every controller: late, or as a new leader begins. */
+/** Sends copies of workers' heartbeats to every controller, either late or when a new leader is elected. */
 final class HeartbeatDuplicator {
-    /** The shortest time that a copy is under way. */
+    /** The shortest delay of a copy. */
     private static final int MIN_DELAY_MS = 2000;
-    /** How much longer it may be under way, in workers' leases. */
+    /** How much longer than the shortest delay a copy may take, as a multiple of the worker lease. */
     private static final double MAX_EXTRA_DELAY_LEASES = 1.4;
-    /** Copies that were kept for the next leader arrive within so long. */
+    /** The time over which copies that were kept for the next leader are sent. */
     private static final long KEPT_COPIES_DELIVERY_MS = 2000;
 
     private static final long ELECTION_CHECK_PERIOD_MS = 20;
@@ -27,7 +27,7 @@
     private final List<byte[]> keptForNextLeader = new ArrayList<>();
     private double share;
     private boolean forNextLeader;
-    private int keptInTerm;
+    private int lastSeenTerm;
     private boolean isAwaitingElection;
 
     HeartbeatDuplicator(
@@ -46,15 +46,15 @@
     }
 
     /**
-     * From now on a copy of this share of the heartbeats arrives again: from two seconds to well over a lease later, or
-     * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to 0.
+     * Sets the share of heartbeats that are duplicated. A copy is sent two seconds to well over a lease later, or kept
+     * until the next leader is elected; copies that are already kept stay so when the share is set to 0.
      */
     void setShare(double newShare, boolean keepForNextLeader) {
         share = newShare;
         forNextLeader = keepForNextLeader;
         if (forNextLeader && !isAwaitingElection) {
             isAwaitingElection = true;
-            keptInTerm = controllers.term();
+            lastSeenTerm = controllers.term();
             awaitElection();
         }
     }
@@ -80,8 +80,8 @@
     private void awaitElection() {
         time.schedule(ELECTION_CHECK_PERIOD_MS, () -> {
             int term = controllers.leader().isPresent() ? controllers.term() : 0;
-            if (term > keptInTerm) {
-                keptInTerm = term;
+            if (term > lastSeenTerm) {
+                lastSeenTerm = term;
                 deliverKept();
             }
             isAwaitingElection = forNextLeader;
@@ -91,7 +91,7 @@
         });
     }
 
-    /** In their order, while the new leader recovers and just after. */
+    /** Sends the kept copies in order, while the new leader recovers and shortly after. */
     private void deliverKept() {
         List<byte[]> copies = List.copyOf(keptForNextLeader);
         keptForNextLeader.clear();
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Records that a task no longer runs on the machine; ignored if it is recorded as running on another one. */
+    /** Records that a task no longer runs on the machine; ignored unless it is recorded as running there. */
     public void recordStop(String machine, String task) {
         RunningTask location = running.get(task);
         if (location != null && location.machine().equals(machine)) {
@@ -334,7 +334,7 @@
             if (withDependencies(job.id()).stream().noneMatch(cancellations::isRequested)) {
                 addViolation(
                         "invalid_transition",
-                        job.id() + " is cancelled, but no user cancelled it or a job it depends on");
+                        job.id() + " is cancelled, but no user cancelled it or a job that it needs");
             }
             cancellations.recordConfirmation(job.id());
         }
--- a/src/test/java/notchpick/simulation/JobGroundTruth.java
+++ b/src/test/java/notchpick/simulation/JobGroundTruth.java
@@ -9,20 +9,20 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** What the tasks of the submitted jobs do when they run, which the service does not know. */
+/** The actual run times and outcomes of submitted jobs, which the controllers have no access to. */
 final class JobGroundTruth implements SimulatedWorker.JobBehavior {
     /**
      * A submitted job.
      *
      * @param body the submission as the user sent it
-     * @param runTimeVariation by what part of the run time single tasks run shorter or longer
+     * @param runTimeVariation the largest deviation of a task's run time from {@code runMs}, as a fraction of it
      * @param fails whether every task of the job ends with an error
      */
     record SubmittedJob(JobSpec spec, ObjectNode body, long runMs, double runTimeVariation, boolean fails) {}
 
     private final Map<String, SubmittedJob> jobs = new LinkedHashMap<>();
 
-    /** Reads a submission and keeps what its tasks will do. */
+    /** Parses a submission and stores how its tasks will behave. */
     SubmittedJob add(ObjectNode body, double runS, double runTimeVariation, boolean fails)
             throws InvalidMessageException {
         JobSpec spec = UserProtocol.submission(body, 0);
@@ -58,7 +58,7 @@
     @Override
     public long runMs(String task) {
         SubmittedJob job = jobs.get(InvariantChecker.jobOf(task));
-        // Derived from the task's name, so that it is the same wherever the task runs.
+        // Derived from the task's name, so that every attempt of the task has the same run time.
         double deviation = Math.floorMod(task.hashCode() * 31L, 1000) / 500.0 - 1;
         return Math.round(job.runMs() * (1 + job.runTimeVariation() * deviation));
     }
--- a/src/test/java/notchpick/simulation/LoopbackAddresses.java
+++ b/src/test/java/notchpick/simulation/LoopbackAddresses.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Addresses on loopback for stand-ins that run over real sockets. */
+/** Loopback addresses for simulated services that are served over real sockets. */
 public final class LoopbackAddresses {
     private LoopbackAddresses() {}
 
-    /** So many different addresses with ports that are free now. */
+    /** Distinct addresses whose ports are free now; another process may still take a port before it is used. */
     public static List<String> allocate(int count) throws IOException {
         List<ServerSocket> sockets = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
--- a/src/test/java/notchpick/simulation/ServedJobs.java
+++ b/src/test/java/notchpick/simulation/ServedJobs.java
@@ -10,44 +10,44 @@
 import java.util.Set;
 import notchpick.scheduling.JobSpec;
 
-/** Which classes, teams and largest jobs were served too little: a day on which work is never served has failed. */
+/** Finds classes, teams and largest jobs that were served too little; this fails a run even without violations. */
 final class ServedJobs {
-    /** "The largest ones too have to begin within four minutes." */
+    /** The largest jobs of a class must start within this time of their submission. */
     static final long MAX_START_DELAY_OF_LARGEST_MS = 240_000;
-    /** "If less than half of a class, of a team or of a class's largest jobs is served": one in so many at least. */
-    private static final int MIN_SERVED_DIVISOR = 2;
-    /** One in so many jobs of a class, but one at least, counts among its largest; the rules name no number. */
+    /** At least half of a class, of a team and of a class's largest jobs must be served. */
+    private static final int HALF_DIVISOR = 2;
+    /** One in this many jobs of a class, rounded up, counts as its largest; the rules give no number. */
     private static final int LARGEST_DIVISOR = 10;
 
     private final Map<String, JobSpec> jobs = new LinkedHashMap<>();
     private final Map<String, Long> submittedAtMs = new HashMap<>();
     private final Map<String, Long> startedAtMs = new HashMap<>();
     private final Map<String, String> lastStates = new HashMap<>();
-    /** Jobs that need not be served. */
+    /** Ids of jobs that need not be served. */
     private final Set<String> exemptJobs = new HashSet<>();
 
-    /** A user has submitted the job. */
+    /** Records that a user submitted the job. */
     void recordSubmission(JobSpec job, long atMs) {
         jobs.put(job.id(), job);
         submittedAtMs.put(job.id(), atMs);
     }
 
-    /** The job need not be served: its user cancelled it, or it can't run. */
+    /** Exempts a job that need not be served because its user cancelled it or it cannot run. */
     void exempt(String job) {
         exemptJobs.add(job);
     }
 
-    /** A task of the job has started. */
+    /** Records that a task of the job has started; the first start counts. */
     void recordStart(String job, long atMs) {
         startedAtMs.putIfAbsent(job, atMs);
     }
 
-    /** A user was answered with the state of the job. */
+    /** Records the job's state in an answer to a user. */
     void recordAnswer(String job, String state) {
         lastStates.put(job, state);
     }
 
-    /** What was served less than half, or began too late, a line each. */
+    /** The groups that were less than half served, and the largest jobs that mostly started late, one line each. */
     List<String> underserved() {
         Map<String, List<JobSpec>> groups = new LinkedHashMap<>();
         Map<String, List<JobSpec>> classes = new LinkedHashMap<>();
@@ -62,15 +62,15 @@
         classes.forEach((name, members) -> {
             List<JobSpec> largest = largest(members);
             groups.put("largest of " + name, largest);
-            if (largest.stream().filter(this::startedLate).count() * MIN_SERVED_DIVISOR > largest.size()) {
-                underserved.add("largest of " + name + " begin late");
+            if (largest.stream().filter(this::startedLate).count() * HALF_DIVISOR > largest.size()) {
+                underserved.add("largest of " + name + ": more than half started late");
             }
         });
         groups.forEach((name, members) -> {
             long served = members.stream()
                     .filter(job -> "done".equals(lastStates.get(job.id())))
                     .count();
-            if (served * MIN_SERVED_DIVISOR < members.size()) {
+            if (served * HALF_DIVISOR < members.size()) {
                 underserved.add(name + ": " + served + " of " + members.size() + " served");
             }
         });
--- a/src/test/java/notchpick/simulation/ServedJobsTest.java
+++ b/src/test/java/notchpick/simulation/ServedJobsTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Groups of which less than half is served, or that begin too late, are reported; what is just enough passes. */
+/** Groups that are less than half served, or whose largest jobs start late, are reported; exactly half passes. */
 class ServedJobsTest {
     private long nowMs;
     private final InvariantChecker invariants = new InvariantChecker(() -> nowMs, 40_000, Map.of("a", 8.0));
@@ -61,6 +61,6 @@
         invariants.recordCompletion("run-1/0");
         invariants.recordCompletion("run-1/1");
         invariants.recordAnswer("run-1", 200, "done");
-        assertEquals(List.of("largest of c begin late"), invariants.underserved());
+        assertEquals(List.of("largest of c: more than half started late"), invariants.underserved());
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -21,18 +21,18 @@
 import notchpick.transport.HttpHandler;
 import notchpick.transport.Timer;
 
-/** The cloud, written from its published protocol. */
+/** A cloud that implements the published protocol, with faults that tests set. */
 public final class SimulatedCloud implements HttpHandler {
-    /** Is notified of machines that come up and go. */
+    /** Called when machines have booted or are removed. */
     public interface MachineListener {
-        /** The machine has booted: its worker starts. */
+        /** The machine has booted, so its worker can start. */
         void machineStarted(RentedMachine machine);
 
-        /** The machine was released or taken back. */
+        /** The machine was released or reclaimed, possibly before it had booted. */
         default void machineRemoved(String name) {}
     }
 
-    /** What the cloud's list of machines says: the truth, no machine at all, or every machine as failed. */
+    /** What the cloud's list of machines contains: the actual machines, none, or every machine as failed. */
     public enum Listing {
         RIGHT,
         NOTHING,
@@ -40,7 +40,7 @@
     }
 
     private static final double MS_PER_S = 1000;
-    /** Machines of one rental come up one after another. */
+    /** The time between the boots of two machines of one rental. */
     private static final long BOOT_INTERVAL_MS = 37;
 
     private final LongSupplier clock;
@@ -50,7 +50,7 @@
     private final Map<NodePool, Integer> capacity = new HashMap<>();
     private final Map<String, RentedMachine> machines = new TreeMap<>();
     private final Set<String> booted = new HashSet<>();
-    /** Answers to rentals by request id, as a repeated request must not rent again. */
+    /** Answers to rentals, by request id; a repeated request gets the first answer and rents nothing. */
     private final Map<String, byte[]> rentalAnswers = new HashMap<>();
 
     private int rentedCount;
@@ -62,7 +62,7 @@
     private double bootTimeFactor = 1;
     private Listing listing = Listing.RIGHT;
 
-    /** @param clock the time in milliseconds */
+    /** @param clock the current time in milliseconds */
     public SimulatedCloud(LongSupplier clock, Timer timer, Map<String, MachineType> types, MachineListener listener) {
         this.clock = clock;
         this.timer = timer;
@@ -70,57 +70,57 @@
         this.listener = listener;
     }
 
-    /** The cloud has so many machines in this pool. */
+    /** Sets how many machines of this pool can be rented at the same time. */
     public void setCapacity(NodePool pool, int machineCount) {
         capacity.put(pool, machineCount);
     }
 
-    /** All requests fail from now on, or no longer. */
+    /** Starts or stops failing all requests. */
     public void setUnavailable(boolean active) {
         unavailable = active;
     }
 
-    /** The next release gets no answer and happens this much later. */
+    /** The next release gets no answer and is carried out after the delay. */
     public void delayNextRelease(long delayMs) {
         releaseDelayMs = delayMs;
     }
 
-    /** The next rental gets no answer and happens this much later. */
+    /** The next rental gets no answer and is carried out after the delay. */
     public void delayNextRental(long delayMs) {
         rentalDelayMs = delayMs;
     }
 
-    /** What the cloud's list says from now on. */
+    /** Sets what the list of machines contains. */
     public void setListing(Listing newListing) {
         listing = newListing;
     }
 
-    /** So many of the next machines never come up. */
+    /** The next {@code machineCount} rented machines never boot. */
     public void failNextBoots(int machineCount) {
         bootsToFail = machineCount;
     }
 
-    /** What is rented from now on takes so many boot times of its type to come up. */
+    /** Multiplies the boot time of machines that are rented from now on. */
     public void setBootTimeFactor(double factor) {
         bootTimeFactor = factor;
     }
 
-    /** How many machines ever came up. */
+    /** How many machines have ever booted. */
     public int bootedCount() {
         return bootedCount;
     }
 
-    /** How many machines were ever rented. */
+    /** How many machines have ever been rented. */
     public int rentedCount() {
         return rentedCount;
     }
 
-    /** How many machines are rented now, up or not. */
+    /** How many machines are rented now, booted or not. */
     public int machineCount() {
         return machines.size();
     }
 
-    /** The cloud takes the machine back without notice. */
+    /** Removes the machine without notice; does nothing if it is not rented. */
     public void reclaim(String name) {
         if (machines.remove(name) != null) {
             listener.machineRemoved(name);
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -12,8 +12,8 @@
 import notchpick.transport.HttpCaller;
 
 /**
- * A whole deployment in simulated time: builds the controllers, the stand-ins and the users, and carries out the
- * faults that concern more than one of them.
+ * A whole deployment in simulated time: creates the controllers, the simulated services, workers and users, and injects
+ * the faults that affect more than one of them.
  */
 public final class SimulatedCluster {
     static final String STATE_ADDRESS = "10.2.0.1:2379";
@@ -38,7 +38,7 @@
     private final WaitingJobMonitor waitingJobMonitor;
     private int lostStartOrders;
 
-    /** Builds the deployment and starts all controllers; nothing happens before the time is advanced. */
+    /** Creates the deployment and starts all controllers; scheduled work runs only when the time is advanced. */
     public SimulatedCluster(ClusterConfig config) {
         this.config = config;
         WorkerTiming timing = config.timing();
@@ -97,7 +97,7 @@
         occurrences.setExternalCounter(Occurrence.PACKET_DELAYED, network::delayedPackets);
     }
 
-    /** From now on all messages and transactions are written to the transcript. */
+    /** Writes all later messages and transactions to the transcript. */
     public void record(Transcript transcript) {
         network.record(transcript);
         stateStore.record(transcript);
@@ -107,7 +107,7 @@
         return time;
     }
 
-    /** Advances the time by this much and runs what falls due. */
+    /** Advances the time by this duration and runs all work that falls due. */
     public void runFor(long durationMs) {
         time.runUntil(time.nowMs() + durationMs);
     }
@@ -144,27 +144,27 @@
         return occurrences;
     }
 
-    /** How many machines of a type, in a zone, as spot instances or not, the cloud has. */
+    /** Sets how many machines of a type, in a zone, as spot instances or not, the cloud offers. */
     public void setCapacity(String type, String zone, boolean spot, int machines) {
         cloud.setCapacity(new NodePool(type, zone, spot), machines);
     }
 
-    /** Commands that were sent straight to workers; all orders are to travel in answers to heartbeats. */
+    /** How many commands were sent directly to workers; must stay 0, as orders travel only in heartbeat answers. */
     public int directCommands() {
         return network.callsTo(SimulatedWorker.ADDRESS);
     }
 
-    /** Orders to start a task that were lost on their way to deaf machines. */
+    /** How many start orders were lost because messages to the worker were lost. */
     public int lostStartOrders() {
         return lostStartOrders;
     }
 
-    /** From now on the state store accepts no more than the announced limits allow. */
+    /** Makes the state store enforce the announced limits from now on. */
     public void enforceAnnouncedLimits() {
         stateStore.setLimits(config.announcedLimits());
     }
 
-    /** An outage of the state store begins or ends. */
+    /** Starts or ends an outage of the state store. */
     public void setOutage(boolean active) {
         stateStore.setOutage(active);
         if (!active) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** The state store refuses this controller alone from now on, or no longer. */
+    /** Makes the state store start or stop refusing the requests of this controller. */
     public void setRefused(String node, boolean refused) {
         stateStore.setRefused(node, refused);
         if (refused && controllers.isLeader(node)) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Users cancel so many of the jobs that have tasks on machines; the jobs chosen. */
+    /** Has users cancel up to {@code count} jobs that have tasks on machines; returns the chosen jobs. */
     public List<String> cancelRunning(int count) {
         return users.cancelSome(fleet.tasksByJob().keySet(), count);
     }
@@ -193,13 +193,13 @@
         heartbeatDuplicator.setShare(share, forNextLeader);
     }
 
-    /** No fault is active from now on: a job that waits though it could start breaks a rule. */
+    /** Marks that no fault is active from now on, and starts to check for jobs that wait although they could start. */
     public void markFaultsOver() {
         invariants.recordFaultsOver();
         waitingJobMonitor.start();
     }
 
-    /** Passes on what happens on machines to those who wait for it. */
+    /** Forwards worker events to the components that react to them or count them. */
     private final class WorkerEvents implements SimulatedWorker.Listener {
         @Override
         public void heartbeatSent(byte[] heartbeat) {
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -17,7 +17,7 @@
 import notchpick.storage.StateKeys;
 import notchpick.transport.EventLoop;
 
-/** The processes of the real controllers, which tests start, crash, freeze and cut off from power. */
+/** The processes of the real controllers, which tests start, crash, freeze and power off. */
 public final class SimulatedControllers {
     private static final double FAST_CLOCK_PERCENT = 0.05;
     private static final double SLOW_CLOCK_PERCENT = -0.05;
@@ -30,7 +30,10 @@
     private final SimulatedStateStore stateStore;
     private final List<String> nodes = new ArrayList<>();
     private final Map<String, String> userAddresses = new LinkedHashMap<>();
-    /** Rises with each start and each crash; a process runs for as long as this stays what it was at its start. */
+    /**
+     * Counts the starts and crashes of each controller: odd while a process runs. A process runs only as long as the
+     * count has the value from its start.
+     */
     private final Map<String, Integer> generations = new HashMap<>();
 
     private final Map<String, Long> frozenUntilMs = new HashMap<>();
@@ -54,7 +57,7 @@
         return nodes;
     }
 
-    /** Where users and workers reach each controller, in the order of {@link #nodes}. */
+    /** The address at which users and workers reach each controller, in the order of {@link #nodes}. */
     Map<String, String> userAddresses() {
         return userAddresses;
     }
@@ -63,13 +66,13 @@
         return "10.0.0." + (index + 1) + ":8081";
     }
 
-    /** The controller that holds the leader's key. */
+    /** The controller named in the leader key; empty if the key does not exist. */
     public Optional<String> leader() {
         return Optional.ofNullable(stateStore.value(StateKeys.LEADER))
                 .map(value -> value.path("node").asText());
     }
 
-    /** The newest term; 0: nobody has led yet. */
+    /** The latest term; 0 before the first election. */
     public int term() {
         var value = stateStore.value(StateKeys.TERM);
         return value == null ? 0 : value.path("term").asInt();
@@ -79,7 +82,7 @@
         return leader().filter(node::equals).isPresent();
     }
 
-    /** The last term whose leader was crashed by the test. */
+    /** The last term whose leader crashed; 0 if none did. */
     int lastTermEndedByCrash() {
         return lastTermEndedByCrash;
     }
@@ -88,12 +91,12 @@
         return generations.get(node) % 2 == 1;
     }
 
-    /** Gives a controller a name by which a scenario can refer to it later. */
+    /** Gives a controller an alias by which a scenario can refer to it later. */
     public void setAlias(String alias, String node) {
         aliases.put(alias, node);
     }
 
-    /** The controller with this alias; a word that is no alias stands for itself. */
+    /** The controller with this alias, or the word itself if it is no alias. */
     public String resolveAlias(String word) {
         return aliases.getOrDefault(word, word);
     }
@@ -113,7 +116,7 @@
         controller.tell(new Controller.Begin());
     }
 
-    /** The first two controllers have clocks at the edges of what the settings allow. */
+    /** The first controller's clock runs as fast, the second one's as slow as the settings allow. */
     private EventLoop eventLoop(String node, int generation) {
         int index = nodes.indexOf(node);
         double fastPercent = switch (index) {
@@ -159,7 +162,7 @@
         return peers;
     }
 
-    /** Ends a controller's process, which stays down. */
+    /** Ends a controller's process without restarting it. */
     public void crash(String node) {
         if (isLeader(node)) {
             lastTermEndedByCrash = term();
@@ -169,20 +172,23 @@
         network.stopServing(peerAddress(nodes.indexOf(node)));
     }
 
-    /** Ends a controller's process and starts another one later. */
+    /** Ends a controller's process and starts a new one after the delay. */
     public void crash(String node, long restartMs) {
         crash(node);
         time.schedule(restartMs, () -> start(node));
     }
 
-    /** The host loses power: nothing refuses, nothing answers. When the power is back a new process starts. */
+    /**
+     * Cuts the host's power for a while. Connections to it time out instead of being refused; a new process starts when
+     * power returns.
+     */
     public void losePower(String node, long durationMs) {
         crash(node, durationMs);
         network.setPowered(node, false);
         time.schedule(durationMs, () -> network.setPowered(node, true));
     }
 
-    /** The process is paused while its clocks run on; what is sent to it waits. */
+    /** Pauses the process while its clocks keep running; messages to it wait until it resumes. */
     public void freeze(String node, long durationMs) {
         long untilMs = time.nowMs() + durationMs;
         frozenUntilMs.put(node, untilMs);
--- a/src/test/java/notchpick/simulation/SimulatedFleet.java
+++ b/src/test/java/notchpick/simulation/SimulatedFleet.java
@@ -7,7 +7,7 @@
 import notchpick.scheduling.JobSpec;
 import notchpick.scheduling.Resources;
 
-/** The workers of all machines that are up, and what runs on them. */
+/** The workers of all booted machines and the tasks on them. */
 public final class SimulatedFleet implements SimulatedCloud.MachineListener {
     private static final int MAX_HANGING_MACHINES = 8;
 
@@ -17,7 +17,7 @@
     private final OccurrenceCounters occurrences;
     private final WorkerEnvironment environment;
     private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
-    /** Zones of all machines that were ever up. */
+    /** Zones of all machines that have ever booted, by machine; entries outlive the machine. */
     private final Map<String, String> zones = new HashMap<>();
 
     SimulatedFleet(
@@ -50,17 +50,17 @@
         }
     }
 
-    /** Workers of the machines that are up, in the order in which they came up. */
+    /** The workers of the booted machines, in the order in which they booted. */
     public List<SimulatedWorker> workers() {
         return List.copyOf(workers.values());
     }
 
-    /** Names of the machines that are up, in the order in which they came up. */
+    /** Names of the booted machines, in the order in which they booted. */
     public List<String> machines() {
         return List.copyOf(workers.keySet());
     }
 
-    /** The worker on the machine of this name, which must be up. */
+    /** The worker on the machine of this name; null if that is not booted. */
     public SimulatedWorker worker(String machine) {
         return workers.get(machine);
     }
@@ -91,7 +91,7 @@
         return tasks;
     }
 
-    /** What the team's tasks on machines hold. */
+    /** The resources that the team's tasks on machines hold. */
     Resources usageOf(String team) {
         Resources usage = Resources.NONE;
         for (SimulatedWorker worker : workers.values()) {
@@ -103,7 +103,7 @@
         return usage;
     }
 
-    /** What no task holds on the worker's machine. */
+    /** The resources of the worker's machine that no task holds. */
     Resources freeResources(SimulatedWorker worker) {
         Resources free = worker.type().size();
         for (String task : worker.tasks()) {
@@ -112,14 +112,14 @@
         return free;
     }
 
-    /** The worker's machine stands still for a while. */
+    /** Hangs the worker's machine for this long. */
     public void hang(SimulatedWorker worker, long durationMs) {
         worker.setHanging(true);
         time.schedule(durationMs, () -> worker.setHanging(false));
         occurrences.increment(Occurrence.MACHINE_HANG);
     }
 
-    /** Some of the machines that hold tasks of these jobs stand still for a while. */
+    /** Hangs the first few machines that hold tasks of these jobs for this long. */
     public void hangMachinesOf(List<String> jobIds, long durationMs) {
         workers.values().stream()
                 .filter(worker ->
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -16,36 +16,36 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
 
-/** Carries calls between hosts; links can be cut or slowed down, hosts frozen or without power. */
+/** Delivers calls between hosts; tests can cut or delay links, freeze hosts and turn off their power. */
 public final class SimulatedNetwork {
     private static final long LATENCY_MS = 2;
 
-    /** How a cut treats packets: hold them and deliver them late, reset the connection, or refuse new ones. */
+    /** How a cut treats packets: holds them until it is healed, resets connections, or also refuses new ones. */
     public enum Cut {
         HOLD,
         RESET,
         REFUSE
     }
 
-    /** Packets from one host or group to another are cut. */
+    /** One direction between two hosts or groups. */
     private record Route(String from, String to) {}
 
     private final SimulatedTime time;
     private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final Map<String, String> hostsByAddress = new HashMap<>();
     private final Map<Route, Cut> cuts = new LinkedHashMap<>();
-    /** How much longer packets take, by route. */
+    /** Extra packet delay, by route. */
     private final Map<Route, Long> delaysMs = new LinkedHashMap<>();
-    /** How many calls went to each address. */
+    /** Number of calls, by address. */
     private final Map<String, Integer> callCounts = new HashMap<>();
 
     private int delayedPackets;
     private final Map<Route, List<Runnable>> heldPackets = new HashMap<>();
-    /** Names that stand for many hosts, by host. */
+    /** The groups that each host belongs to, by host. */
     private final Map<String, Set<String>> groups = new HashMap<>();
-    /** Hosts without power: what is sent to them gets no answer of any kind. */
+    /** Hosts without power: packets to them are lost without a reset or refusal. */
     private final Set<String> unpoweredHosts = new HashSet<>();
-    /** Hosts whose processes are paused, and until when. What comes meanwhile waits in their sockets. */
+    /** Until when the processes of a host are paused, by host; packets wait in its sockets until then. */
     private final Map<String, Long> frozenUntilMs = new HashMap<>();
 
     private Transcript transcript = Transcript.NONE;
@@ -54,23 +54,23 @@
         this.time = time;
     }
 
-    /** From now on all calls and answers are written down. */
+    /** Writes all later calls and answers to the transcript. */
     void record(Transcript to) {
         transcript = to;
     }
 
-    /** A host serves this address. */
+    /** Registers a host's handler for this address. */
     public void serve(String address, String host, HttpHandler handler) {
         handlers.put(address, handler);
         hostsByAddress.put(address, host);
     }
 
-    /** Nobody serves this address any more: connections to it are refused. */
+    /** Stops serving this address; connections to it are refused from now on. */
     public void stopServing(String address) {
         handlers.remove(address);
     }
 
-    /** The host loses its power, or has it back. */
+    /** Turns the host's power on or off. */
     public void setPowered(String host, boolean powered) {
         if (powered) {
             unpoweredHosts.remove(host);
@@ -79,17 +79,17 @@
         }
     }
 
-    /** The host's processes are paused until then; what is sent to it waits. */
+    /** Pauses the host's processes until the given time; packets to it wait. */
     public void freeze(String host, long untilMs) {
         frozenUntilMs.put(host, untilMs);
     }
 
-    /** A host belongs to a group, which cuts may name in its place. */
+    /** Adds a host to a group, which cuts and delays may name instead of single hosts. */
     public void addToGroup(String host, String group) {
         groups.computeIfAbsent(host, h -> new HashSet<>()).add(group);
     }
 
-    /** A host is in this zone: it belongs to the zone's group, and to the group outside of each other zone. */
+    /** Adds a host to the zone's group, and to the group of hosts outside each other zone. */
     void addToZone(String host, String zone) {
         for (String other : ClusterConfig.ZONES) {
             addToGroup(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
@@ -102,12 +102,12 @@
         cutOneWay(other, one, mode);
     }
 
-    /** Cuts one direction; packets in the other still pass. */
+    /** Cuts one direction only. */
     public void cutOneWay(String from, String to, Cut mode) {
         cuts.put(new Route(from, to), mode);
     }
 
-    /** Packets in one direction take longer by this from now on; 0 ends that. */
+    /** Sets the extra delay of packets in one direction; 0 removes it. */
     public void delayOneWay(String from, String to, long extraMs) {
         if (extraMs > 0) {
             delaysMs.put(new Route(from, to), extraMs);
@@ -116,12 +116,12 @@
         }
     }
 
-    /** How many packets have been slowed down. */
+    /** How many packets had an extra delay. */
     public int delayedPackets() {
         return delayedPackets;
     }
 
-    /** How many calls were made to addresses that begin like this. */
+    /** How many calls were made to addresses with this prefix. */
     public int callsTo(String prefix) {
         return callCounts.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(prefix))
@@ -129,7 +129,7 @@
                 .sum();
     }
 
-    /** Ends the cuts between two hosts or groups; what was held back is delivered. */
+    /** Removes the cuts in both directions between two hosts or groups and delivers the packets that they held. */
     public void heal(String one, String other) {
         for (Route route : List.of(new Route(one, other), new Route(other, one))) {
             cuts.remove(route);
@@ -144,7 +144,7 @@
         return host.equals(name) || groups.getOrDefault(host, Set.of()).contains(name);
     }
 
-    /** The first cut between the two hosts in this direction. */
+    /** The earliest cut that applies to packets between the two hosts in this direction. */
     private Optional<Route> cutBetween(String from, String to) {
         return cuts.keySet().stream()
                 .filter(route -> matches(from, route.from()) && matches(to, route.to()))
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Calls made by one host, whose answers count as long as its process lives. */
+    /** The caller of one host; answers that arrive after its process has ended are dropped. */
     public HttpCaller callerOf(String host, BooleanSupplier isAlive) {
         return (call, timeoutMs, then) -> {
             callCounts.merge(call.target(), 1, Integer::sum);
@@ -214,7 +214,7 @@
             transmit(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
-        // The state store refuses by who calls, so the caller's name goes along.
+        // The target is replaced by the caller's host, from which the state store decides whom to refuse.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
             transcript.answered(time.nowMs(), to, from, call, answer);
             transmit(to, from, () -> answerOnce.accept(answer), reset);
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 import notchpick.transport.EventLoop;
 
-/** Simulated time: runs scheduled work in the order of its due times, without waiting. */
+/** Simulated time: runs scheduled work in order of its due times, without waiting. Single-threaded. */
 public final class SimulatedTime {
-    /** Work of the same time runs in the order in which it was scheduled. */
+    /** Scheduled work; the sequence number orders work that is due at the same time. */
     private record ScheduledWork(long dueMs, long sequence, Runnable work) {}
 
     private static final long STEADY_CLOCK_START_MS = 1_000_000;
@@ -24,7 +24,7 @@
         return nowMs;
     }
 
-    /** Schedules work; a negative delay counts as none. */
+    /** Schedules work; a negative delay counts as 0. */
     public void schedule(long delayMs, Runnable work) {
         queue.add(new ScheduledWork(nowMs + Math.max(0, delayMs), sequence++, work));
     }
@@ -39,17 +39,17 @@
         nowMs = endMs;
     }
 
-    /** The event loop of a process that is never paused. */
+    /** Creates the event loop of a process that is never paused. */
     public EventLoop newEventLoop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
         return newEventLoop(fastPercent, wallOffsetMs, isAlive, () -> 0);
     }
 
     /**
-     * The event loop of one process.
+     * Creates the event loop of one process, which drops its work once the process has ended.
      *
-     * @param fastPercent by how much its steady clock runs fast
-     * @param wallOffsetMs by how much its time of day is off
-     * @param frozenUntilMs until when the process is paused while its clocks run on
+     * @param fastPercent by how many percent its steady clock runs fast; slow if negative
+     * @param wallOffsetMs the offset of its wall clock
+     * @param frozenUntilMs until when the process is paused, in simulated time; its clocks keep running
      */
     public EventLoop newEventLoop(
             double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntilMs) {
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -18,9 +18,9 @@
 
 /** The users: they submit, poll and cancel jobs, and report every answer to the invariant checker. */
 public final class SimulatedUsers {
-    /** Is notified of cancellations. */
+    /** Called on cancellations. */
     interface CancellationListener {
-        /** For the first time a user got the answer that the job is cancelled. */
+        /** An answer to a cancel request has confirmed the cancellation, and no answer before it had. */
         void cancellationConfirmed(String job);
     }
 
@@ -40,7 +40,7 @@
     private final OccurrenceCounters occurrences;
     private final Random random;
     private CancellationListener cancellationListener = job -> {};
-    /** The state of each job in the last answer; a final state stays. */
+    /** The state in the last answer, by job; a final state is never replaced. */
     private final Map<String, String> lastStates = new LinkedHashMap<>();
 
     private final Map<String, Integer> lastHttpStatuses = new HashMap<>();
@@ -73,46 +73,46 @@
         cancellationListener = listener;
     }
 
-    /** Whether a user submitted the job, acceptably or not. */
+    /** Whether a user submitted the job, including invalid submissions that were answered. */
     public boolean hasSubmitted(String job) {
         return jobs.contains(job) || lastHttpStatuses.containsKey(job);
     }
 
-    /** Whether a user has got an answer that gives the job's state. */
+    /** Whether a user has got a successful answer about the job. */
     boolean hasAnswerAbout(String job) {
         return lastStates.containsKey(job);
     }
 
-    /** The job's state in the last answer to a user; "nothing" where there was none. */
+    /** The job's state in the last answer to a user; "nothing" if there was none. */
     public String lastState(String job) {
         return lastStates.getOrDefault(job, "nothing");
     }
 
-    /** The HTTP status of the last answer about the job; 0: there was none. */
+    /** The HTTP status of the last answer about the job; 0 if there was none. */
     public int lastHttpStatus(String job) {
         return lastHttpStatuses.getOrDefault(job, 0);
     }
 
-    /** Answers to submissions that were neither accepted nor refused for good. */
+    /** How many answers to submissions neither accepted nor rejected the job, so that the user retried. */
     public int deferredSubmissions() {
         return deferredSubmissions;
     }
 
-    /** Those of them with status 503 that name no time after which to retry. */
+    /** How many of the {@link #deferredSubmissions} had status 503 and named no time after which to retry. */
     public int deferredWithoutRetryAfter() {
         return deferredWithoutRetryAfter;
     }
 
-    /** How many polls of bursts were answered with this HTTP status. */
+    /** How many polls of {@link #pollBurst} were answered with this HTTP status. */
     public int pollBurstAnswers(int httpStatus) {
         return pollBurstAnswers.getOrDefault(httpStatus, 0);
     }
 
     /**
-     * Submits a job, and again until it is accepted or refused; then polls it until it ends.
+     * Submits a job and retries for a minute until it is accepted or rejected; polls an accepted job until it ends.
      *
      * @param runS how long a task runs
-     * @param runTimeVariation by what part of the run time single tasks run shorter or longer
+     * @param runTimeVariation the largest deviation of a task's run time from {@code runS}, as a fraction of it
      * @param fails whether every task ends with an error
      */
     public void submit(ObjectNode body, double runS, double runTimeVariation, boolean fails)
@@ -130,7 +130,7 @@
             if (isSuccess(answer)) {
                 readAfterChange(job);
                 time.schedule(POLL_PERIOD_MS, () -> poll(job));
-            } else if (!isRefusal(answer) && time.nowMs() < retryUntilMs) {
+            } else if (!isRejection(answer) && time.nowMs() < retryUntilMs) {
                 deferredSubmissions++;
                 deferredWithoutRetryAfter += answer.status() == 503 && answer.retryAfterS() <= 0 ? 1 : 0;
                 time.schedule(RETRY_DELAY_MS, () -> submitUntil(job, body, retryUntilMs));
@@ -138,12 +138,12 @@
         });
     }
 
-    /** Sends a submission once, valid or not, and keeps the HTTP status. */
+    /** Sends a submission once, valid or not, and keeps only the HTTP status of the answer. */
     public void submitOnce(String job, byte[] body) {
         call("POST", "/submissions", body, answer -> lastHttpStatuses.put(job, answer.status()));
     }
 
-    /** Sends a submission that must not be accepted to every controller. */
+    /** Sends a submission that must not be accepted, once to every controller. */
     public void submitInvalid(String job, byte[] body) {
         invariants.recordInvalidSubmission(job);
         for (String node : controllers.nodes()) {
@@ -151,14 +151,14 @@
                 lastHttpStatuses.put(job, answer.status());
                 invariants.recordAnswer(job, answer.status(), null);
                 occurrences.increment(
-                        isRefusal(answer)
+                        isRejection(answer)
                                 ? Occurrence.INVALID_SUBMISSION_REFUSED
                                 : Occurrence.INVALID_SUBMISSION_UNDECIDED);
             });
         }
     }
 
-    /** Submits an accepted job once more, to one controller. */
+    /** Submits a job again, to one controller. */
     public void resubmit(String job) {
         long requestedAtMs = time.nowMs();
         call("POST", "/submissions", Json.bytes(jobs.job(job).body()), answer -> {
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Reads the job's state, now and again until the job has ended. */
+    /** Reads the job's state now, and then periodically until the job has ended. */
     public void poll(String job) {
         long requestedAtMs = time.nowMs();
         call("GET", "/submissions/" + job, null, answer -> {
@@ -187,7 +187,7 @@
         });
     }
 
-    /** Reads the job's state so many times within a second; a read without an answer is not retried. */
+    /** Reads the job's state {@code polls} times within a second; a read without an answer is not retried. */
     public void pollBurst(String job, int polls) {
         for (int i = 0; i < polls; i++) {
             time.schedule(1000L * i / polls, () -> {
@@ -200,7 +200,7 @@
         }
     }
 
-    /** Submits the job again at all controllers and reads it there a few times within milliseconds. */
+    /** Submits the job again to all controllers and reads it from all of them a few times within milliseconds. */
     public void readAtAllControllers(String job) {
         resubmitAtAllControllers(job);
         for (int i = 0; i < READS_AT_ALL_CONTROLLERS; i++) {
@@ -219,7 +219,7 @@
         occurrences.increment(Occurrence.READ_AT_ALL_CONTROLLERS);
     }
 
-    /** From now on users read at all controllers after each acceptance, completion and cancellation. */
+    /** Sets whether users read from all controllers after each acceptance, completion and cancellation. */
     public void setReadAfterEachChange(boolean enabled) {
         readAfterEachChange = enabled;
     }
@@ -230,7 +230,7 @@
         }
     }
 
-    /** From now on users read the latest jobs at the moment of each election and at the end of each outage. */
+    /** Sets whether users read the latest jobs at each election and at the end of each outage. */
     public void setReadAtElections(boolean enabled) {
         readAtElections = enabled;
     }
@@ -242,14 +242,14 @@
         }
     }
 
-    /** The state store serves again. */
+    /** An outage of the state store has ended. */
     void onOutageEnded() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_OUTAGE_END);
         }
     }
 
-    /** Reads the jobs whose last answers were open, done and cancelled. */
+    /** Reads the latest open, done and cancelled job, as far as there is one, from all controllers. */
     private void readLatestJobs(Occurrence occurrence) {
         Map<String, String> latest = new HashMap<>();
         lastStates.forEach((job, state) -> latest.put(InvariantChecker.isFinal(state) ? state : "open", job));
@@ -259,7 +259,7 @@
         });
     }
 
-    /** Cancels the job; repeats the request until a controller has confirmed the job's state. */
+    /** Cancels the job; retries until a controller answers with status 200, whatever the job's state is by then. */
     public void cancel(String job) {
         invariants.recordCancelRequest(job);
         long requestedAtMs = time.nowMs();
@@ -277,7 +277,7 @@
         });
     }
 
-    /** Users cancel so many of these jobs, those that run longest first, within a fifth of a second. */
+    /** Cancels up to {@code count} of these jobs, longest run time first, within a fifth of a second; returns them. */
     List<String> cancelSome(Set<String> candidates, int count) {
         List<String> chosen = candidates.stream()
                 .filter(job -> !invariants.isCancelRequested(job))
@@ -288,12 +288,12 @@
         return chosen;
     }
 
-    /** From now on this share of the jobs is cancelled at the moment at which their last task completes. */
+    /** Sets the share of jobs that are cancelled at the moment when their last task completes. */
     public void setCancelAtCompletionShare(double share) {
         cancelAtCompletionShare = share;
     }
 
-    /** A task has completed: users may cancel its job at this moment. */
+    /** A task has completed; the job may be cancelled now if it was the last one. */
     void onTaskCompleted(String task) {
         SubmittedJob job = jobs.job(InvariantChecker.jobOf(task));
         if (cancelAtCompletionShare > 0
@@ -312,7 +312,7 @@
         caller.call(new Request(controllers.userAddresses().get(node), method, path, body), TIMEOUT_MS, then);
     }
 
-    /** As a load balancer, takes the controllers in turn. */
+    /** Picks running controllers in turn, like a load balancer; the first controller if none runs. */
     private String nextRunningController() {
         List<String> nodes = controllers.nodes();
         for (int i = 0; i < nodes.size(); i++) {
@@ -328,7 +328,7 @@
         return answer.status() / 100 == 2;
     }
 
-    private static boolean isRefusal(Response answer) {
+    private static boolean isRejection(Response answer) {
         return answer.status() == 400 || answer.status() == 422;
     }
 
@@ -340,7 +340,7 @@
             return;
         }
         String stateBefore = lastStates.get(job);
-        // Answers may overtake each other: a final state is kept.
+        // Answers can arrive out of order, so a final state is never replaced.
         if (!InvariantChecker.isFinal(stateBefore)) {
             lastStates.put(job, state);
         }
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -11,14 +11,14 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** A worker, written from its published protocol: exchanges heartbeats with a controller and carries out orders. */
+/** A worker that implements the published protocol: sends heartbeats to a controller and carries out its orders. */
 public final class SimulatedWorker {
-    /** What is true of the jobs that users submitted. */
+    /** How the tasks of submitted jobs behave when they run. */
     public interface JobBehavior {
-        /** What each task of the job takes; null if there is no such job. */
+        /** The resources that each task of the job takes; null if there is no job of this id. */
         Resources demand(String job);
 
-        /** How long the task runs, in milliseconds. */
+        /** How long the task runs without interruption, in milliseconds. */
         long runMs(String task);
 
         /** Whether tasks of the job save checkpoints. */
@@ -28,7 +28,7 @@
         boolean fails(String job);
     }
 
-    /** Is notified of what happens on a machine. */
+    /** Receives the events of a worker. */
     public interface Listener {
         /** A worker sends this heartbeat. */
         default void heartbeatSent(byte[] heartbeat) {}
@@ -36,28 +36,28 @@
         /** A task has completed. */
         default void taskCompleted(String task) {}
 
-        /** A worker carries out an order to start a task that was given under this fencing token. */
+        /** A worker carries out a start order that was sent under this fencing token. */
         default void startOrdered(long token) {}
 
-        /** An order to start a task was lost on its way to a deaf machine. */
+        /** A start order was lost because messages to the worker are lost. */
         default void startOrderLost() {}
 
-        /** A worker drops an answer, as it has seen a higher fencing token. */
+        /** A worker drops an answer because it has seen a higher fencing token. */
         default void staleAnswerDropped() {}
     }
 
-    /** What a heartbeat's answer is compared with. */
+    /** The state in which a heartbeat was sent, which its answer is compared with. */
     private record SentHeartbeat(long sentAtMs, long incarnation, ArrayNode tasks) {}
 
-    /** Where workers could be sent direct commands. */
+    /** The address that every worker announces for direct commands. */
     static final String ADDRESS = "10.1.0.1:9000";
-    /** A worker gives a heartbeat up after so long, and drops an answer that comes later. */
+    /** A heartbeat without an answer counts as failed after this time; a later answer is dropped. */
     static final int ANSWER_TIMEOUT_MS = 4000;
 
     private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
     private static final long REDIRECT_DELAY_MS = 100;
     private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
-    /** Spreads the heartbeats of workers and over time. */
+    /** Varies the interval between a worker's heartbeats, so that workers do not all send at once. */
     private static final long JITTER_STEP_MS = 131;
 
     private static final Response MALFORMED = Response.empty(400);
@@ -74,19 +74,19 @@
     private final WorkerLease lease;
     private Double reclaimNoticeS;
     private long sequence;
-    private int controller;
+    private int controllerIndex;
     private boolean isAwaitingAnswer;
     private long lastHeartbeatAtMs;
     private long nextHeartbeatAtMs;
 
-    /** Starts a worker, which sends its first heartbeat now. */
+    /** Starts a worker and schedules its first heartbeat for now. */
     public SimulatedWorker(RentedMachine machine, HttpCaller caller, WorkerEnvironment environment) {
         this.machine = machine;
         this.caller = caller;
         this.environment = environment;
         this.time = environment.time();
         this.controllers = List.copyOf(environment.controllers().keySet());
-        this.controller = Math.floorMod(machine.name().hashCode(), controllers.size());
+        this.controllerIndex = Math.floorMod(machine.name().hashCode(), controllers.size());
         this.tasks = new WorkerTasks(machine, environment, faults, this::reportChange);
         this.lease = new WorkerLease(time, environment.timing().leaseMs(), faults, this::leaseExpired);
         lease.scheduleExpiry();
@@ -109,18 +109,18 @@
         return machine.spot();
     }
 
-    /** Tasks that are fetching, running or saving. */
+    /** Names of the tasks that are fetching, running or saving. */
     public List<String> tasks() {
         return tasks.active();
     }
 
-    /** The machine stops with all that is on it. */
+    /** Stops the machine and all its tasks for good. */
     public void terminate() {
         faults.setTerminated();
         tasks.killAll();
     }
 
-    /** The machine stands still, or goes on with what came meanwhile. */
+    /** Hangs the machine, or resumes it; on resuming it handles what was due while it hung. */
     public void setHanging(boolean active) {
         if (active) {
             faults.startHanging();
@@ -130,28 +130,28 @@
         }
     }
 
-    /** From now on what is sent to the worker is lost, while its heartbeats arrive; or no longer. */
+    /** Starts or stops losing all messages to the worker, while its heartbeats still arrive. */
     public void setInboundLost(boolean active) {
         faults.setInboundLost(active);
     }
 
-    /** From now on the worker's heartbeats are lost, or no longer. */
+    /** Starts or stops losing the worker's heartbeats. */
     public void setOutboundLost(boolean active) {
         faults.setOutboundLost(active);
     }
 
-    /** From now on every task on the machine fails soon after its start. */
+    /** Makes every task on the machine fail soon after its start from now on. */
     public void setFaulty() {
         faults.setFaulty();
     }
 
-    /** The cloud announces that it takes the machine back after so many seconds. */
+    /** Announces that the cloud reclaims the machine after this many seconds. */
     public void announceReclaim(double seconds) {
         reclaimNoticeS = seconds;
         reportChange();
     }
 
-    /** Whether a controller can be expected to start tasks there: the worker can be reached and is to stay. */
+    /** Whether a controller should start tasks here: no fault is active and no reclaim is announced. */
     public boolean canStartTasks() {
         return faults.isHealthy() && reclaimNoticeS == null;
     }
@@ -191,7 +191,7 @@
             time.schedule(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
             return;
         }
-        String address = environment.controllers().get(controllers.get(controller));
+        String address = environment.controllers().get(controllers.get(controllerIndex));
         caller.call(
                 new Request(address, "POST", "/hello", heartbeat),
                 ANSWER_TIMEOUT_MS,
@@ -271,8 +271,8 @@
     }
 
     private void followRedirect(String leader) {
-        if (controllers.contains(leader) && controllers.indexOf(leader) != controller) {
-            controller = controllers.indexOf(leader);
+        if (controllers.contains(leader) && controllers.indexOf(leader) != controllerIndex) {
+            controllerIndex = controllers.indexOf(leader);
             scheduleHeartbeat(time.nowMs() + REDIRECT_DELAY_MS);
         } else {
             tryNextController();
@@ -280,7 +280,7 @@
     }
 
     private void tryNextController() {
-        controller = (controller + 1) % controllers.size();
+        controllerIndex = (controllerIndex + 1) % controllers.size();
         scheduleHeartbeat(time.nowMs() + NEXT_CONTROLLER_DELAY_MS);
     }
 
@@ -297,7 +297,7 @@
         }
     }
 
-    /** Serves a direct command: carried out only under the newest token, for the present incarnation. */
+    /** Handles a direct command; rejects it under an older fencing token or for another incarnation. */
     public Response handleCommand(ObjectNode body) {
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -28,7 +28,7 @@
                     TIMING,
                     new HashMap<>()));
 
-    /** Every task takes one core for a minute. */
+    /** Every task takes one core and runs for one minute. */
     private static final class OneMinuteJobs implements SimulatedWorker.JobBehavior {
         @Override
         public Resources demand(String job) {
@@ -73,7 +73,7 @@
     @Test
     void rejectsCommandsForAnEarlierIncarnation() {
         assertEquals(200, start(2, 1, "run-1/0"));
-        // No heartbeat is answered: with the lease the incarnation ends, and all its tasks.
+        // No heartbeat is answered, so the lease expires, which ends the incarnation and all its tasks.
         time.runUntil(TIMING.leaseMs() + 2);
         assertEquals(409, start(2, 1, "run-1/1"));
         assertEquals(List.of(), worker.tasks());
--- a/src/test/java/notchpick/simulation/StateStoreWatches.java
+++ b/src/test/java/notchpick/simulation/StateStoreWatches.java
@@ -47,7 +47,7 @@
         answerDue();
     }
 
-    /** Answers the watches that have a change or have timed out, but none during an outage and none of a refused host. */
+    /** Answers watches that have a change or have timed out, but none during an outage and none of a refused host. */
     void answerDue() {
         if (faults.isOutage()) {
             return;
--- a/src/test/java/notchpick/simulation/TokenBucket.java
+++ b/src/test/java/notchpick/simulation/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** Limits a rate; bursts of one second's worth are accepted. */
+/** A token bucket that holds as many tokens as are added in one second. */
 final class TokenBucket {
     private static final double MS_PER_S = 1000;
 
@@ -22,7 +22,7 @@
         ratePerS = newRatePerS;
     }
 
-    /** Takes so many tokens, or none and answers false. */
+    /** Takes {@code count} tokens; takes none and returns false if there are too few. */
     boolean tryTake(int count) {
         long nowMs = clock.getAsLong();
         tokens = Math.min(ratePerS, tokens + (nowMs - refilledAtMs) * ratePerS / MS_PER_S);
--- a/src/test/java/notchpick/simulation/Transcript.java
+++ b/src/test/java/notchpick/simulation/Transcript.java
@@ -14,11 +14,11 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * A record of every message between hosts and of every transaction that the state store carried out, with simulated
- * time, in the words of the wire. Two versions that behave alike write the same bytes.
+ * Records every message between hosts and every transaction that the state store applied, in wire format and with
+ * simulated time. Two versions of the program that behave alike produce identical text.
  */
 public final class Transcript implements AutoCloseable {
-    /** Writes nothing. */
+    /** A transcript that records nothing. */
     static final Transcript NONE = new Transcript(null);
 
     private final Writer out;
@@ -27,7 +27,7 @@
         this.out = out;
     }
 
-    /** Opens the transcript of a test in the directory set by {@code -Dtranscript=DIR}; if unset, nothing is written. */
+    /** Opens a test's transcript in the directory set by {@code -Dtranscript=DIR}; records nothing if it is unset. */
     public static Transcript open(String test) {
         String folder = System.getProperty("transcript");
         if (folder == null) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A call leaves its host, whether or not it arrives. */
+    /** Records that a host sends a call, whether or not it arrives. */
     void called(long nowMs, String from, Request call) {
         if (out != null) {
             write(nowMs + " " + from + " > " + call.target() + " " + call.method() + " " + call.path() + " "
@@ -50,14 +50,14 @@
         }
     }
 
-    /** A host answers a call, whether or not the answer arrives. */
+    /** Records that a host answers a call, whether or not the answer arrives. */
     void answered(long nowMs, String from, String to, Request call, Response answer) {
         if (out != null) {
             write(nowMs + " " + from + " > " + to + " " + answer.status() + " " + text(call.path(), answer.body()));
         }
     }
 
-    /** The state store has carried out a transaction. */
+    /** Records that the state store has applied a transaction. */
     void committed(long nowMs, long revision, String transaction) {
         if (out != null) {
             write(nowMs + " revision " + revision + " " + transaction);
--- a/src/test/java/notchpick/simulation/WaitingJobMonitor.java
+++ b/src/test/java/notchpick/simulation/WaitingJobMonitor.java
@@ -7,7 +7,7 @@
 import notchpick.scheduling.Resources;
 import notchpick.simulation.JobGroundTruth.SubmittedJob;
 
-/** Reports each second to the invariant checker which jobs wait though one of their tasks could start. */
+/** Reports to the invariant checker every second for each job whether one of its waiting tasks could start. */
 final class WaitingJobMonitor {
     private static final long PERIOD_MS = 1000;
 
@@ -33,7 +33,7 @@
         this.users = users;
     }
 
-    /** Begins to watch; until the end of the simulation. */
+    /** Starts the reports, which go on until the end of the simulation. */
     void start() {
         jobs.jobs().stream()
                 .filter(job -> users.hasAnswerAbout(job.spec().id()))
--- a/src/test/java/notchpick/simulation/WorkerEnvironment.java
+++ b/src/test/java/notchpick/simulation/WorkerEnvironment.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * What all workers of a deployment share.
+ * The objects that all workers of a deployment share.
  *
- * @param jobs what is true of the tasks that users submitted
- * @param listener is notified of what happens on the machines
- * @param controllers addresses of all controllers, by name
- * @param checkpoints work saved outside the machines: run time in milliseconds, by task
+ * @param jobs how the tasks of submitted jobs behave
+ * @param listener receives the events of all workers
+ * @param controllers the addresses of all controllers, by name
+ * @param checkpoints the run time in milliseconds that a task has saved in checkpoints, by task; outlives machines
  */
 public record WorkerEnvironment(
         SimulatedTime time,
--- a/src/test/java/notchpick/simulation/WorkerFaults.java
+++ b/src/test/java/notchpick/simulation/WorkerFaults.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is wrong with a worker's machine. */
+/** The faults that are currently injected into a worker and its machine. */
 final class WorkerFaults {
-    /** What would have happened on the machine while it hung, in order. */
+    /** Work that fell due while the machine hung, in order. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     private boolean terminated;
@@ -30,7 +30,7 @@
         hanging = true;
     }
 
-    /** The machine goes on; what it should have done meanwhile happens now. */
+    /** Resumes the machine and runs the deferred work now. */
     void stopHanging() {
         hanging = false;
         List<Runnable> deferredWork = List.copyOf(deferred);
@@ -38,12 +38,12 @@
         deferredWork.forEach(Runnable::run);
     }
 
-    /** Runs the work when the machine goes on after a hang. */
+    /** Runs the work when the machine resumes after a hang. */
     void defer(Runnable work) {
         deferred.add(work);
     }
 
-    /** Whether its heartbeats arrive and what is sent to it is lost. */
+    /** Whether messages to the worker are lost, while its heartbeats arrive. */
     boolean isInboundLost() {
         return inboundLost;
     }
@@ -52,7 +52,7 @@
         inboundLost = active;
     }
 
-    /** Whether its heartbeats are lost. */
+    /** Whether the worker's heartbeats are lost. */
     boolean isOutboundLost() {
         return outboundLost;
     }
@@ -61,7 +61,7 @@
         outboundLost = active;
     }
 
-    /** Whether every task on it fails soon after its start. */
+    /** Whether every task on the machine fails soon after its start. */
     boolean isFaulty() {
         return faulty;
     }
@@ -70,7 +70,7 @@
         faulty = true;
     }
 
-    /** Whether the machine can take part in the work like any other. */
+    /** Whether no fault is active. */
     boolean isHealthy() {
         return !terminated && !hanging && !inboundLost && !outboundLost && !faulty;
     }
--- a/src/test/java/notchpick/simulation/WorkerLease.java
+++ b/src/test/java/notchpick/simulation/WorkerLease.java
@@ -1,11 +1,11 @@
 package notchpick.simulation;
 
 /**
- * A worker's lease: as long as heartbeats are answered, the worker keeps its tasks. With each expiry it begins another
- * incarnation, so that orders meant for the former one are void.
+ * A worker's lease, which answered heartbeats renew. When it expires, the worker's tasks are killed and a new
+ * incarnation begins, so that orders for the old one are ignored.
  */
 final class WorkerLease {
-    /** Is notified when the lease has expired. */
+    /** Called when the lease has expired. */
     interface ExpiryListener {
         void leaseExpired();
     }
@@ -30,7 +30,7 @@
         return incarnation;
     }
 
-    /** The highest fencing token that the worker has seen. */
+    /** The highest fencing token that the worker has seen; 0 if none. */
     long token() {
         return token;
     }
@@ -39,13 +39,13 @@
         token = newToken;
     }
 
-    /** The lease runs from the moment at which the answered heartbeat was sent. */
+    /** Renews the lease from the time at which the answered heartbeat was sent. */
     void renew(long sentAtMs) {
         renewedAtMs = Math.max(renewedAtMs, sentAtMs);
         scheduleExpiry();
     }
 
-    /** Ends the incarnation unless the lease is renewed until then. */
+    /** Schedules the end of the incarnation for the lease's expiry; a renewal before that voids it. */
     void scheduleExpiry() {
         long renewedAtBeforeMs = renewedAtMs;
         time.schedule(renewedAtBeforeMs + leaseMs - time.nowMs() + 1, () -> {
--- a/src/test/java/notchpick/simulation/WorkerTask.java
+++ b/src/test/java/notchpick/simulation/WorkerTask.java
@@ -2,7 +2,7 @@
 
 /** One attempt at a task on a machine. */
 final class WorkerTask {
-    /** The states of an attempt, with the words that workers send for them. */
+    /** The states of an attempt, with the words that stand for them in heartbeats. */
     enum State {
         FETCHING("fetching"),
         RUNNING("running"),
@@ -47,7 +47,7 @@
         return state;
     }
 
-    /** The word for how it ended; null as long as it has not. */
+    /** How the attempt ended, as the word that heartbeats use; null until it has exited. */
     String exitCause() {
         return exitCause;
     }
@@ -60,12 +60,12 @@
         return state == State.EXITED;
     }
 
-    /** Whether it has begun to run and has not exited. */
+    /** Whether the attempt has started to run and has not exited; false while it fetches its image. */
     boolean isOnMachine() {
         return state == State.RUNNING || state == State.SAVING;
     }
 
-    /** The image has been fetched and the task runs. */
+    /** Moves to running, after the image was fetched. */
     void start(long nowMs) {
         state = State.RUNNING;
         startedAtMs = nowMs;
@@ -75,7 +75,7 @@
         state = State.SAVING;
     }
 
-    /** The attempt has ended, with the word that workers send for the cause. */
+    /** Ends the attempt, with the word that heartbeats use for the cause. */
     void exit(String cause) {
         state = State.EXITED;
         exitCause = cause;
--- a/src/test/java/notchpick/simulation/WorkerTasks.java
+++ b/src/test/java/notchpick/simulation/WorkerTasks.java
@@ -9,9 +9,9 @@
 import notchpick.scheduling.Resources;
 import notchpick.simulation.WorkerTask.State;
 
-/** The tasks of one machine: carries out orders and lets tasks fetch their image, run, save and exit. */
+/** The tasks of one machine: carries out orders and simulates how tasks fetch their image, run, save and exit. */
 final class WorkerTasks {
-    /** Is notified when there is something new to report in a heartbeat. */
+    /** Called when the tasks that a heartbeat lists have changed. */
     interface ChangeListener {
         void tasksChanged();
     }
@@ -46,7 +46,7 @@
                 .toList();
     }
 
-    /** All tasks as a heartbeat lists them. */
+    /** All tasks, in the format of the heartbeat. */
     ArrayNode toHeartbeat() {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         for (WorkerTask task : tasks.values()) {
@@ -59,7 +59,7 @@
         return list;
     }
 
-    /** Ends all tasks without a trace, as at the end of the lease or of the machine. */
+    /** Drops all tasks without reporting an exit, as when the lease expires or the machine terminates. */
     void killAll() {
         for (WorkerTask task : tasks.values()) {
             if (task.isOnMachine()) {
@@ -69,7 +69,7 @@
         tasks.clear();
     }
 
-    /** Carries out one order: start, stop or forget an attempt; an order that came before does nothing. */
+    /** Carries out one order: starts, stops or forgets an attempt. A repeated order has no effect. */
     void execute(JsonNode order) {
         String name = order.path("piece").asText();
         long attempt = order.path("tryNo").asLong();
--- a/src/test/java/notchpick/simulation/WorkerTiming.java
+++ b/src/test/java/notchpick/simulation/WorkerTiming.java
@@ -1,10 +1,10 @@
 package notchpick.simulation;
 
 /**
- * The periods that workers keep to, in seconds.
+ * The timing of the worker protocol, in seconds.
  *
  * @param heartbeatPeriodS the time between two heartbeats of a worker
- * @param leaseS the length of a worker's lease
+ * @param leaseS the duration of a worker's lease
  * @param cancelTimeoutS the time within which the tasks of a cancelled job must have stopped
  */
 public record WorkerTiming(double heartbeatPeriodS, double leaseS, double cancelTimeoutS) {
--- a/src/test/java/notchpick/simulation/package-info.java
+++ b/src/test/java/notchpick/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A deployment in simulated time: real controllers among stand-ins for the cloud, the state store, the workers and
- * the users, each written from its published protocol, and checkers of the protocol's rules. All that happens follows
- * from the seed, so a failed run can be repeated.
+ * A deployment in simulated time: the real controllers with a simulated cloud, state store, workers and users, each of
+ * which implements the published protocol, and checkers of the protocol's rules. Every run is determined by its seed,
+ * so that a failed run can be repeated.
  */
 package notchpick.simulation;
