--- a/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
+++ b/src/test/java/notchpick/coordination/membership/StateStorePathTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When requests to the state store are relayed, and when they go directly again. */
+/** Tests when requests to the state store return from a relay to the direct link, and the circuit breaker. */
 class StateStorePathTest {
     private static final long SETTLE_MS = 3000;
     private static final long BREAKER_OPEN_MS = 750;
@@ -14,15 +14,15 @@
     private final StateStorePath path = new StateStorePath(SETTLE_MS, BREAKER_OPEN_MS);
 
     @Test
-    void isDirectAtFirst() {
+    void isDirectInitially() {
         assertFalse(path.isRelayed());
         assertEquals(0, path.relayedForMs(100));
         assertFalse(path.isBreakerOpen(100));
-        assertFalse(path.hasDirectServedSince(1));
+        assertFalse(path.hasDirectSuccessSince(1));
     }
 
     @Test
-    void countsHowLongItIsRelayed() {
+    void measuresTimeRelayed() {
         path.switchTo("n-1", 100);
         assertTrue(path.isRelayedBy("n-1"));
         assertFalse(path.isRelayedBy("n-2"));
@@ -30,34 +30,34 @@
     }
 
     @Test
-    void restoresTheDirectLinkOnceItHasServedForTheSettleTime() {
+    void restoresDirectLinkAfterSettleTime() {
         path.switchTo("n-1", 100);
-        path.directServed(200);
-        path.directServed(200 + SETTLE_MS - 1);
+        path.recordDirectSuccess(200);
+        path.recordDirectSuccess(200 + SETTLE_MS - 1);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS - 1));
-        path.directServed(200 + SETTLE_MS);
+        path.recordDirectSuccess(200 + SETTLE_MS);
         assertTrue(path.isDirectRestored(200 + SETTLE_MS));
     }
 
     @Test
-    void doesNotRestoreADirectLinkThatFlaps() {
+    void doesNotRestoreFlappingDirectLink() {
         path.switchTo("n-1", 100);
-        path.directServed(200);
-        path.directFailed();
-        path.directServed(300);
+        path.recordDirectSuccess(200);
+        path.recordDirectFailure();
+        path.recordDirectSuccess(300);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS));
         assertTrue(path.isDirectRestored(300 + SETTLE_MS));
     }
 
     @Test
-    void whatTheDirectLinkServedBeforeTheSwitchDoesNotRestoreIt() {
-        path.directServed(100);
+    void ignoresDirectSuccessBeforeSwitch() {
+        path.recordDirectSuccess(100);
         path.switchTo("n-1", 200);
         assertFalse(path.isDirectRestored(200 + SETTLE_MS));
     }
 
     @Test
-    void breakerClosesAfterItsTime() {
+    void closesBreakerAfterOpenTime() {
         path.openBreaker(100);
         assertTrue(path.isBreakerOpen(100 + BREAKER_OPEN_MS - 1));
         assertFalse(path.isBreakerOpen(100 + BREAKER_OPEN_MS));
