--- a/src/test/java/notchpick/simulation/ClusterConfig.java
+++ b/src/test/java/notchpick/simulation/ClusterConfig.java
@@ -11,7 +11,7 @@
  * @param controllers the number of controllers
  * @param requestsPerS requests that the state store accepts per second
  * @param limits the limits that the state store enforces at first
- * @param announcedLimits the limits that it enforces later in the test, when the test says so
+ * @param announcedLimits the limits enforced after {@link SimulatedCluster#enforceAnnouncedLimits}
  * @param limitsAnnouncedAtRestart whether a controller applies the announced limits only after a restart, as in a
  *     rolling upgrade; otherwise from its first start
  */
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -18,8 +18,8 @@
     static final long MAX_UNANSWERED_MS = 75_000;
     /** The longest time that a job may wait while a suitable machine has room and its team is under its limit. */
     static final long MAX_WAITING_MS = 90_000;
-    /** Allowance for rounding in the sum of a team's cores; a team may not exceed its limit by anything else. */
-    private static final double ROUNDING = 1e-6;
+    /** Tolerance for rounding errors in the sum of a team's cores; a team may not exceed its limit by anything else. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private static final double MS_PER_S = 1000;
 
@@ -261,7 +261,7 @@
             JobSpec job = jobs.get(jobOf(task));
             cores += job != null && job.team().equals(team) ? job.demand().cores() : 0;
         }
-        if (limit != null && cores > limit + ROUNDING) {
+        if (limit != null && cores > limit + ROUNDING_TOLERANCE) {
             addViolation("quota_exceeded", team + " holds " + cores);
         }
     }
--- a/src/test/java/notchpick/simulation/ServedJobs.java
+++ b/src/test/java/notchpick/simulation/ServedJobs.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import notchpick.scheduling.JobSpec;
 
-/** Finds classes, teams and largest jobs that were served too little; this fails a run even without violations. */
+/** Finds classes, teams and largest jobs that were served too little, which fails a run even without violations. */
 final class ServedJobs {
     /** The largest jobs of a class must start within this time of their submission. */
     static final long MAX_START_DELAY_OF_LARGEST_MS = 240_000;
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -16,7 +16,7 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** The users: they submit, poll and cancel jobs, and report every answer to the invariant checker. */
+/** Simulated users: submit, poll and cancel jobs, and report every answer to the invariant checker. */
 public final class SimulatedUsers {
     /** Called on cancellations. */
     interface CancellationListener {
--- a/src/test/java/notchpick/simulation/StateStoreLeases.java
+++ b/src/test/java/notchpick/simulation/StateStoreLeases.java
@@ -7,7 +7,7 @@
 
 /** The leases of the state store. A lease that is not renewed in time ends, and the keys bound to it are deleted. */
 final class StateStoreLeases {
-    /** Is notified when a lease has ended. */
+    /** Called when a lease has ended. */
     interface EndListener {
         void leaseEnded(long lease);
     }
