--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -107,7 +107,8 @@
             entry("enforce-announced-limits", (cluster, step) -> cluster.enforceAnnouncedLimits()),
             entry(
                     "lose-commits",
-                    (cluster, step) -> cluster.stateStore().loseCommits(step.intArgument(0), step.millisArgument(1))),
+                    (cluster, step) ->
+                            cluster.stateStore().leaveCommitsUnanswered(step.intArgument(0), step.millisArgument(1))),
             entry(
                     "unanswered-writes",
                     (cluster, step) -> cluster.stateStore()
@@ -142,22 +143,23 @@
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
             entry(
                     "lose-incoming",
-                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
+                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setInboundLost(true))),
             entry(
                     "lose-heartbeats",
-                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
+                    (cluster, step) ->
+                            workers(cluster, step.subject()).forEach(worker -> worker.setOutboundLost(true))),
             entry(
                     "heal-machines",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
-                        worker.setDeaf(false);
-                        worker.setMute(false);
+                        worker.setInboundLost(false);
+                        worker.setOutboundLost(false);
                     })),
-            entry("fail-all-tasks", (cluster, step) -> worker(cluster, step).setSick()));
+            entry("fail-all-tasks", (cluster, step) -> worker(cluster, step).setFaulty()));
 
     private static final Map<String, Verb> CHECK_VERBS = Map.of(
             "expect", ScenarioExpectations::check,
             "reset-longest-pause", (cluster, step) -> cluster.invariants().resetLongestPause(),
-            "faults-ended", (cluster, step) -> cluster.faultsOver());
+            "faults-ended", (cluster, step) -> cluster.markFaultsOver());
 
     private ScenarioVerbs() {}
 
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -18,12 +18,12 @@
 /** Tests that a controller does not campaign if the state store holds records of another format. */
 class LeaderElectionTest {
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final SimulatedStateStore stateStore =
-            new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
+            new SimulatedStateStore(simulation::nowMs, simulation::schedule, 12, 300, 100);
     private final StateStoreClient client = new StateStoreClient(
             (request, timeoutMs, hedged, onResponse) ->
-                    simulation.after(5, () -> stateStore.handle(request, onResponse)),
+                    simulation.schedule(5, () -> stateStore.handle(request, onResponse)),
             loop,
             "s:1",
             1500,
--- a/src/test/java/notchpick/simulation/CancellationChecker.java
+++ b/src/test/java/notchpick/simulation/CancellationChecker.java
@@ -7,24 +7,24 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** What users have cancelled, and how long after the confirmation something of the job still happened. */
+/** Tracks which jobs users cancelled, and how long after the confirmation their tasks were still ordered or running. */
 final class CancellationChecker {
     private final LongSupplier clock;
     private final long cancelTimeoutMs;
     private final Set<String> requested = new HashSet<>();
-    private final Map<String, Long> confirmedAt = new HashMap<>();
+    private final Map<String, Long> confirmedAtMs = new HashMap<>();
     private long starts;
     private long startOrders;
     private long longestUntilStoppedMs;
     private long longestUntilStartOrderMs;
 
-    /** @param cancelTimeoutMs how long tasks may still run after the confirmation */
+    /** @param cancelTimeoutMs how long tasks may still run after the confirmation of a cancellation */
     CancellationChecker(LongSupplier clock, long cancelTimeoutMs) {
         this.clock = clock;
         this.cancelTimeoutMs = cancelTimeoutMs;
     }
 
-    void requested(String job) {
+    void recordRequest(String job) {
         requested.add(job);
     }
 
@@ -32,27 +32,27 @@
         return requested.contains(job);
     }
 
-    /** A user got the answer that the job is cancelled; the first answer counts. */
-    void confirmed(String job) {
-        confirmedAt.putIfAbsent(job, clock.getAsLong());
+    /** Records that a user was told that the job is cancelled; only the first call per job counts. */
+    void recordConfirmation(String job) {
+        confirmedAtMs.putIfAbsent(job, clock.getAsLong());
     }
 
     boolean isConfirmed(String job) {
-        return confirmedAt.containsKey(job);
+        return confirmedAtMs.containsKey(job);
     }
 
-    /** The time since the job's cancellation was confirmed; empty if none was. */
+    /** The time since the job's cancellation was confirmed; empty if it was not. */
     private Optional<Long> sinceConfirmationMs(String job) {
-        return Optional.ofNullable(confirmedAt.get(job)).map(at -> clock.getAsLong() - at);
+        return Optional.ofNullable(confirmedAtMs.get(job)).map(atMs -> clock.getAsLong() - atMs);
     }
 
-    /** Whether the tasks of the job must have stopped by now. */
+    /** Whether the job's cancellation was confirmed so long ago that its tasks must have stopped. */
     boolean isOverdue(String job) {
         return sinceConfirmationMs(job).filter(ms -> ms > cancelTimeoutMs).isPresent();
     }
 
-    /** A worker was ordered to start a task of the job; answers how long after its cancellation, if it was cancelled. */
-    Optional<Long> startOrdered(String job) {
+    /** Records a start order for a task of the job; returns the time since the confirmation, empty without one. */
+    Optional<Long> recordStartOrder(String job) {
         Optional<Long> delayMs = sinceConfirmationMs(job);
         delayMs.ifPresent(ms -> {
             startOrders++;
@@ -61,11 +61,11 @@
         return delayMs;
     }
 
-    void started(String job) {
+    void recordStart(String job) {
         starts += isConfirmed(job) ? 1 : 0;
     }
 
-    void stopped(String job) {
+    void recordStop(String job) {
         sinceConfirmationMs(job).ifPresent(ms -> longestUntilStoppedMs = Math.max(longestUntilStoppedMs, ms));
     }
 
--- a/src/test/java/notchpick/simulation/SimulatedCluster.java
+++ b/src/test/java/notchpick/simulation/SimulatedCluster.java
@@ -12,8 +12,8 @@
 import notchpick.transport.HttpCaller;
 
 /**
- * A whole deployment in simulated time: builds the controllers, the stand-ins and the users, and carries out the
- * faults that concern more than one of them.
+ * A whole deployment in simulated time: creates the controllers, the simulated services, workers and users, and injects
+ * the faults that affect more than one of them.
  */
 public final class SimulatedCluster {
     static final String STATE_ADDRESS = "10.2.0.1:2379";
@@ -38,16 +38,16 @@
     private final WaitingJobMonitor waitingJobMonitor;
     private int lostStartOrders;
 
-    /** Builds the deployment and starts all controllers; nothing happens before the time is advanced. */
+    /** Creates the deployment and starts all controllers; scheduled work runs only when the time is advanced. */
     public SimulatedCluster(ClusterConfig config) {
         this.config = config;
         WorkerTiming timing = config.timing();
         Random random = new Random(RANDOM_SEED);
         HttpCaller userCaller = network.callerOf(USER_HOST, () -> true);
-        invariants = new InvariantChecker(time::now, timing.cancelTimeoutMs(), coreLimits(config.teams()));
+        invariants = new InvariantChecker(time::nowMs, timing.cancelTimeoutMs(), coreLimits(config.teams()));
         stateStore = new SimulatedStateStore(
-                time::now,
-                time::after,
+                time::nowMs,
+                time::schedule,
                 config.limits().transactionWrites(),
                 config.requestsPerS(),
                 config.limits().writesPerS());
@@ -58,11 +58,11 @@
         WorkerEnvironment environment = new WorkerEnvironment(
                 time, invariants, jobs, new WorkerEvents(), controllers.userAddresses(), timing, new HashMap<>());
         fleet = new SimulatedFleet(network, jobs, occurrences, environment);
-        cloud = new SimulatedCloud(time::now, time::after, machineTypes(config.machineTypes()), fleet);
+        cloud = new SimulatedCloud(time::nowMs, time::schedule, machineTypes(config.machineTypes()), fleet);
         cancellationCircumstances =
                 new CancellationCircumstances(config.teams(), time, stateStore, controllers, fleet, occurrences);
         waitingJobMonitor = new WaitingJobMonitor(time, invariants, config.teams(), jobs, fleet, users);
-        connect();
+        connectHosts();
         controllers.nodes().forEach(controllers::start);
     }
 
@@ -80,24 +80,24 @@
         return byName;
     }
 
-    private void connect() {
+    private void connectHosts() {
         network.serve(STATE_ADDRESS, "state", stateStore);
         network.serve(CLOUD_ADDRESS, "cloud", cloud);
         for (String zone : ClusterConfig.ZONES) {
-            List.of("state", "cloud", USER_HOST).forEach(host -> network.join(host, "outside-" + zone));
+            List.of("state", "cloud", USER_HOST).forEach(host -> network.addToGroup(host, "outside-" + zone));
         }
         List<String> nodes = controllers.nodes();
         for (int i = 0; i < nodes.size(); i++) {
-            network.join(nodes.get(i), "controllers");
-            network.joinZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
+            network.addToGroup(nodes.get(i), "controllers");
+            network.addToZone(nodes.get(i), ClusterConfig.ZONES.get(i % ClusterConfig.ZONES.size()));
         }
         users.setCancellationListener(cancellationCircumstances);
-        stateStore.whenPut(StateKeys.LEADER, users::leaderElected);
-        occurrences.countedBy(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
-        occurrences.countedBy(Occurrence.PACKET_DELAYED, network::delayedPackets);
+        stateStore.setPutListener(StateKeys.LEADER, users::onLeaderElected);
+        occurrences.setExternalCounter(Occurrence.WRITE_APPLIED_WITHOUT_ANSWER, stateStore::appliedWithoutAnswer);
+        occurrences.setExternalCounter(Occurrence.PACKET_DELAYED, network::delayedPackets);
     }
 
-    /** From now on all messages and transactions are written to the transcript. */
+    /** Writes all later messages and transactions to the transcript. */
     public void record(Transcript transcript) {
         network.record(transcript);
         stateStore.record(transcript);
@@ -107,9 +107,9 @@
         return time;
     }
 
-    /** Advances the time by this much and runs what falls due. */
+    /** Advances the time by this duration and runs all work that falls due. */
     public void runFor(long durationMs) {
-        time.runUntil(time.now() + durationMs);
+        time.runUntil(time.nowMs() + durationMs);
     }
 
     public SimulatedNetwork network() {
@@ -144,72 +144,72 @@
         return occurrences;
     }
 
-    /** How many machines of a type, in a zone, as spot instances or not, the cloud has. */
+    /** Sets how many machines of a type, in a zone, as spot instances or not, the cloud offers. */
     public void setCapacity(String type, String zone, boolean spot, int machines) {
         cloud.setCapacity(new NodePool(type, zone, spot), machines);
     }
 
-    /** Commands that were sent straight to workers; all orders are to travel in answers to heartbeats. */
+    /** How many commands were sent directly to workers; must stay 0, as orders travel only in heartbeat answers. */
     public int directCommands() {
         return network.callsTo(SimulatedWorker.ADDRESS);
     }
 
-    /** Orders to start a task that were lost on their way to deaf machines. */
+    /** How many start orders were lost because messages to the worker were lost. */
     public int lostStartOrders() {
         return lostStartOrders;
     }
 
-    /** From now on the state store accepts no more than the announced limits allow. */
+    /** Makes the state store enforce the announced limits from now on. */
     public void enforceAnnouncedLimits() {
-        stateStore.limits(config.announcedLimits());
+        stateStore.setLimits(config.announcedLimits());
     }
 
-    /** An outage of the state store begins or ends. */
+    /** Starts or ends an outage of the state store. */
     public void setOutage(boolean active) {
         stateStore.setOutage(active);
         if (!active) {
-            users.outageEnded();
+            users.onOutageEnded();
         }
     }
 
-    /** The state store refuses this controller alone from now on, or no longer. */
+    /** Makes the state store start or stop refusing the requests of this controller. */
     public void setRefused(String node, boolean refused) {
         stateStore.setRefused(node, refused);
         if (refused && controllers.isLeader(node)) {
-            cancellationCircumstances.leaderRefused(jobs.jobs().stream()
+            cancellationCircumstances.recordLeaderRefusal(jobs.jobs().stream()
                     .map(job -> job.spec().id())
                     .filter(invariants::isCancelRequested)
                     .toList());
         }
     }
 
-    /** Users cancel so many of the jobs that have tasks on machines; the jobs chosen. */
+    /** Has users cancel up to {@code count} jobs that have tasks on machines; returns the chosen jobs. */
     public List<String> cancelRunning(int count) {
         return users.cancelSome(fleet.tasksByJob().keySet(), count);
     }
 
-    /** See {@link HeartbeatDuplicator#set}. */
+    /** See {@link HeartbeatDuplicator#setShare}. */
     public void duplicateHeartbeats(double share, boolean forNextLeader) {
-        heartbeatDuplicator.set(share, forNextLeader);
+        heartbeatDuplicator.setShare(share, forNextLeader);
     }
 
-    /** No fault is active from now on: a job that waits though it could start breaks a rule. */
-    public void faultsOver() {
-        invariants.faultsOver();
+    /** Marks that no fault is active from now on, and starts to check for jobs that wait although they could start. */
+    public void markFaultsOver() {
+        invariants.recordFaultsOver();
         waitingJobMonitor.start();
     }
 
-    /** Passes on what happens on machines to those who wait for it. */
+    /** Forwards worker events to the components that react to them or count them. */
     private final class WorkerEvents implements SimulatedWorker.Listener {
         @Override
         public void heartbeatSent(byte[] heartbeat) {
-            heartbeatDuplicator.heartbeatSent(heartbeat);
+            heartbeatDuplicator.onHeartbeatSent(heartbeat);
         }
 
         @Override
         public void taskCompleted(String task) {
             occurrences.increment(Occurrence.TASK_COMPLETED);
-            users.taskCompleted(task);
+            users.onTaskCompleted(task);
         }
 
         @Override
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -6,62 +6,63 @@
 import java.util.function.LongSupplier;
 import notchpick.transport.EventLoop;
 
-/** Simulated time: runs scheduled work in the order of its due times, without waiting. */
+/** Simulated time: runs scheduled work in order of its due times, without waiting. Single-threaded. */
 public final class SimulatedTime {
-    /** Work of the same time runs in the order in which it was scheduled. */
-    private record ScheduledWork(long at, long sequence, Runnable work) {}
+    /** Scheduled work; the sequence number orders work that is due at the same time. */
+    private record ScheduledWork(long dueMs, long sequence, Runnable work) {}
 
     private static final long STEADY_CLOCK_START_MS = 1_000_000;
     private static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
 
-    private final PriorityQueue<ScheduledWork> queue =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledWork::at).thenComparingLong(ScheduledWork::sequence));
-    private long now;
+    private final PriorityQueue<ScheduledWork> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledWork::dueMs).thenComparingLong(ScheduledWork::sequence));
+    private long nowMs;
     private long sequence;
 
     /** Milliseconds since the start of the simulation. */
-    public long now() {
-        return now;
+    public long nowMs() {
+        return nowMs;
     }
 
-    /** Schedules work; a negative delay counts as none. */
-    public void after(long delayMs, Runnable work) {
-        queue.add(new ScheduledWork(now + Math.max(0, delayMs), sequence++, work));
+    /** Schedules work; a negative delay counts as 0. */
+    public void schedule(long delayMs, Runnable work) {
+        queue.add(new ScheduledWork(nowMs + Math.max(0, delayMs), sequence++, work));
     }
 
     /** Advances the time and runs all work that falls due. */
-    public void runUntil(long end) {
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
+    public void runUntil(long endMs) {
+        while (!queue.isEmpty() && queue.peek().dueMs() <= endMs) {
             ScheduledWork next = queue.poll();
-            now = next.at();
+            nowMs = next.dueMs();
             next.work().run();
         }
-        now = end;
+        nowMs = endMs;
     }
 
-    /** The event loop of a process that is never paused. */
-    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
-        return loop(fastPercent, wallOffsetMs, isAlive, () -> 0);
+    /** Creates the event loop of a process that is never paused. */
+    public EventLoop newEventLoop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive) {
+        return newEventLoop(fastPercent, wallOffsetMs, isAlive, () -> 0);
     }
 
     /**
-     * The event loop of one process.
+     * Creates the event loop of one process, which drops its work once the process has ended.
      *
-     * @param fastPercent by how much its steady clock runs fast
-     * @param wallOffsetMs by how much its time of day is off
-     * @param frozenUntil until when the process is paused while its clocks run on
+     * @param fastPercent by how many percent its steady clock runs fast; slow if negative
+     * @param wallOffsetMs the offset of its wall clock
+     * @param frozenUntilMs until when the process is paused, in simulated time; its clocks keep running
      */
-    public EventLoop loop(double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntil) {
+    public EventLoop newEventLoop(
+            double fastPercent, long wallOffsetMs, BooleanSupplier isAlive, LongSupplier frozenUntilMs) {
         double rate = 1 + fastPercent / 100;
         return new EventLoop() {
             @Override
             public long nowMs() {
-                return STEADY_CLOCK_START_MS + (long) (now * rate);
+                return STEADY_CLOCK_START_MS + (long) (nowMs * rate);
             }
 
             @Override
             public long wallTimeMs() {
-                return WALL_CLOCK_START_MS + now + wallOffsetMs;
+                return WALL_CLOCK_START_MS + nowMs + wallOffsetMs;
             }
 
             @Override
@@ -75,8 +76,8 @@
             }
 
             private void runAfter(long delayMs, Runnable work) {
-                SimulatedTime.this.after(delayMs, () -> {
-                    long frozenForMs = frozenUntil.getAsLong() - now;
+                SimulatedTime.this.schedule(delayMs, () -> {
+                    long frozenForMs = frozenUntilMs.getAsLong() - nowMs;
                     if (frozenForMs > 0) {
                         runAfter(frozenForMs, work);
                     } else if (isAlive.getAsBoolean()) {
--- a/src/test/java/notchpick/simulation/WorkerTask.java
+++ b/src/test/java/notchpick/simulation/WorkerTask.java
@@ -2,7 +2,7 @@
 
 /** One attempt at a task on a machine. */
 final class WorkerTask {
-    /** The states of an attempt, with the words that workers send for them. */
+    /** The states of an attempt, with the words that stand for them in heartbeats. */
     enum State {
         FETCHING("fetching"),
         RUNNING("running"),
@@ -24,7 +24,7 @@
     private final long attempt;
     private State state = State.FETCHING;
     private String exitCause;
-    private long startedAt;
+    private long startedAtMs;
 
     WorkerTask(String name, long attempt) {
         this.name = name;
@@ -47,35 +47,35 @@
         return state;
     }
 
-    /** The word for how it ended; null as long as it has not. */
+    /** How the attempt ended, as the word that heartbeats use; null until it has exited. */
     String exitCause() {
         return exitCause;
     }
 
-    long startedAt() {
-        return startedAt;
+    long startedAtMs() {
+        return startedAtMs;
     }
 
     boolean hasExited() {
         return state == State.EXITED;
     }
 
-    /** Whether it has begun to run and has not exited. */
+    /** Whether the attempt has started to run and has not exited; false while it fetches its image. */
     boolean isOnMachine() {
         return state == State.RUNNING || state == State.SAVING;
     }
 
-    /** The image has been fetched and the task runs. */
-    void start(long now) {
+    /** Moves to running, after the image was fetched. */
+    void start(long nowMs) {
         state = State.RUNNING;
-        startedAt = now;
+        startedAtMs = nowMs;
     }
 
     void startSaving() {
         state = State.SAVING;
     }
 
-    /** The attempt has ended, with the word that workers send for the cause. */
+    /** Ends the attempt, with the word that heartbeats use for the cause. */
     void exit(String cause) {
         state = State.EXITED;
         exitCause = cause;
