--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -11,7 +11,7 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** Routes the requests of workers, users and load balancers. */
+/** Routes the requests of workers, users and the users' load balancer. */
 final class ClientRequestRouter {
     private static final String HEARTBEAT_PATH = "/hello";
     private static final String READINESS_PATH = "/ready";
@@ -35,10 +35,14 @@
         this.links = components.links();
     }
 
-    /** Handles a request that was received then, by the steady clock. */
-    void route(Request request, Consumer<Response> reply, long receivedAt) {
+    /**
+     * Handles a request.
+     *
+     * @param receivedAtMs when it was received, by the monotonic clock
+     */
+    void route(Request request, Consumer<Response> reply, long receivedAtMs) {
         if (request.path().equals(HEARTBEAT_PATH)) {
-            heartbeats.receive(request, reply, receivedAt);
+            heartbeats.receive(request, reply, receivedAtMs);
         } else if (request.path().equals(READINESS_PATH)) {
             links.readinessProbeReceived();
             reply.accept(readiness(request));
@@ -54,7 +58,10 @@
         return isReady() ? ControllerReplies.ok() : ControllerReplies.unavailable();
     }
 
-    /** In an outage that all controllers share, leaving the load balancer's list would help nobody. */
+    /**
+     * Whether the load balancer should send users to this controller. If no controller reaches the state store, all of
+     * them stay ready, because removing them from the load balancer would help no user.
+     */
     private boolean isReady() {
         return userRequests.isReady()
                 && !election.isFormatIncompatible()
@@ -63,18 +70,18 @@
 
     private void routeUserRequest(Request request, Consumer<Response> reply) {
         if (election.isFormatIncompatible()) {
-            reply.accept(ControllerReplies.unavailable("records of another version"));
+            reply.accept(ControllerReplies.unavailable("the state store holds records of an incompatible version"));
             return;
         }
         Optional<String> peer = stateStore.isReachable() ? Optional.empty() : peers.peerReachingStateStore();
         if (peer.isPresent()) {
-            // Cut off from the state store while a peer is not: the peer can reply.
+            // This controller can't reach the state store, but a peer can, and handles the request.
             peerClient.relay(
                     peer.get(),
                     request,
                     RELAY_TIMEOUT_MS,
                     response -> reply.accept(
-                            response.isUnanswered() ? ControllerReplies.unavailable("no state service") : response));
+                            response.isUnanswered() ? ControllerReplies.unavailable("the state store is unavailable") : response));
         } else {
             userRequests.tell(new UserRequestHandler.UserRequest(request, reply));
         }
--- a/src/main/java/notchpick/app/Controller.java
+++ b/src/main/java/notchpick/app/Controller.java
@@ -14,17 +14,17 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** One controller: takes the requests of clients and peers, in its turn, and hands them to its components. */
+/** One controller: receives the requests of clients and peers, and passes them to its components on its event loop. */
 public final class Controller extends Actor<Controller.Message> {
-    /** What this actor receives. */
+    /** The messages that this actor receives. */
     public sealed interface Message {}
 
     /** The process has started. */
     public record Begin() implements Message {}
 
-    private record ClientRequest(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
+    private record ClientRequest(Request request, Consumer<Response> reply, long receivedAtMs) implements Message {}
 
-    private record PeerRequest(Request request, Consumer<Response> reply, long receivedAt) implements Message {}
+    private record PeerRequest(Request request, Consumer<Response> reply, long receivedAtMs) implements Message {}
 
     private final Deployment deployment;
     private final long leaderLeaseMs;
@@ -37,8 +37,8 @@
         super(loop);
         this.deployment = deployment;
         this.leaderLeaseMs = deployment.leaderLeaseMs(tuning);
-        HttpCaller callerInTurn = (request, timeoutMs, then) -> caller.call(request, timeoutMs, onLoop(then));
-        this.components = new ControllerComponents(loop, deployment, tuning, callerInTurn, random);
+        HttpCaller callerOnLoop = (request, timeoutMs, then) -> caller.call(request, timeoutMs, onLoop(then));
+        this.components = new ControllerComponents(loop, deployment, tuning, callerOnLoop, random);
         HeartbeatReceiver heartbeats = new HeartbeatReceiver(
                 deployment.node(),
                 loop,
@@ -52,12 +52,12 @@
                 components, deployment.maxValueBytes(), this::schedule, this::onLoop, this::typesRefreshed);
     }
 
-    /** Serves users, workers and health checks. */
+    /** Serves users, workers and health checks; may be called from any thread. */
     public void serve(Request request, Consumer<Response> reply) {
         tell(new ClientRequest(request, reply, loop.nowMs()));
     }
 
-    /** Serves the other controllers. */
+    /** Serves the other controllers; may be called from any thread. */
     public void servePeer(Request request, Consumer<Response> reply) {
         tell(new PeerRequest(request, reply, loop.nowMs()));
     }
@@ -69,9 +69,9 @@
             components.start();
             machineTypes.refresh();
         } else if (message instanceof ClientRequest client) {
-            clientRequests.route(client.request(), client.reply(), client.receivedAt());
+            clientRequests.route(client.request(), client.reply(), client.receivedAtMs());
         } else if (message instanceof PeerRequest peer) {
-            peerRequests.dispatch(peer.request(), peer.reply(), peer.receivedAt());
+            peerRequests.dispatch(peer.request(), peer.reply(), peer.receivedAtMs());
         }
     }
 
@@ -79,7 +79,7 @@
         long boundMs = deployment.cancellationBoundMs(leaderLeaseMs / Milliseconds.PER_SECOND);
         if (boundMs > deployment.cancelTimeoutMs()) {
             log.warn(
-                    "cancel_s can't be kept for a machine that can't be reached, as lease_s is too long: "
+                    "cancel_s can't be met for an unreachable machine because lease_s is too long: "
                             + "cancelMs={} cancellationBoundMs={} leaseMs={}",
                     deployment.cancelTimeoutMs(),
                     boundMs,
@@ -88,7 +88,7 @@
     }
 
     private void typesRefreshed(List<MachineType> types) {
-        components.userRequests().tell(new UserRequestHandler.TypesKnown(types));
+        components.userRequests().tell(new UserRequestHandler.MachineTypesUpdated(types));
         components.localLeader().setMachineTypes(types);
     }
 }
--- a/src/main/java/notchpick/app/ControllerComponents.java
+++ b/src/main/java/notchpick/app/ControllerComponents.java
@@ -24,7 +24,7 @@
 import notchpick.transport.EventLoop;
 import notchpick.transport.HttpCaller;
 
-/** Builds the components of one controller and connects them. They refer to one another, so callbacks close cycles. */
+/** Builds the components of one controller and connects them; callbacks resolve the cycles between components. */
 final class ControllerComponents {
     private static final long STATE_STORE_TIMEOUT_MS = 1500;
     private static final long CLOUD_TIMEOUT_MS = 5000;
@@ -41,7 +41,7 @@
     private final PeerAnnouncer announcer;
     private final UserRequestHandler userRequests;
 
-    /** @param caller makes calls whose callbacks run in the controller's turn */
+    /** @param caller must run its callbacks on the controller's event loop */
     ControllerComponents(EventLoop loop, Deployment deployment, Tuning tuning, HttpCaller caller, Random random) {
         long leaderLeaseMs = deployment.leaderLeaseMs(tuning);
         links = new LinkMonitor(loop, deployment);
@@ -76,14 +76,14 @@
         userRequests = new UserRequestHandler(loop, deployment, stateStore, this::progress);
     }
 
-    /** Starts the components that act by themselves. */
+    /** Starts the components that act on timers, without being called. */
     void start() {
         election.tell(new LeaderElection.Begin());
         membership.tell(new PeerMembership.Begin());
         heartbeatRouter.tell(new HeartbeatRouter.Begin());
     }
 
-    /** What this controller announces, by components that are built later. */
+    /** The status that this controller announces; it reads components that are built after its users. */
     private final class AnnouncedStatus implements LocalStatus {
         @Override
         public Pulse heartbeat() {
--- a/src/main/java/notchpick/app/ControllerReplies.java
+++ b/src/main/java/notchpick/app/ControllerReplies.java
@@ -9,9 +9,8 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** The replies that a controller gives by itself, before a component has handled the request. */
+/** Builds the replies that a controller sends without passing the request to a component. */
 final class ControllerReplies {
-
     private static final int RETRY_AFTER_S = 1;
 
     private ControllerReplies() {}
@@ -20,12 +19,16 @@
         return empty(HttpStatus.OK);
     }
 
-    /** A message for a peer, one of the generated classes. */
+    /**
+     * The reply that carries a message to a peer.
+     *
+     * @param message an instance of one of the classes generated from the Avro schema
+     */
     static Response peerMessage(Object message) {
         return Response.of(HttpStatus.OK, PeerProtocol.encode(message));
     }
 
-    /** A reply in the form in which it is relayed to a peer. */
+    /** Converts a reply to the message that relays it to a peer. */
     static Outcome relayed(Response reply) {
         return new Outcome(reply.status(), ByteBuffer.wrap(reply.body()));
     }
@@ -42,7 +45,7 @@
         return empty(HttpStatus.METHOD_NOT_ALLOWED);
     }
 
-    /** @param leader the controller that a worker should report to; null if none is known */
+    /** @param leader the controller to which the worker should send its heartbeats; null if none is known */
     static Response misdirected(String leader) {
         return Response.of(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(WorkerProtocol.redirect(leader)));
     }
@@ -51,7 +54,7 @@
         return empty(HttpStatus.SERVICE_UNAVAILABLE);
     }
 
-    /** A user should retry, for this reason. */
+    /** The reply that asks a user to retry, with the reason why. */
     static Response unavailable(String reason) {
         return Response.retryAfter(
                 HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(reason)), RETRY_AFTER_S);
--- a/src/main/java/notchpick/app/ControllerServer.java
+++ b/src/main/java/notchpick/app/ControllerServer.java
@@ -12,21 +12,21 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
-/** Serves one controller over HTTP, with threads, connections and timers that last as long as the process. */
+/** Serves one controller over HTTP. The threads, connections and timers are kept until the process ends. */
 final class ControllerServer {
     private static final long CONNECT_TIMEOUT_MS = 1000;
     private static final int CONNECTIONS_PER_TARGET = 16;
     private static final int MIN_THREADS = 4;
     private static final int MAX_THREADS = 16;
     private static final int THREAD_IDLE_TIMEOUT_MS = 60_000;
-    /** An idle connection is closed after so many worker leases. */
+    /** How long an idle connection stays open, in worker leases. */
     private static final int IDLE_TIMEOUT_LEASES = 4;
-    /** Near the limit of connections, an idle one is closed after so many heartbeat periods. */
+    /** How long an idle connection stays open near the connection limit, in heartbeat periods. */
     private static final int CROWDED_IDLE_TIMEOUT_PERIODS = 2;
 
     private ControllerServer() {}
 
-    /** Starts the controller and serves it; returns when it is ready for connections. */
+    /** Starts the controller and its HTTP server; returns once connections are accepted. */
     static void start(Deployment deployment, Tuning tuning) throws Exception {
         QueuedThreadPool threads = threads();
         threads.start();
@@ -50,7 +50,7 @@
         server.start();
     }
 
-    /** Jetty's default thread factory looks for a security manager, which takes a tenth of the start-up time. */
+    /** Jetty's default thread factory looks up the security manager, which takes a tenth of the start-up time. */
     private static QueuedThreadPool threads() {
         return new QueuedThreadPool(
                 MAX_THREADS, MIN_THREADS, THREAD_IDLE_TIMEOUT_MS, -1, null, null, work -> new Thread(work, "jetty"));
--- a/src/main/java/notchpick/app/HeartbeatReceiver.java
+++ b/src/main/java/notchpick/app/HeartbeatReceiver.java
@@ -19,7 +19,7 @@
 import notchpick.transport.ResultCollector;
 import notchpick.transport.Timer;
 
-/** Hands workers' heartbeats to the leader here, or to the heartbeat router if this controller does not lead. */
+/** Passes workers' heartbeats to the local leader, or to the heartbeat router if this controller does not lead. */
 final class HeartbeatReceiver {
     private final String node;
     private final EventLoop loop;
@@ -43,29 +43,32 @@
         this.router = router;
     }
 
-    /** Takes a heartbeat that a worker sent to this controller. */
-    void receive(Request request, Consumer<Response> reply, long receivedAt) {
-        if (loop.nowMs() - receivedAt > WorkerProtocol.REPLY_TIMEOUT_MS) {
-            // The worker has timed out; handling the heartbeat would only delay those that wait behind it.
+    /** Handles a heartbeat that a worker sent to this controller. */
+    void receive(Request request, Consumer<Response> reply, long receivedAtMs) {
+        if (loop.nowMs() - receivedAtMs > WorkerProtocol.REPLY_TIMEOUT_MS) {
+            // The worker's request has timed out; handling it would only delay the heartbeats queued behind it.
             reply.accept(ControllerReplies.unavailable());
         } else if (!request.method().equals("POST")) {
             reply.accept(ControllerReplies.methodNotAllowed());
         } else {
-            handle(request, closingUnlessOk(reply), receivedAt);
+            handle(request, closingUnlessOk(reply), receivedAtMs);
         }
     }
 
-    /** A redirected worker would leave its connection open, and there are thousands of workers. */
+    /**
+     * Closes the connection unless the reply is 200. A redirected worker would otherwise leave its connection open, and
+     * there are thousands of workers.
+     */
     private static Consumer<Response> closingUnlessOk(Consumer<Response> reply) {
         return response -> reply.accept(response.status() == HttpStatus.OK ? response : response.closingConnection());
     }
 
-    private void handle(Request request, Consumer<Response> reply, long receivedAt) {
+    private void handle(Request request, Consumer<Response> reply, long receivedAtMs) {
         Optional<Leader> leader = localLeader.current();
         if (leader.isPresent()) {
             handle(leader.get(), request.body(), reply, false);
         } else {
-            router.tell(new HeartbeatRouter.HeartbeatReceived(request, reply, receivedAt));
+            router.tell(new HeartbeatRouter.HeartbeatReceived(request, reply, receivedAtMs));
         }
     }
 
@@ -77,29 +80,32 @@
         }
     }
 
-    /** Takes heartbeats that a peer relays. They are not relayed further, which could go round in circles. */
-    void receiveRelayed(ReportBatch batch, Consumer<Response> reply, long receivedAt) {
-        long timeLeftMs = batch.getPatienceMs() - (loop.nowMs() - receivedAt);
+    /** Handles heartbeats that a peer relays. They are not relayed again, because they could then circulate forever. */
+    void receiveRelayed(ReportBatch batch, Consumer<Response> reply, long receivedAtMs) {
+        long timeLeftMs = batch.getPatienceMs() - (loop.nowMs() - receivedAtMs);
         ResultCollector<Outcome> outcomes = new ResultCollector<>(
                 batch.getReports().size(),
                 ControllerReplies.relayed(ControllerReplies.unavailable()),
                 all -> reply.accept(ControllerReplies.peerMessage(new Outcomes(all))));
-        // A reply after the worker's timeout is of no use, and must not delay those to the other workers.
+        // A reply after the worker's timeout is useless, and waiting for it would delay the replies to other workers.
         timer.schedule(Math.max(0, timeLeftMs), outcomes::complete);
         for (int i = 0; i < batch.getReports().size() && timeLeftMs > 0; i++) {
             int index = i;
-            Consumer<Response> replyToOne = response -> outcomes.put(index, ControllerReplies.relayed(response));
+            Consumer<Response> replyToWorker = response -> outcomes.put(index, ControllerReplies.relayed(response));
             Optional<Leader> leader = localLeader.current();
             if (leader.isPresent()) {
                 byte[] body = PeerProtocol.toBytes(batch.getReports().get(i));
-                handle(leader.get(), body, replyToOne, true);
+                handle(leader.get(), body, replyToWorker, true);
             } else {
-                replyToOne.accept(ControllerReplies.misdirected(otherLeader()));
+                replyToWorker.accept(ControllerReplies.misdirected(otherLeader()));
             }
         }
     }
 
-    /** The leader as far as it is known; null if there is none, or if it is this controller, whose term has ended. */
+    /**
+     * The leader to which a worker can be redirected; null if none is known, or if the known leader is this controller,
+     * whose term has ended.
+     */
     private String otherLeader() {
         return node.equals(election.leader()) ? null : election.leader();
     }
--- a/src/main/java/notchpick/app/InvalidSettingsException.java
+++ b/src/main/java/notchpick/app/InvalidSettingsException.java
@@ -1,6 +1,6 @@
 package notchpick.app;
 
-/** Settings that can't be used. The message is one line for operators, which names the file or the field. */
+/** Thrown when a settings file is invalid. The message is one line for operators and names the file or the field. */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -15,33 +15,33 @@
         this.requirement = requirement;
     }
 
-    /** A file that can't be used as a whole. */
+    /** Creates an exception for a file that can't be read or parsed. */
     static InvalidSettingsException inFile(String message) {
         return new InvalidSettingsException(message, "", "", "");
     }
 
     /**
-     * A field of the platform's settings has a value that is not allowed.
+     * Creates an exception for an invalid field of the platform's settings.
      *
-     * @param field its path, with dots
-     * @param value what was found there, as JSON; empty if the field is missing
-     * @param requirement what is allowed, in words that follow "must"
+     * @param field the path of the field, separated by dots
+     * @param value the value found, as JSON; empty if the field is missing
+     * @param requirement what is allowed, as a phrase that follows "must"
      */
     static InvalidSettingsException inField(String field, String value, String requirement) {
         return new InvalidSettingsException("settings: " + field + " must " + requirement, field, value, requirement);
     }
 
-    /** The path of the field, with dots; empty if the whole file can't be used. */
+    /** The path of the invalid field, separated by dots; empty if the error concerns the whole file. */
     public String field() {
         return field;
     }
 
-    /** The value that is not allowed, as JSON; empty if there is none. */
+    /** The invalid value, as JSON; empty if the field is missing or the error concerns the whole file. */
     public String value() {
         return value;
     }
 
-    /** What is allowed, in words that follow "must"; empty if the whole file can't be used. */
+    /** What is allowed, as a phrase that follows "must"; empty if the error concerns the whole file. */
     public String requirement() {
         return requirement;
     }
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
-/** Queries all controllers of a deployment for the condition of their links, and formats it for operators. */
+/** Queries all controllers of a deployment for the condition of their links, and prints it for operators. */
 final class LinkStatusCommand {
     private static final long CALL_TIMEOUT_MS = 3000;
     private static final long CONNECT_TIMEOUT_MS = 1000;
@@ -31,10 +31,10 @@
 
     private LinkStatusCommand() {}
 
-    /** The response of one controller. */
+    /** The response of the controller with this name; {@link Response#UNANSWERED} if it sent none. */
     record NodeResponse(String node, Response response) {}
 
-    /** Queries all controllers and prints the result; returns the exit status, 1 if no controller answered. */
+    /** Queries all controllers and prints the result; returns the exit status: 1 if no controller answered, else 0. */
     static int run(Deployment deployment, PrintStream out) throws Exception {
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
@@ -55,21 +55,21 @@
         }
     }
 
-    /** Queries all controllers in parallel; gives their responses by name of the controller. */
+    /** Queries all controllers in parallel; returns their responses, ordered by the name of the controller. */
     static List<NodeResponse> query(Deployment deployment, HttpCaller caller) throws InterruptedException {
         Map<String, String> addresses = new TreeMap<>();
         addresses.put(deployment.node(), deployment.peerBindAddress());
         deployment.peers().forEach(peer -> addresses.put(peer.node(), peer.address()));
         byte[] query = PeerProtocol.encode(new LinkTable("", 0L, null, null, 0L, List.of()));
         Map<String, Response> responses = new ConcurrentHashMap<>();
-        CountDownLatch pending = new CountDownLatch(addresses.size());
+        CountDownLatch unfinished = new CountDownLatch(addresses.size());
         addresses.forEach((node, address) ->
                 caller.call(new Request(address, "POST", PeerProtocol.PATH, query), CALL_TIMEOUT_MS, response -> {
                     responses.put(node, response);
-                    pending.countDown();
+                    unfinished.countDown();
                 }));
-        // The calls time out by themselves; should one not, its controller is shown without an answer.
-        pending.await(2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        // Each call has its own timeout. If one does not end even so, its controller is reported as unanswered.
+        unfinished.await(2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         List<NodeResponse> ordered = new ArrayList<>();
         addresses
                 .keySet()
@@ -78,7 +78,7 @@
         return ordered;
     }
 
-    /** Formats the response of one controller: a line, and one more for each link. */
+    /** Formats the response of one controller: a summary line, followed by one line per link. */
     static String format(NodeResponse nodeResponse) {
         String node = nodeResponse.node();
         Response response = nodeResponse.response();
@@ -89,7 +89,7 @@
             return node + ": no answer\n";
         }
         if (response.status() != HttpStatus.OK || !(PeerProtocol.decode(response.body()) instanceof LinkTable table)) {
-            return node + ": runs a version that does not tell its links\n";
+            return node + ": version does not report its links\n";
         }
         StringBuilder text = new StringBuilder(summary(table));
         table.getLinks().forEach(link -> text.append(line(link)));
@@ -99,11 +99,11 @@
     private static String summary(LinkTable table) {
         return String.format(
                 Locale.ROOT,
-                "%s: term %d, leader %s, state service %s, timers %d ms late%n",
+                "%s: term %d, leader %s, state store %s, timer lag %d ms%n",
                 table.getNode(),
                 table.getTerm(),
                 table.getLeader() == null ? "unknown" : table.getLeader(),
-                table.getStateBy() == null ? "by its own link" : "through " + table.getStateBy(),
+                table.getStateBy() == null ? "direct" : "through " + table.getStateBy(),
                 table.getLagMs());
     }
 
@@ -118,6 +118,6 @@
                         ? "never"
                         : String.format(Locale.ROOT, "%.1f s ago", link.getAgeMs() / Milliseconds.PER_SECOND),
                 link.getDelayMs() < 0 ? "-" : link.getDelayMs() + " ms",
-                String.format(Locale.ROOT, "%.1f a s", link.getPerS()));
+                String.format(Locale.ROOT, "%.1f/s", link.getPerS()));
     }
 }
--- a/src/main/java/notchpick/app/LocalLeader.java
+++ b/src/main/java/notchpick/app/LocalLeader.java
@@ -8,11 +8,13 @@
 import notchpick.coordination.membership.LeaderElection;
 import notchpick.scheduling.MachineType;
 
-/** The leader at this controller: one for each term to which it is elected, none in between. */
+/** Holds the {@link Leader} of this controller: a new one for each term that it is elected for, none in between. */
 final class LocalLeader implements LeaderElection.Listener {
     private final LeaderEnvironment environment;
     private final Leader.StepDownHandler stepDownHandler;
+    /** Null while this controller does not lead. */
     private Leader leader;
+    /** Null until the machine types have been loaded. */
     private List<MachineType> machineTypes;
 
     LocalLeader(LeaderEnvironment environment, Leader.StepDownHandler stepDownHandler) {
@@ -20,12 +22,12 @@
         this.stepDownHandler = stepDownHandler;
     }
 
-    /** The leader of the current term; empty unless this controller is elected. */
+    /** The leader of the current term; empty if this controller does not lead. */
     Optional<Leader> current() {
         return Optional.ofNullable(leader);
     }
 
-    /** Passes the machine types on to this leader, and to the ones of later terms when they begin. */
+    /** Passes the machine types to the current leader, and to the leaders of later terms when they begin. */
     void setMachineTypes(List<MachineType> types) {
         machineTypes = types;
         if (leader != null) {
--- a/src/main/java/notchpick/app/MachineTypeRefresher.java
+++ b/src/main/java/notchpick/app/MachineTypeRefresher.java
@@ -15,14 +15,14 @@
 import notchpick.transport.Timer;
 
 /**
- * Learns the machine types, and refreshes them while this controller leads. They are cached in the state store, so that
- * a controller which starts during an outage of the cloud can serve.
+ * Loads the machine types that the cloud offers, and refreshes them while this controller leads. They are cached in the
+ * state store, so that a controller that starts during an outage of the cloud can serve.
  */
 final class MachineTypeRefresher {
     /** Receives the machine types. */
     @FunctionalInterface
     interface Listener {
-        /** The cloud offers these types now. */
+        /** The machine types have been loaded or refreshed. */
         void typesRefreshed(List<MachineType> types);
     }
 
@@ -38,7 +38,7 @@
     private final Listener listener;
     private boolean typesKnown;
 
-    /** @param maxValueBytes the largest value that the state store takes */
+    /** @param maxValueBytes the size of the largest value that the state store accepts */
     MachineTypeRefresher(
             ControllerComponents components,
             int maxValueBytes,
@@ -54,7 +54,7 @@
         this.listener = listener;
     }
 
-    /** Learns the types, and goes on refreshing them. */
+    /** Loads or refreshes the machine types, and schedules the next refresh. */
     void refresh() {
         if (!typesKnown) {
             readCachedTypes();
@@ -68,7 +68,7 @@
     private void readCachedTypes() {
         stateStore.get(StateKeys.MACHINE_TYPES, callbacks.onLoop(result -> {
             if (!typesKnown && result instanceof Ok<Entry> ok) {
-                MachineTypesCodec.decode(ok.value().value()).ifPresent(this::take);
+                MachineTypesCodec.decode(ok.value().value()).ifPresent(this::updateTypes);
             }
             if (typesKnown) {
                 timer.schedule(REFRESH_PERIOD_MS, this::refresh);
@@ -81,21 +81,21 @@
     private void queryCloud(long nextRefreshMs) {
         cloud.types(callbacks.onLoop(types -> {
             types.ifPresent(listed -> {
-                take(listed);
-                cache(listed);
+                updateTypes(listed);
+                storeInCache(listed);
             });
             timer.schedule(typesKnown ? nextRefreshMs : RETRY_MS, this::refresh);
         }));
     }
 
-    private void take(List<MachineType> types) {
+    private void updateTypes(List<MachineType> types) {
         typesKnown = true;
         listener.typesRefreshed(types);
     }
 
-    private void cache(List<MachineType> types) {
+    private void storeInCache(List<MachineType> types) {
         JsonNode value = MachineTypesCodec.encode(types);
-        // A part of the list would make controllers reject jobs that fit a type left out.
+        // A list that is too large is not cached, not even in part: jobs that fit a missing type would be rejected.
         if (Json.bytes(value).length <= maxValueBytes) {
             stateStore.commit(new Transaction().put(StateKeys.MACHINE_TYPES, value), result -> {});
         }
--- a/src/main/java/notchpick/app/Main.java
+++ b/src/main/java/notchpick/app/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
-/** The command line. */
+/** The command line interface, which also starts the controller. */
 @Command(
         name = "notchpick",
         mixinStandardHelpOptions = true,
@@ -18,14 +18,14 @@
         description = "Runs one controller of a cluster scheduler, until it is killed.",
         footer = {
             "",
-            "Limits that deployment.state.next announces in the settings are kept to from the start.",
+            "If deployment.state.next announces other limits, the lower one of each pair applies from the start.",
             "Logs go to standard error; LOG_LEVEL is one of error, info (default), debug."
         })
 public final class Main implements Callable<Integer> {
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_INVALID_SETTINGS = 2;
-    /** No exit status: the process goes on after the command has returned. */
+    /** Not an exit status: the process keeps running after the command has returned. */
     private static final int RUNNING = -1;
 
     @Option(
@@ -33,17 +33,17 @@
             required = true,
             scope = ScopeType.INHERIT,
             paramLabel = "FILE",
-            description = "the platform's settings (JSON)")
+            description = "settings file of the platform (JSON)")
     private Path config;
 
     @Option(
             names = "--tuning",
             scope = ScopeType.INHERIT,
             paramLabel = "FILE",
-            description = "the operators' own settings (JSON)")
+            description = "settings file of the operators (JSON), optional")
     private Path tuning;
 
-    /** Runs the command and ends the process if it has failed or has nothing more to do. */
+    /** Runs the command. Ends the process afterwards, unless the command has started a controller. */
     public static void main(String[] args) {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
@@ -51,7 +51,7 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         int status = args.length == 2 && args[0].equals("--config")
-                // How the platform starts the process: the parser would take a third of the start-up time.
+                // The platform starts the process this way; picocli's parser would take a third of the start-up time.
                 ? serve(Path.of(args[1]), null)
                 : new CommandLine(new Main()).execute(args);
         if (status != RUNNING) {
@@ -64,8 +64,8 @@
         return serve(config, tuning);
     }
 
-    /** Checks both settings files. */
-    @Command(description = "Checks both files and ends without starting.", mixinStandardHelpOptions = true)
+    /** Validates both settings files. */
+    @Command(description = "Validates the settings files and exits; status 2 if one is invalid.", mixinStandardHelpOptions = true)
     int check() {
         try {
             Settings.read(config);
@@ -78,8 +78,8 @@
 
     /** Prints the condition of the links of all controllers. */
     @Command(
-            description = "Asks all controllers of the deployment how their links are, and prints that; status 1 "
-                    + "if none answered.",
+            description = "Prints the condition of the links of all controllers of the deployment; status 1 "
+                    + "if no controller answered.",
             mixinStandardHelpOptions = true)
     int status() throws Exception {
         Deployment deployment;
@@ -103,7 +103,7 @@
         try {
             ControllerServer.start(deployment, tuning);
         } catch (Exception e) {
-            System.err.println("notchpick: can't serve: " + e.getMessage());
+            System.err.println("notchpick: can't start the controller: " + e.getMessage());
             return EXIT_FAILED;
         }
         return RUNNING;
--- a/src/main/java/notchpick/app/PeerAnnouncer.java
+++ b/src/main/java/notchpick/app/PeerAnnouncer.java
@@ -12,7 +12,7 @@
 import notchpick.protocol.peer.Progress;
 import notchpick.protocol.peer.Pulse;
 
-/** Composes what this controller announces to its peers: its heartbeats, and the condition of its links. */
+/** Builds the messages in which this controller announces its status to its peers: heartbeats and link tables. */
 final class PeerAnnouncer {
     private final String node;
     private final LeaderElection election;
@@ -36,7 +36,7 @@
         this.localLeader = localLeader;
     }
 
-    /** A heartbeat, with the progress of jobs if this controller leads. */
+    /** A heartbeat; it includes the progress of jobs if this controller leads. */
     Pulse heartbeat() {
         return heartbeat(localLeader.current().map(Leader::progress).orElse(List.of()));
     }
@@ -47,7 +47,7 @@
     }
 
     private Pulse heartbeat(List<Progress> progress) {
-        // Peers relay requests only through a controller that reaches the state store by its own link.
+        // Peers choose a relay by this flag, so it is true only if this controller reaches the state store directly.
         boolean reachesStateStore = stateStore.isReachable() && !stateStoreTransport.isRelayed();
         return new Pulse(
                 node, election.term(), election.leader(), reachesStateStore, heartbeatRouter.redirects(), progress);
--- a/src/main/java/notchpick/app/PeerRequestDispatcher.java
+++ b/src/main/java/notchpick/app/PeerRequestDispatcher.java
@@ -19,7 +19,7 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** Handles the messages of the other controllers, by type. */
+/** Dispatches the messages of other controllers to their handlers, by type. */
 final class PeerRequestDispatcher {
     private final String node;
     private final EventLoop loop;
@@ -46,17 +46,21 @@
         this.userRequests = components.userRequests();
     }
 
-    /** Handles a message that was received then, by the steady clock. */
-    void dispatch(Request request, Consumer<Response> reply, long receivedAt) {
+    /**
+     * Handles a message.
+     *
+     * @param receivedAtMs when it was received, by the monotonic clock
+     */
+    void dispatch(Request request, Consumer<Response> reply, long receivedAtMs) {
         Object message = request.path().equals(PeerProtocol.PATH) ? PeerProtocol.decode(request.body()) : null;
         if (message instanceof Pulse heartbeat) {
             handleHeartbeat(heartbeat, reply);
         } else if (message instanceof Grant grant) {
             reply.accept(ControllerReplies.peerMessage(TaskPlacer.place(grant, node)));
         } else if (message instanceof ReportBatch batch) {
-            heartbeats.receiveRelayed(batch, reply, receivedAt);
+            heartbeats.receiveRelayed(batch, reply, receivedAtMs);
         } else if (message instanceof StateCall call) {
-            relayToStateStore(call, reply, receivedAt);
+            relayToStateStore(call, reply, receivedAtMs);
         } else if (message instanceof LinkTable table) {
             exchangeLinks(table, reply);
         } else if (message instanceof Relay relay) {
@@ -71,8 +75,8 @@
         reply.accept(ControllerReplies.peerMessage(announcer.heartbeatReply()));
     }
 
-    private void relayToStateStore(StateCall call, Consumer<Response> reply, long receivedAt) {
-        long timeLeftMs = call.getTimeoutMs() - (loop.nowMs() - receivedAt);
+    private void relayToStateStore(StateCall call, Consumer<Response> reply, long receivedAtMs) {
+        long timeLeftMs = call.getTimeoutMs() - (loop.nowMs() - receivedAtMs);
         stateStore.sendForPeer(
                 call.getMethod(),
                 call.getPath(),
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -24,7 +24,7 @@
 /** Reads the settings file that the platform provides. */
 public final class Settings {
     private static final int BYTES_PER_KB = 1024;
-    /** The end of a job takes two writes in one transaction. */
+    /** Storing the end of a job takes two writes in one transaction. */
     private static final int MIN_TRANSACTION_WRITES = 2;
 
     private Settings() {}
@@ -32,7 +32,7 @@
     /**
      * Reads and checks the platform's settings.
      *
-     * @throws InvalidSettingsException if the file can't be read, or a field is missing or not allowed
+     * @throws InvalidSettingsException if the file can't be read, or if a field is missing or invalid
      */
     public static Deployment read(Path file) throws InvalidSettingsException {
         SettingsSection root = SettingsSection.root(parse(file));
@@ -71,7 +71,7 @@
         }
         ObjectNode root = Json.object(bytes);
         if (root == null) {
-            throw InvalidSettingsException.inFile("the settings file " + file + " does not hold a JSON object");
+            throw InvalidSettingsException.inFile("the settings file " + file + " must contain a JSON object");
         }
         return root;
     }
@@ -107,7 +107,7 @@
         return new ServiceObjectives(byClass);
     }
 
-    /** Empty for an objective of something else than a class of jobs, or of a kind that this version does not know. */
+    /** Parses an objective; empty if its kind is not supported or its limit is missing, which is not an error. */
     private static Optional<Objective> objective(JsonNode node) {
         return switch (node.path("kind").asText()) {
             case "wait" -> objectiveWithin(Kind.STARTED, node);
@@ -138,14 +138,14 @@
 
     private static double cloudRps(SettingsSection cloud) throws InvalidSettingsException {
         double requestsPerS = cloud.positive("rps");
-        // Not used, but settings without it are not the platform's.
+        // Not used, but checked: settings without it don't come from the platform.
         cloud.positive("list_lag_s");
         return requestsPerS;
     }
 
     /**
-     * The lower of a limit's present and announced value. The settings do not say when the announced one takes effect;
-     * a controller that stays below both needs not find out.
+     * The lower of a limit's present and announced value. The settings don't say when the announced value takes effect,
+     * so a controller stays within both from the start.
      */
     private static double lowestLimit(SettingsSection stateStore, String field) throws InvalidSettingsException {
         double present = stateStore.positive(field);
--- a/src/main/java/notchpick/app/TuningFile.java
+++ b/src/main/java/notchpick/app/TuningFile.java
@@ -12,14 +12,14 @@
 import notchpick.coordination.Tuning;
 import notchpick.protocol.Json;
 
-/** Reads the operators' own settings, which are optional, as is each of their fields. */
+/** Reads the operators' settings file. The file is optional, and so is each of its fields. */
 final class TuningFile {
     private static final String SCHEMA_RESOURCE = "/tuning.schema.json";
 
     private TuningFile() {}
 
     /**
-     * Reads the file and checks it against the schema.
+     * Reads the file and validates it against the schema.
      *
      * @throws InvalidSettingsException if the file can't be read, or does not match the schema
      */
@@ -27,7 +27,7 @@
         try (InputStream schema = TuningFile.class.getResourceAsStream(SCHEMA_RESOURCE)) {
             ObjectNode node = Json.object(Files.readAllBytes(file));
             if (node == null) {
-                throw InvalidSettingsException.inFile("the tuning file " + file + " does not hold a JSON object");
+                throw InvalidSettingsException.inFile("the tuning file " + file + " must contain a JSON object");
             }
             validate(node, schema);
             return tuning(node);
@@ -37,12 +37,12 @@
     }
 
     private static void validate(ObjectNode node, InputStream schema) throws InvalidSettingsException {
-        Set<ValidationMessage> faults = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+        Set<ValidationMessage> violations = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                 .getSchema(schema)
                 .validate(node);
-        if (!faults.isEmpty()) {
+        if (!violations.isEmpty()) {
             throw InvalidSettingsException.inFile(
-                    "tuning: " + faults.iterator().next().getMessage());
+                    "tuning: " + violations.iterator().next().getMessage());
         }
     }
 
--- a/src/main/java/notchpick/app/package-info.java
+++ b/src/main/java/notchpick/app/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process: the command line, the settings files, and {@link notchpick.app.Controller}, which builds the components of
- * a controller and routes requests to them.
+ * The process: the command line, the settings files, and {@link notchpick.app.Controller}, which creates the components
+ * of a controller and routes requests to them.
  */
 package notchpick.app;
--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -22,12 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancels jobs. A cancellation is confirmed once it is durable, and counts from then: the leader learns it by its watch
- * of open jobs, and stops the tasks within {@link notchpick.coordination.Deployment#cancellationBoundMs}.
+ * Cancels jobs. A cancellation takes effect, and is confirmed to the user, once it is durable. The leader finds it
+ * through its watch of the open jobs and stops the tasks within
+ * {@link notchpick.coordination.Deployment#cancellationBoundMs}.
  */
 final class CancellationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
-    /** A conflict means that the job has ended or was written in between; reading it again shows which. */
+    /** A conflict means that the job ended or was written after it was read; reading it again shows which. */
     private static final int MAX_ATTEMPTS = 3;
 
     private final EventLoop loop;
@@ -49,16 +50,16 @@
         this.callbacks = callbacks;
     }
 
-    /** Cancels a job; idempotent, and without effect on one that has ended. */
+    /** Cancels a job; idempotent, and has no effect on a job that has ended. */
     void cancel(String id, Consumer<Response> reply) {
         if (!UserProtocol.isJobId(id)) {
             reply.accept(UserReplies.noSuchJob());
             return;
         }
-        attempt(id, reply, MAX_ATTEMPTS);
+        readAndCancel(id, reply, MAX_ATTEMPTS);
     }
 
-    private void attempt(String id, Consumer<Response> reply, int attemptsLeft) {
+    private void readAndCancel(String id, Consumer<Response> reply, int attemptsLeft) {
         jobs.read(id, lookup -> {
             if (lookup instanceof Unavailable unavailable) {
                 reply.accept(UserReplies.unavailable(unavailable.reason()));
@@ -68,31 +69,31 @@
                 reply.accept(UserReplies.ended(
                         id, DisplayedStatus.ofEnded(found.record().status())));
             } else {
-                store(id, found, reply, attemptsLeft);
+                storeCancellation(id, found, reply, attemptsLeft);
             }
         });
     }
 
-    private void store(String id, Found found, Consumer<Response> reply, int attemptsLeft) {
+    private void storeCancellation(String id, Found found, Consumer<Response> reply, int attemptsLeft) {
         JobRecord cancelled = found.record().cancelled(loop.wallTimeMs());
         Transaction transaction = new Transaction()
                 .requireVersion(StateKeys.OPEN_JOBS + id, found.version())
                 .put(StateKeys.JOB_RECORDS + id, JobRecordCodec.encode(cancelled))
                 .delete(StateKeys.OPEN_JOBS + id);
         stateStore.commit(
-                transaction, callbacks.onLoop(result -> committed(id, cancelled, result, reply, attemptsLeft)));
+                transaction, callbacks.onLoop(result -> handleCommitResult(id, cancelled, result, reply, attemptsLeft)));
     }
 
-    private void committed(
+    private void handleCommitResult(
             String id, JobRecord cancelled, StateStoreResult<Long> result, Consumer<Response> reply, int attemptsLeft) {
         if (result instanceof Ok<Long>) {
             LOG.info("job cancelled: job={}", id);
             outcomes.cache(id, cancelled);
             reply.accept(UserReplies.ended(id, DisplayedStatus.CANCELLED));
         } else if (result instanceof Conflict<Long> && attemptsLeft > 1) {
-            attempt(id, reply, attemptsLeft - 1);
+            readAndCancel(id, reply, attemptsLeft - 1);
         } else {
-            reply.accept(UserReplies.unavailable(UserReplies.NO_STATE_STORE));
+            reply.accept(UserReplies.unavailable(UserReplies.STATE_STORE_UNAVAILABLE));
         }
     }
 }
--- a/src/main/java/notchpick/coordination/userapi/DependencyValidator.java
+++ b/src/main/java/notchpick/coordination/userapi/DependencyValidator.java
@@ -9,7 +9,10 @@
 import notchpick.model.JobStatus;
 import notchpick.scheduling.JobSpec;
 
-/** Checks that each dependency of a submission has been accepted, by whatever controller, and can be done. */
+/**
+ * Checks that the job of a submission can become ready: each of its dependencies must have been accepted, by any
+ * controller, and must not be a service, which never completes.
+ */
 final class DependencyValidator {
     private final OpenJobCache openJobs;
     private final JobOutcomes outcomes;
@@ -19,7 +22,10 @@
         this.outcomes = outcomes;
     }
 
-    /** Reads open jobs first: a dependency that is not among them has a durable outcome, or does not exist. */
+    /**
+     * Checks the dependencies of a job. Reads the open jobs before the outcomes: a dependency that is not open either
+     * has a durable outcome by then, or does not exist.
+     */
     void check(JobSpec spec, Consumer<DependencyVerdict> then) {
         int count = spec.dependencies().size();
         if (count == 0) {
@@ -57,7 +63,7 @@
             List<OpenJobCache.Lookup> lookups, List<String> notOpen, Map<String, JobRecord> ended) {
         for (String dependency : notOpen) {
             if (!ended.containsKey(dependency)) {
-                return new DependencyVerdict.Rejected("nobody submitted " + dependency + ", which it waits on");
+                return new DependencyVerdict.Rejected("the job depends on " + dependency + ", which does not exist");
             }
         }
         List<JobRecord> records = new ArrayList<>(ended.values());
@@ -70,7 +76,7 @@
         }
         for (JobRecord record : records) {
             if (record.service()) {
-                return new DependencyVerdict.Rejected("it waits on a service, which is never done");
+                return new DependencyVerdict.Rejected("the job depends on a service, which never completes");
             }
             cancelled |= record.status() == JobStatus.CANCELLED;
         }
--- a/src/main/java/notchpick/coordination/userapi/DependencyVerdict.java
+++ b/src/main/java/notchpick/coordination/userapi/DependencyVerdict.java
@@ -3,19 +3,19 @@
 /** Whether a job with these dependencies can be accepted. */
 sealed interface DependencyVerdict {
     /**
-     * All dependencies were accepted and can be done.
+     * All dependencies were accepted, and none is a service.
      *
-     * @param cancelled whether one of them was cancelled, or depends on a cancelled job: so this one is cancelled, too
+     * @param cancelled whether a dependency was cancelled or depends on a cancelled job, which cancels this job, too
      */
     record Valid(boolean cancelled) implements DependencyVerdict {}
 
     /**
      * The dependencies can never be satisfied.
      *
-     * @param reason why, in words for users
+     * @param reason why not, as text for users
      */
     record Rejected(String reason) implements DependencyVerdict {}
 
-    /** The dependencies can't be read now. */
+    /** The state store did not answer, so the dependencies could not be checked. */
     record Unavailable() implements DependencyVerdict {}
 }
--- a/src/main/java/notchpick/coordination/userapi/JobLookup.java
+++ b/src/main/java/notchpick/coordination/userapi/JobLookup.java
@@ -7,7 +7,7 @@
     /**
      * The job exists.
      *
-     * @param version the version of its entry among the open jobs; 0 once it has ended
+     * @param version the version of the job's key among the open jobs; 0 if the job has ended
      */
     record Found(JobRecord record, long version) implements JobLookup {}
 
@@ -15,9 +15,9 @@
     record NotFound() implements JobLookup {}
 
     /**
-     * Whether there is such a job can't be said now.
+     * The job could not be read, so it may or may not exist.
      *
-     * @param reason why, in words for users
+     * @param reason why not, as text for users
      */
     record Unavailable(String reason) implements JobLookup {}
 }
--- a/src/main/java/notchpick/coordination/userapi/JobReader.java
+++ b/src/main/java/notchpick/coordination/userapi/JobReader.java
@@ -16,8 +16,9 @@
 import notchpick.transport.CallbackExecutor;
 
 /**
- * Reads single jobs, open or ended. The open ones are read first: a job that is not among them either has ended, and
- * its record is durable, or does not exist. In the other order a job that ends in between would seem not to exist.
+ * Reads single jobs, open or ended. The open jobs are read first: a job that is not among them either has ended, and
+ * its record is durable, or does not exist. In the opposite order, a job that ends between the two reads would appear
+ * not to exist.
  */
 final class JobReader {
     private final OpenJobCache openJobs;
@@ -32,29 +33,29 @@
         this.callbacks = callbacks;
     }
 
-    /** Reads a job as of some moment after this call. */
+    /** Reads a job; the result reflects a moment after this call, never an earlier one. */
     void read(String id, Consumer<JobLookup> then) {
         openJobs.read(id, lookup -> {
             if (lookup instanceof OpenJobCache.Unavailable) {
-                then.accept(new Unavailable(UserReplies.NO_STATE_STORE));
+                then.accept(new Unavailable(UserReplies.STATE_STORE_UNAVAILABLE));
             } else if (lookup instanceof OpenJobCache.Open open) {
-                // Its cancellation follows from what is stored, whether or not the leader has recorded it.
+                // A cancelled dependency cancels the job, even if the leader has not recorded that yet.
                 JobRecord record = open.cancelledByDependency() ? open.record().cancelled(0) : open.record();
                 then.accept(new Found(record, open.version()));
             } else if (!stateStore.hasUnreservedBudget()) {
-                then.accept(new Unavailable("too many ask at once"));
+                then.accept(new Unavailable("too many requests at once"));
             } else {
-                stateStore.get(StateKeys.JOB_RECORDS + id, callbacks.onLoop(result -> then.accept(ended(id, result))));
+                stateStore.get(StateKeys.JOB_RECORDS + id, callbacks.onLoop(result -> then.accept(endedLookup(id, result))));
             }
         });
     }
 
-    private JobLookup ended(String id, StateStoreResult<Entry> result) {
+    private JobLookup endedLookup(String id, StateStoreResult<Entry> result) {
         if (result instanceof Ok<Entry> ok) {
             JobRecord record = JobRecordCodec.decode(ok.value().value());
             outcomes.cache(id, record);
             return new Found(record, 0);
         }
-        return result instanceof Missing<Entry> ? new NotFound() : new Unavailable(UserReplies.NO_STATE_STORE);
+        return result instanceof Missing<Entry> ? new NotFound() : new Unavailable(UserReplies.STATE_STORE_UNAVAILABLE);
     }
 }
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -27,9 +27,10 @@
 import notchpick.transport.Timer;
 
 /**
- * A copy of the open jobs, for linearizable reads. Before a read is answered, the changes since the copy was made are
- * read from the state store by a request sent after the read began; so no answer is older than what any controller may
- * have said by then. All reads that wait share one request: their number does not change the load of the state store.
+ * A copy of the open jobs, for linearizable reads. Each read waits for a request to the state store that is sent after
+ * the read began and brings the copy up to date. A read therefore never returns a state older than what any controller
+ * had replied before the read began. All waiting reads share one request, so the load on the state store does not grow
+ * with the number of reads.
  */
 final class OpenJobCache {
     /** The result of a read. */
@@ -38,13 +39,13 @@
     /**
      * The job is open.
      *
-     * @param version the version of the job's entry
-     * @param cancelledByDependency whether it depends on a cancelled job, directly or transitively: then it counts as
-     *         cancelled, whether or not that has been recorded
+     * @param version the version of the job's key
+     * @param cancelledByDependency whether the job depends on a cancelled job, directly or transitively; it is then
+     *         cancelled, even if the leader has not recorded that yet
      */
     record Open(JobRecord record, long version, boolean cancelledByDependency) implements Lookup {}
 
-    /** The job has ended, or there is no such job. */
+    /** The job has ended or does not exist. */
     record NotOpen() implements Lookup {}
 
     /** The state store did not answer. */
@@ -54,9 +55,10 @@
 
     private record PendingRead(String job, Consumer<Lookup> then) {}
 
-    /** Reads take this part of the controller's requests; submissions and the leader's writes need the rest. */
+    /** The share of this controller's request rate for reads; submissions and the leader's writes need the rest. */
     private static final double REQUEST_RATE_RATIO = 0.25;
 
+    /** The {@link #revision} while there is no usable copy. */
     private static final long NOT_LISTED = -1;
 
     private final EventLoop loop;
@@ -66,23 +68,25 @@
     private final long requestIntervalMs;
     private final Map<String, OpenJob> jobs = new HashMap<>();
     private final DependencyGraph dependencies = new DependencyGraph(jobs::containsKey);
+    /** Reads that the next request will answer. */
     private List<PendingRead> waiting = new ArrayList<>();
+    /** The revision of the state store that the copy reflects. */
     private long revision = NOT_LISTED;
-    private long lastRequestAt;
-    /** A request is scheduled or in flight. */
+    private long lastRequestAtMs;
+    /** Whether a request is scheduled or in flight. */
     private boolean requestPending;
 
-    /** @param requestsPerS the requests to the state store that this controller may send in all */
+    /** @param requestsPerS this controller's whole request rate at the state store, of which reads use a share */
     OpenJobCache(EventLoop loop, StateStoreClient stateStore, JobOutcomes outcomes, double requestsPerS, Timer timer) {
         this.loop = loop;
         this.stateStore = stateStore;
         this.outcomes = outcomes;
         this.timer = timer;
         this.requestIntervalMs = (long) Math.ceil(Milliseconds.PER_SECOND / (requestsPerS * REQUEST_RATE_RATIO));
-        this.lastRequestAt = loop.nowMs() - requestIntervalMs;
+        this.lastRequestAtMs = loop.nowMs() - requestIntervalMs;
     }
 
-    /** Reads a job as of some moment after this call. */
+    /** Reads a job; the result reflects a moment after this call, never an earlier one. */
     void read(String job, Consumer<Lookup> then) {
         waiting.add(new PendingRead(job, then));
         if (!requestPending) {
@@ -93,38 +97,38 @@
     private void scheduleRequest() {
         requestPending = !waiting.isEmpty();
         if (requestPending) {
-            timer.schedule(Math.max(0, lastRequestAt + requestIntervalMs - loop.nowMs()), this::sendRequest);
+            timer.schedule(Math.max(0, lastRequestAtMs + requestIntervalMs - loop.nowMs()), this::sendRequest);
         }
     }
 
     private void sendRequest() {
-        lastRequestAt = loop.nowMs();
-        // Reads that begin from here on are answered by the next request.
+        lastRequestAtMs = loop.nowMs();
+        // Reads that begin from now on wait for the next request, because this one may return an older state.
         List<PendingRead> batch = waiting;
         waiting = new ArrayList<>();
         if (revision == NOT_LISTED) {
-            stateStore.listAll(StateKeys.OPEN_JOBS, result -> listed(batch, result));
+            stateStore.listAll(StateKeys.OPEN_JOBS, result -> handleListing(batch, result));
         } else {
-            stateStore.changes(StateKeys.OPEN_JOBS, revision, 0, result -> changed(batch, result));
+            stateStore.changes(StateKeys.OPEN_JOBS, revision, 0, result -> handleChanges(batch, result));
         }
     }
 
-    private void listed(List<PendingRead> batch, StateStoreResult<Listing> result) {
+    private void handleListing(List<PendingRead> batch, StateStoreResult<Listing> result) {
         scheduleRequest();
         if (result instanceof Ok<Listing> ok) {
-            Set<String> gone = new HashSet<>(jobs.keySet());
+            Set<String> noLongerOpen = new HashSet<>(jobs.keySet());
             for (Entry entry : ok.value().entries()) {
-                gone.remove(opened(entry.key(), entry.value(), entry.version()));
+                noLongerOpen.remove(addJob(entry.key(), entry.value(), entry.version()));
             }
-            gone.forEach(this::closed);
+            noLongerOpen.forEach(this::removeJob);
             revision = ok.value().revision();
         }
         answer(batch, result instanceof Ok<Listing>);
     }
 
-    private void changed(List<PendingRead> batch, StateStoreResult<Changes> result) {
+    private void handleChanges(List<PendingRead> batch, StateStoreResult<Changes> result) {
         if (result instanceof Missing<Changes>) {
-            // The state store keeps changes for a limited time: the copy is too old, and is listed again.
+            // The state store keeps changes for a limited time. The copy is too old to be updated: list all jobs again.
             revision = NOT_LISTED;
             waiting.addAll(0, batch);
         }
@@ -132,9 +136,9 @@
         if (result instanceof Ok<Changes> ok) {
             for (Change change : ok.value().log()) {
                 if (change.value() == null) {
-                    closed(StateKeys.openJobId(change.key()));
+                    removeJob(StateKeys.openJobId(change.key()));
                 } else {
-                    opened(change.key(), change.value(), change.version());
+                    addJob(change.key(), change.value(), change.version());
                 }
             }
             revision = Math.max(revision, ok.value().revision());
@@ -144,7 +148,7 @@
         }
     }
 
-    private String opened(String key, JsonNode value, long version) {
+    private String addJob(String key, JsonNode value, long version) {
         String id = StateKeys.openJobId(key);
         JobSpec spec = JobSpecCodec.decode(id, value);
         jobs.put(id, new OpenJob(JobRecord.open(spec), version));
@@ -152,7 +156,7 @@
         return id;
     }
 
-    private void closed(String id) {
+    private void removeJob(String id) {
         jobs.remove(id);
         dependencies.removeJob(id);
     }
@@ -184,7 +188,7 @@
                 : new Open(job.record(), job.version(), dependencies.isCancelledByDependency(id));
     }
 
-    /** Reads the outcomes of dependencies that have ended: a cancelled one cancels its dependents. */
+    /** Reads the outcomes of ended dependencies before answering, because a cancelled one cancels its dependents. */
     private void resolveDependencies(List<PendingRead> batch) {
         if (!stateStore.hasUnreservedBudget()) {
             batch.forEach(read -> answer(read, false));
--- a/src/main/java/notchpick/coordination/userapi/StatusHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/StatusHandler.java
@@ -12,7 +12,7 @@
 import notchpick.protocol.peer.Progress;
 import notchpick.transport.HttpCaller.Response;
 
-/** Reports the status of jobs. */
+/** Replies to requests for the status of a job. */
 final class StatusHandler {
     private final JobReader jobs;
     private final JobOutcomes outcomes;
@@ -38,12 +38,12 @@
         replyOrElse(id, UserReplies.noSuchJob(), reply);
     }
 
-    /** The status of a job whose outcome is cached; outcomes never change, so nothing needs to be read. */
+    /** The reply for a job whose outcome is cached: an outcome never changes, so the state store need not be read. */
     Optional<Response> cachedOutcome(String id) {
         return outcomes.cached(id).map(record -> response(id, record));
     }
 
-    /** Replies with the status of a job, or as given if there is no such job. */
+    /** Replies with the status of a job, or with {@code ifNotFound} if it does not exist. */
     void replyOrElse(String id, Response ifNotFound, Consumer<Response> reply) {
         jobs.read(id, lookup -> {
             if (lookup instanceof Found found) {
--- a/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionBatcher.java
@@ -18,23 +18,23 @@
 import notchpick.transport.Timer;
 
 /**
- * Stores submissions in batches. A few transactions are in flight at a time, and each includes what has arrived
- * meanwhile, so that a burst of small jobs takes few requests. No submission waits for others to arrive: at a low rate
- * each has a transaction of its own.
+ * Stores submissions in batches. While {@link #MAX_IN_FLIGHT} transactions are in flight, submissions are queued. The
+ * next transaction stores as many of them as it can hold, so a burst of small jobs takes few requests. No submission
+ * waits for others to arrive: at a low rate each has its own transaction.
  */
 final class SubmissionBatcher {
-    /** What becomes of a submission. */
+    /** The result of storing a submission. */
     enum Outcome {
         /** The job is stored. */
         ACCEPTED,
         /** A job with this id exists already. */
         DUPLICATE,
-        /** The job may not have been stored; another submission of it finds out. */
+        /** The job may or may not have been stored; submitting it again is safe and shows which. */
         RETRY_LATER
     }
 
     private static final int MAX_IN_FLIGHT = 4;
-    /** A transaction may hold 64 KiB in all; keys and conditions take some of it. */
+    /** The state store accepts 64 KiB per transaction, which also has to hold the keys and conditions. */
     private static final int MAX_BATCH_BYTES = 48 << 10;
 
     private record Submission(JobSpec spec, Consumer<Outcome> then) {
@@ -50,19 +50,19 @@
     private int inFlight;
     private boolean sendScheduled;
 
-    /** @param maxBatchJobs the most jobs that one transaction stores */
+    /** @param maxBatchJobs the largest number of jobs that one transaction may store */
     SubmissionBatcher(StateStoreClient stateStore, int maxBatchJobs, Timer timer) {
         this.stateStore = stateStore;
         this.maxBatchJobs = maxBatchJobs;
         this.timer = timer;
     }
 
-    /** Stores an open job. */
+    /** Queues an open job to be stored; {@code then} is called with the result. */
     void add(JobSpec spec, Consumer<Outcome> then) {
         queue.add(new Submission(spec, then));
         if (!sendScheduled && inFlight < MAX_IN_FLIGHT) {
             sendScheduled = true;
-            // Submissions that are already queued in the event loop join the batch.
+            // This runs after the submissions that are already queued in the event loop, so they join the batch.
             timer.schedule(0, () -> {
                 sendScheduled = false;
                 sendNextBatch();
@@ -76,7 +76,7 @@
         int bytes = 0;
         for (Submission submission : queue) {
             bytes += JobSpecCodec.maxBytes(submission.spec());
-            // A retry that was sent before the first reply goes into the next batch, and finds the job stored.
+            // A duplicate of a submission in this batch goes into the next one, where the job is found to exist.
             if (batch.size() == maxBatchJobs
                     || (bytes > MAX_BATCH_BYTES && !batch.isEmpty())
                     || !ids.add(submission.id())) {
@@ -94,22 +94,22 @@
         inFlight++;
         Transaction transaction = new Transaction();
         for (Submission submission : batch) {
-            // One write for each job: the rate of writes is scarce, while guards are free.
+            // Only one write per job: writes count against the state store's write rate, conditions do not.
             transaction
                     .requireVersion(StateKeys.JOB_RECORDS + submission.id(), 0)
                     .requireVersion(StateKeys.OPEN_JOBS + submission.id(), 0)
                     .put(StateKeys.OPEN_JOBS + submission.id(), JobSpecCodec.encode(submission.spec()));
         }
-        stateStore.commit(transaction, result -> timer.schedule(0, () -> committed(batch, result)));
+        stateStore.commit(transaction, result -> timer.schedule(0, () -> handleCommitResult(batch, result)));
     }
 
-    private void committed(List<Submission> batch, StateStoreResult<Long> result) {
+    private void handleCommitResult(List<Submission> batch, StateStoreResult<Long> result) {
         inFlight--;
         if (result instanceof Ok<Long>) {
             sendNextBatch();
             complete(batch, Outcome.ACCEPTED);
         } else if (result instanceof Conflict<Long> conflict) {
-            conflicted(batch, conflict);
+            handleConflict(batch, conflict);
         } else if (result instanceof Refused<Long> refused
                 && refused.status() == HttpStatus.TOO_MANY_REQUESTS
                 && batch.size() > 1) {
@@ -121,8 +121,8 @@
         }
     }
 
-    /** Jobs that exist must not keep the others of the batch from being stored. */
-    private void conflicted(List<Submission> batch, Conflict<Long> conflict) {
+    /** Retries without the jobs that already exist, so that they don't keep the rest of the batch from being stored. */
+    private void handleConflict(List<Submission> batch, Conflict<Long> conflict) {
         List<Submission> duplicates = new ArrayList<>();
         List<Submission> others = new ArrayList<>();
         for (Submission submission : batch) {
@@ -139,14 +139,14 @@
         }
     }
 
-    /** The rate of writes is exceeded: a smaller transaction may pass, and the other submissions are shed. */
+    /** Handles an exceeded write rate: retries half of the batch, which may be accepted, and sheds the other half. */
     private void retryHalf(List<Submission> batch) {
         int half = batch.size() / 2;
         retry(batch.subList(0, half));
         complete(batch.subList(half, batch.size()), Outcome.RETRY_LATER);
     }
 
-    /** The state store will never take one of the batch: it must not fail the others. */
+    /** Splits a batch that the state store will never accept, so that one bad submission doesn't fail the others. */
     private void isolateMalformed(List<Submission> batch) {
         if (batch.size() > 1) {
             send(batch.subList(0, 1));
@@ -157,7 +157,7 @@
         }
     }
 
-    /** The state store can't be reached: the queue fails now, rather than batch by batch after a timeout each. */
+    /** Fails the whole queue when the state store is unreachable; each further batch would only wait for a timeout. */
     private void failAll(List<Submission> batch) {
         List<Submission> all = new ArrayList<>(batch);
         all.addAll(queue);
--- a/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts submissions: validates them, resolves their dependencies, and stores them before it replies. Submissions are
- * idempotent: one whose job exists already is answered with the job's status, whatever else it says.
+ * Accepts submissions: validates them, checks their dependencies, and stores them before it replies. Submissions are
+ * idempotent: if the job already exists, the reply is its status, whatever the other fields of the submission hold.
  */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -39,7 +39,7 @@
         this.statuses = statuses;
     }
 
-    /** Handles the body of a submission. */
+    /** Handles a submission with this request body. */
     void submit(byte[] bytes, Consumer<Response> reply) {
         ObjectNode body = Json.object(bytes);
         String id;
@@ -61,16 +61,16 @@
             statuses.replyOrElse(id, UserReplies.rejected(e), reply);
             return;
         }
-        dependencies.check(spec, verdict -> dependenciesChecked(spec, verdict, reply));
+        dependencies.check(spec, verdict -> handleVerdict(spec, verdict, reply));
     }
 
-    private void dependenciesChecked(JobSpec spec, DependencyVerdict verdict, Consumer<Response> reply) {
+    private void handleVerdict(JobSpec spec, DependencyVerdict verdict, Consumer<Response> reply) {
         if (verdict instanceof DependencyVerdict.Rejected rejected) {
             statuses.replyOrElse(spec.id(), UserReplies.unprocessable(rejected.reason()), reply);
         } else if (verdict instanceof DependencyVerdict.Valid valid) {
             store(spec, valid.cancelled() ? DisplayedStatus.CANCELLED : DisplayedStatus.QUEUED, reply);
         } else {
-            reply.accept(UserReplies.unavailable("the jobs that it waits on can't be read now"));
+            reply.accept(UserReplies.unavailable("the job's dependencies can't be read at the moment"));
         }
     }
 
@@ -82,7 +82,7 @@
                     reply.accept(UserReplies.accepted(spec.id(), status));
                 }
                 case DUPLICATE -> statuses.status(spec.id(), reply);
-                case RETRY_LATER -> reply.accept(UserReplies.unavailable(UserReplies.NO_STATE_STORE));
+                case RETRY_LATER -> reply.accept(UserReplies.unavailable(UserReplies.STATE_STORE_UNAVAILABLE));
             }
         });
     }
--- a/src/main/java/notchpick/coordination/userapi/SubmissionRejectedException.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionRejectedException.java
@@ -1,16 +1,16 @@
 package notchpick.coordination.userapi;
 
-/** A submission can't be accepted; the message says why, in words for users. */
+/** Thrown when a submission can't be accepted; the message is text for users. */
 final class SubmissionRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What kind of error it is. */
+    /** The kind of rejection, which determines the HTTP status of the reply. */
     enum Reason {
         /** The submission does not follow the protocol. */
         MALFORMED,
         /** The job could never run in this deployment. */
         INFEASIBLE,
-        /** This controller can't judge the submission yet. */
+        /** This controller does not have the machine types yet, so it can't check the submission. */
         NOT_READY
     }
 
--- a/src/main/java/notchpick/coordination/userapi/SubmissionValidator.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionValidator.java
@@ -10,9 +10,10 @@
 import notchpick.scheduling.MachineType;
 import notchpick.storage.JobSpecCodec;
 
-/** Checks a submission by itself: its form, its size, the team's limit, and whether any machine type can run it. */
+/** Checks a submission without its dependencies: fields, size, the team's quota, and whether a machine type fits. */
 final class SubmissionValidator {
     private final Deployment deployment;
+    /** Null until the machine types have been loaded. */
     private List<MachineType> machineTypes;
 
     SubmissionValidator(Deployment deployment) {
@@ -23,7 +24,7 @@
         machineTypes = types;
     }
 
-    /** Whether the machine types are known, without which no submission can be judged. */
+    /** Whether the machine types have been loaded; no submission can be checked without them. */
     boolean isReady() {
         return machineTypes != null;
     }
@@ -31,23 +32,23 @@
     /**
      * Parses and checks a submission.
      *
-     * @param receivedAt when it was received, by the time of day in milliseconds
-     * @throws SubmissionRejectedException if it can't be accepted
+     * @param receivedAtMs the wall-clock time at which the submission was received
+     * @throws SubmissionRejectedException if the submission can't be accepted
      */
-    JobSpec validate(ObjectNode body, long receivedAt) throws SubmissionRejectedException {
+    JobSpec validate(ObjectNode body, long receivedAtMs) throws SubmissionRejectedException {
         JobSpec spec;
         try {
-            spec = UserProtocol.submission(body, receivedAt);
+            spec = UserProtocol.submission(body, receivedAtMs);
         } catch (InvalidMessageException e) {
             throw new SubmissionRejectedException(Reason.MALFORMED, e.getMessage());
         }
         if (!isReady()) {
-            throw new SubmissionRejectedException(Reason.NOT_READY, "the machine types are not known yet");
+            throw new SubmissionRejectedException(Reason.NOT_READY, "the machine types have not been loaded yet");
         }
         if (JobSpecCodec.maxBytes(spec) > deployment.maxValueBytes()) {
             throw new SubmissionRejectedException(
                     Reason.MALFORMED,
-                    "class, team, image, types and the jobs that it waits on are too long: a description may take "
+                    "class, team, image, machine types and dependencies are too long: a job may take at most "
                             + deployment.maxValueBytes() + " bytes");
         }
         checkQuota(spec);
@@ -58,11 +59,11 @@
     private void checkQuota(JobSpec spec) throws SubmissionRejectedException {
         Deployment.Quota quota = deployment.quota(spec.team());
         if (quota == null) {
-            throw new SubmissionRejectedException(Reason.INFEASIBLE, "unknown team");
+            throw new SubmissionRejectedException(Reason.INFEASIBLE, "unknown team: must be one of this deployment's teams");
         }
-        // A service runs all its tasks together; other jobs can run one after the other.
+        // A service runs all its tasks at the same time; the tasks of other jobs can run one after the other.
         if (!quota.allows(spec.demand().times(spec.isService() ? spec.tasks() : 1))) {
-            throw new SubmissionRejectedException(Reason.INFEASIBLE, "more than the team's limit");
+            throw new SubmissionRejectedException(Reason.INFEASIBLE, "the job needs more resources than the team's limit allows");
         }
     }
 
@@ -74,6 +75,6 @@
                 return;
             }
         }
-        throw new SubmissionRejectedException(Reason.INFEASIBLE, "a task fits no allowed machine type");
+        throw new SubmissionRejectedException(Reason.INFEASIBLE, "no allowed machine type fits a task and is offered in the required zone");
     }
 }
--- a/src/main/java/notchpick/coordination/userapi/UserReplies.java
+++ b/src/main/java/notchpick/coordination/userapi/UserReplies.java
@@ -6,9 +6,9 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpStatus;
 
-/** The replies of the interface for users: HTTP status codes and JSON bodies. */
+/** Builds the replies to users: HTTP status codes and JSON bodies. */
 final class UserReplies {
-    /** The status of a job as users see it. */
+    /** The status of a job as shown to users. */
     enum DisplayedStatus {
         QUEUED("queued"),
         RUNNING("running"),
@@ -21,66 +21,66 @@
             this.text = text;
         }
 
-        /** How the status of a job that has ended is displayed. */
+        /** The displayed status of a job that has ended. */
         static DisplayedStatus ofEnded(JobStatus status) {
             return status == JobStatus.DONE ? DONE : CANCELLED;
         }
     }
 
-    /** The reason for an unavailable reply when the state store did not answer, or may not have executed a request. */
-    static final String NO_STATE_STORE = "the state service does not answer";
+    /** The reason given to users if the state store did not answer, or may not have executed a request. */
+    static final String STATE_STORE_UNAVAILABLE = "the state store is unavailable";
 
     private static final int RETRY_AFTER_S = 1;
 
     private UserReplies() {}
 
-    /** A submission has been accepted. */
+    /** The reply to a submission that has been stored. */
     static Response accepted(String job, DisplayedStatus status) {
         return Response.of(HttpStatus.CREATED, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
-    /** A cancellation request found the job ended, or ended it. */
+    /** The reply to a cancellation, whether the job had ended before or is now cancelled. */
     static Response ended(String job, DisplayedStatus status) {
         return Response.of(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text)));
     }
 
-    /** The status of a job, with the counts of its tasks that are done and running. */
+    /** The reply with a job's status and the numbers of its tasks that are done and running. */
     static Response status(String job, DisplayedStatus status, int done, int running) {
         return Response.of(HttpStatus.OK, Json.bytes(UserProtocol.status(job, status.text, done, running)));
     }
 
-    /** The request is malformed. */
+    /** The reply to a malformed request. */
     static Response badRequest(String message) {
         return error(HttpStatus.BAD_REQUEST, message);
     }
 
-    /** There is no such path. */
+    /** The reply if nothing is served at the path. */
     static Response noSuchPath() {
         return error(HttpStatus.NOT_FOUND, "no such path");
     }
 
-    /** There is no such job. */
+    /** The reply if the job does not exist. */
     static Response noSuchJob() {
         return error(HttpStatus.NOT_FOUND, "no such job");
     }
 
-    /** The path serves another method only. */
+    /** The reply if the path is served, but with another method. */
     static Response methodNotAllowed(String allowedMethod) {
-        return error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowedMethod + " is served here");
+        return error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed: must be " + allowedMethod);
     }
 
-    /** The request is well formed but asks for what is impossible here. */
+    /** The reply to a well-formed request that this deployment can never fulfil. */
     static Response unprocessable(String message) {
         return error(HttpStatus.UNPROCESSABLE, message);
     }
 
-    /** The user should retry. */
+    /** The reply if the request may succeed later; it asks the client to retry. */
     static Response unavailable(String message) {
         return Response.retryAfter(
                 HttpStatus.SERVICE_UNAVAILABLE, Json.bytes(UserProtocol.error(message)), RETRY_AFTER_S);
     }
 
-    /** A submission was rejected for this reason. */
+    /** The reply to a submission that was rejected. */
     static Response rejected(SubmissionRejectedException rejection) {
         return switch (rejection.reason()) {
             case MALFORMED -> badRequest(rejection.getMessage());
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -13,18 +13,18 @@
 import notchpick.transport.HttpCaller.Response;
 
 /**
- * Routes users' requests to the handlers of submissions, statuses and cancellations. All of them run in the turn of this
- * actor.
+ * Routes users' requests to the handlers of submissions, statuses and cancellations. The handlers have no event loop of
+ * their own: they run as part of this actor.
  */
 public final class UserRequestHandler extends Actor<UserRequestHandler.Message> {
-    /** What this actor receives. */
+    /** The messages that this actor receives. */
     public sealed interface Message {}
 
-    /** A user's request, and where its reply goes. */
+    /** A request of a user; {@code reply} is called once. */
     public record UserRequest(Request request, Consumer<Response> reply) implements Message {}
 
-    /** The machine types, by which it is judged whether a job can run. */
-    public record TypesKnown(List<MachineType> types) implements Message {}
+    /** The machine types that the cloud offers have been loaded or refreshed; they decide which jobs can run. */
+    public record MachineTypesUpdated(List<MachineType> types) implements Message {}
 
     private final SubmissionValidator validator;
     private final SubmissionHandler submissions;
@@ -49,15 +49,15 @@
         this.cancellations = new CancellationHandler(loop, stateStore, jobs, outcomes, this::onLoop);
     }
 
-    /** Whether submissions can be judged. */
+    /** Whether submissions can be checked; false until the machine types have been loaded. */
     public boolean isReady() {
         return validator.isReady();
     }
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof TypesKnown known) {
-            validator.setMachineTypes(known.types());
+        if (message instanceof MachineTypesUpdated updated) {
+            validator.setMachineTypes(updated.types());
         } else if (message instanceof UserRequest request) {
             route(request.request(), request.reply());
         }
--- a/src/main/java/notchpick/coordination/userapi/UserRoute.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRoute.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * A path of the interface for users.
+ * The resource and the job that the path of a user's request refers to.
  *
- * @param jobId the job in the path; empty for {@link Resource#SUBMISSIONS}
+ * @param jobId the job id in the path, not checked; empty for {@link Resource#SUBMISSIONS}
  */
 record UserRoute(Resource resource, String jobId) {
-    /** What the interface serves, and by which method. */
+    /** The resources served to users, each with its only HTTP method. */
     enum Resource {
-        /** {@code /submissions}: takes submissions. */
+        /** {@code /submissions}: accepts submissions. */
         SUBMISSIONS("POST"),
         /** {@code /submissions/ID}: the status of a job. */
         JOB("GET"),
@@ -30,13 +30,13 @@
 
     private static final String SUBMISSIONS = "submissions";
     private static final String ABORT = "abort";
-    /** Parts of a path, counting the empty one before its first slash. */
+    /** Numbers of parts into which slashes divide a path, including the empty part before the first slash. */
     private static final int SUBMISSIONS_PARTS = 2;
 
     private static final int JOB_PARTS = 3;
     private static final int CANCELLATION_PARTS = 4;
 
-    /** Parses a path, which may have a query; empty if nothing is served there. */
+    /** Parses a path, ignoring its query; empty if nothing is served there. */
     static Optional<UserRoute> parse(String pathAndQuery) {
         String path = pathAndQuery.split("\\?", 2)[0];
         String[] parts = path.split("/", -1);
--- a/src/main/java/notchpick/coordination/userapi/package-info.java
+++ b/src/main/java/notchpick/coordination/userapi/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The HTTP interface for users, served by every controller alike. What is confirmed to a user is durable in the state
- * store, and every status in a reply has been read from there after the request arrived. It needs no leader.
+ * The HTTP interface for users. Every controller serves it, whether or not there is a leader. Whatever a reply confirms
+ * is durable in the state store, and whether a job is open or has ended is read from the state store after the request
+ * arrived, unless its final outcome is cached. Counts of running tasks are for display only.
  */
 package notchpick.coordination.userapi;
