--- a/src/main/java/notchpick/coordination/userapi/UserReplies.java
+++ b/src/main/java/notchpick/coordination/userapi/UserReplies.java
@@ -66,7 +66,7 @@
 
     /** The reply if the path is served, but with another method. */
     static Response methodNotAllowed(String allowedMethod) {
-        return error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed: must be " + allowedMethod);
+        return error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowedMethod + " is allowed for this path");
     }
 
     /** The reply to a well-formed request that this deployment can never fulfil. */
--- a/src/test/java/notchpick/app/LinkStatusCommandTest.java
+++ b/src/test/java/notchpick/app/LinkStatusCommandTest.java
@@ -14,7 +14,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** The link status printed for operators tells a refused connection, a missing answer and an older version apart. */
+/** The link status for operators, which distinguishes a refused connection, a missing answer and an older version. */
 class LinkStatusCommandTest {
     private static final Deployment DEPLOYMENT = TestDeployments.deployment(
             TestDeployments.TIMING,
