--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -44,7 +44,7 @@
         if (request.path().equals(HEARTBEAT_PATH)) {
             heartbeats.receive(request, reply, receivedAtMs);
         } else if (request.path().equals(READINESS_PATH)) {
-            links.readinessProbeReceived();
+            links.recordReadinessProbe();
             reply.accept(readiness(request));
         } else {
             routeUserRequest(request, reply);
--- a/src/main/java/notchpick/coordination/membership/PeerMembership.java
+++ b/src/main/java/notchpick/coordination/membership/PeerMembership.java
@@ -7,25 +7,25 @@
 import notchpick.transport.Actor;
 import notchpick.transport.EventLoop;
 
-/** Exchanges heartbeats and link tables with the other controllers. {@link PeerRegistry} holds what they say. */
+/** Exchanges heartbeats and link tables with the other controllers. {@link PeerRegistry} stores what they send. */
 public final class PeerMembership extends Actor<PeerMembership.Message> {
     /** The messages of this actor. */
     public sealed interface Message {}
 
-    /** The process has started: heartbeats are exchanged from now on. */
+    /** Starts the exchange of heartbeats and link tables; sent once, when the process starts. */
     public record Begin() implements Message {}
 
-    /** A peer's heartbeat has arrived. */
+    /** Delivers a peer's heartbeat. */
     public record HeartbeatReceived(Pulse heartbeat) implements Message {}
 
-    /** A peer's link table has arrived; the reply gets this controller's own. */
+    /** Delivers a peer's link table; the callback gets this controller's own table. */
     public record LinkTableReceived(LinkTable table, Consumer<LinkTable> reply) implements Message {}
 
-    /** Controllers exchange so many heartbeats in a heartbeat period of the workers. */
+    /** The number of heartbeats that controllers exchange per heartbeat period of the workers. */
     private static final int HEARTBEATS_PER_WORKER_HEARTBEAT = 4;
-    /** Link tables are exchanged once in so many heartbeats. */
+    /** Link tables are exchanged once per this many heartbeats. */
     private static final int HEARTBEATS_PER_LINK_TABLE = 4;
-    /** A request that is a part of the exchange times out after so many heartbeat periods. */
+    /** Heartbeat and link table requests time out after this many heartbeat periods. */
     private static final int TIMEOUT_PERIODS = 2;
 
     private final PeerClient client;
@@ -35,7 +35,7 @@
     private final long periodMs;
     private final long linkTablePeriodMs;
     private final long timeoutMs;
-    private long lastHeartbeatAt;
+    private long lastHeartbeatAtMs;
     private long heartbeatLagMs;
 
     public PeerMembership(
@@ -55,12 +55,12 @@
         this.timeoutMs = TIMEOUT_PERIODS * periodMs;
     }
 
-    /** How often controllers send each other heartbeats, in milliseconds. */
+    /** The interval at which controllers exchange heartbeats, in milliseconds. */
     static long heartbeatPeriodMs(Deployment deployment) {
         return deployment.heartbeatPeriodMs() / HEARTBEATS_PER_WORKER_HEARTBEAT;
     }
 
-    /** How often controllers exchange link tables, in milliseconds. */
+    /** The interval at which controllers exchange link tables, in milliseconds. */
     static long linkTablePeriodMs(Deployment deployment) {
         return HEARTBEATS_PER_LINK_TABLE * heartbeatPeriodMs(deployment);
     }
@@ -71,41 +71,41 @@
             scheduleRepeatedly(periodMs, this::sendHeartbeats);
             scheduleRepeatedly(linkTablePeriodMs, this::exchangeLinkTables);
         } else if (message instanceof HeartbeatReceived received) {
-            heartbeatReceived(received.heartbeat());
+            handleHeartbeat(received.heartbeat());
         } else if (message instanceof LinkTableReceived received) {
-            registry.linkTableReceived(received.table());
+            registry.recordLinkTable(received.table());
             received.reply().accept(localStatus.linkTable());
         }
     }
 
     private void sendHeartbeats() {
-        long now = loop.nowMs();
-        heartbeatLagMs = lastHeartbeatAt == 0 ? 0 : Math.max(0, now - lastHeartbeatAt - periodMs);
-        lastHeartbeatAt = now;
+        long nowMs = loop.nowMs();
+        heartbeatLagMs = lastHeartbeatAtMs == 0 ? 0 : Math.max(0, nowMs - lastHeartbeatAtMs - periodMs);
+        lastHeartbeatAtMs = nowMs;
         client.broadcast(localStatus.heartbeat(), timeoutMs, reply -> {
             if (reply instanceof Pulse heartbeat) {
-                heartbeatReceived(heartbeat);
+                handleHeartbeat(heartbeat);
             }
         });
     }
 
-    private void heartbeatReceived(Pulse heartbeat) {
-        registry.heartbeatReceived(heartbeat);
+    private void handleHeartbeat(Pulse heartbeat) {
+        registry.recordHeartbeat(heartbeat);
         listener.heartbeatReceived(heartbeat);
     }
 
-    /** A controller of a version without link tables refuses the message, and is not used as a relay. */
+    /** Exchanges link tables. A controller of a version without them refuses the message and is not used as a relay. */
     private void exchangeLinkTables() {
         LinkTable own = localStatus.linkTable();
         log.debug("links: {}", own);
         client.broadcast(own, timeoutMs, reply -> {
             if (reply instanceof LinkTable table) {
-                registry.linkTableReceived(table);
+                registry.recordLinkTable(table);
             }
         });
     }
 
-    /** How late this controller's last heartbeat went out, in milliseconds: a sign of an overloaded process. */
+    /** How late the last heartbeat was sent, in milliseconds; a high value indicates an overloaded process. */
     public long heartbeatLagMs() {
         return heartbeatLagMs;
     }
--- a/src/main/java/notchpick/coordination/membership/WorkerRoute.java
+++ b/src/main/java/notchpick/coordination/membership/WorkerRoute.java
@@ -1,92 +1,92 @@
 package notchpick.coordination.membership;
 
 /**
- * What a controller that does not lead knows of the path from one worker to the leader of one term. Times are handed in;
- * 0 stands for never.
+ * Tracks, at a controller that does not lead, the path from one worker to the leader of one term. Callers pass the
+ * current time; a stored time of 0 means never.
  */
 final class WorkerRoute {
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
 
     private final long term;
-    private long lastHeartbeatAt;
+    private long lastHeartbeatAtMs;
     private long lastSequence;
     /** When the worker was last redirected to the leader. */
-    private long redirectedToLeaderAt;
-    /** When a heartbeat of the worker was last relayed and replied to. */
-    private long relayedAt;
-    /** When the worker was last redirected to a relay, or to any other controller. */
-    private long redirectedElsewhereAt;
+    private long redirectedToLeaderAtMs;
+    /** When the leader last replied to a heartbeat of the worker that was relayed here. */
+    private long relayedAtMs;
+    /** When the worker was last redirected in any other way: to a relay, to a leader that can't relay, or to no one. */
+    private long redirectedElsewhereAtMs;
 
     private int failedRedirects;
-    private long noRedirectBefore;
+    private long noRedirectBeforeMs;
 
     WorkerRoute(long term) {
         this.term = term;
     }
 
-    private static boolean isWithin(long time, long durationMs, long now) {
-        return time != 0 && now - time <= durationMs;
+    private static boolean isWithin(long timeMs, long durationMs, long nowMs) {
+        return timeMs != 0 && nowMs - timeMs <= durationMs;
     }
 
     long term() {
         return term;
     }
 
-    /** A heartbeat has come, the number of which rises by one with each that the worker sends. */
-    void heartbeatReceived(long sequence, long now) {
-        lastHeartbeatAt = now;
+    /** Records a heartbeat. Workers increment the sequence number with each heartbeat they send. */
+    void recordHeartbeat(long sequence, long nowMs) {
+        lastHeartbeatAtMs = nowMs;
         lastSequence = sequence;
     }
 
-    /** Whether a heartbeat with this number is the one that follows the last. */
+    /** Whether this sequence number directly follows that of the last heartbeat recorded here. */
     boolean isNextInSequence(long sequence) {
         return sequence == lastSequence + 1;
     }
 
-    boolean hasHeartbeatWithin(long durationMs, long now) {
-        return now - lastHeartbeatAt <= durationMs;
+    boolean hasHeartbeatWithin(long durationMs, long nowMs) {
+        return nowMs - lastHeartbeatAtMs <= durationMs;
     }
 
-    /** The worker is redirected to the leader. */
-    void redirectedToLeader(long now) {
-        redirectedToLeaderAt = now;
+    /** Records that the worker is redirected to the leader. */
+    void recordRedirectToLeader(long nowMs) {
+        redirectedToLeaderAtMs = nowMs;
     }
 
-    boolean isRedirectedToLeaderWithin(long durationMs, long now) {
-        return isWithin(redirectedToLeaderAt, durationMs, now);
+    boolean isRedirectedToLeaderWithin(long durationMs, long nowMs) {
+        return isWithin(redirectedToLeaderAtMs, durationMs, nowMs);
     }
 
-    /** The worker is redirected to another controller. */
-    void redirectedElsewhere(long now) {
-        redirectedElsewhereAt = now;
+    /** Records any other redirect of the worker, including one that names no controller. */
+    void recordRedirectElsewhere(long nowMs) {
+        redirectedElsewhereAtMs = nowMs;
     }
 
-    boolean isRedirectedElsewhereWithin(long durationMs, long now) {
-        return isWithin(redirectedElsewhereAt, durationMs, now);
+    boolean isRedirectedElsewhereWithin(long durationMs, long nowMs) {
+        return isWithin(redirectedElsewhereAtMs, durationMs, nowMs);
     }
 
-    /** The leader has replied to a relayed heartbeat. */
-    void relayed(long now) {
-        relayedAt = now;
+    /** Records that the leader has replied to a relayed heartbeat. */
+    void recordRelayedReply(long nowMs) {
+        relayedAtMs = nowMs;
     }
 
-    boolean isEverRelayed() {
-        return relayedAt != 0;
+    boolean hasEverBeenRelayed() {
+        return relayedAtMs != 0;
     }
 
-    /** Whether the worker's last heartbeat, no older than this, was relayed here and replied to. */
-    boolean isRelayedWithin(long durationMs, long now) {
-        return isWithin(relayedAt, durationMs, now) && relayedAt > redirectedToLeaderAt;
+    /** Whether the leader replied to a relayed heartbeat within this time and after the last redirect to the leader. */
+    boolean isRelayedWithin(long durationMs, long nowMs) {
+        return isWithin(relayedAtMs, durationMs, nowMs) && relayedAtMs > redirectedToLeaderAtMs;
     }
 
-    /** The worker has not got through to the leader: the next redirect there waits twice as long as the last. */
-    void redirectFailed(long initialBackoffMs, long maxBackoffMs, long now) {
+    /** Records that the worker could not reach the leader, and doubles the backoff before the next redirect. */
+    void recordFailedRedirect(long initialBackoffMs, long maxBackoffMs, long nowMs) {
         failedRedirects++;
         long backoffMs = initialBackoffMs << Math.min(failedRedirects, MAX_BACKOFF_DOUBLINGS);
-        noRedirectBefore = now + Math.min(maxBackoffMs, backoffMs);
+        noRedirectBeforeMs = nowMs + Math.min(maxBackoffMs, backoffMs);
     }
 
-    boolean isRedirectBackoffOver(long now) {
-        return now >= noRedirectBefore;
+    boolean isRedirectBackoffOver(long nowMs) {
+        return nowMs >= noRedirectBeforeMs;
     }
 }
--- a/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
+++ b/src/test/java/notchpick/coordination/membership/HeartbeatRoutingPolicyTest.java
@@ -10,10 +10,10 @@
 import notchpick.coordination.Deployment.Peer;
 import notchpick.coordination.TestDeployments;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.Decision;
-import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectNowhere;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectToLeader;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RedirectToPeer;
 import notchpick.coordination.membership.HeartbeatRoutingPolicy.RelayToLeader;
+import notchpick.coordination.membership.HeartbeatRoutingPolicy.TryNextController;
 import notchpick.protocol.WorkerProtocol.Heartbeat;
 import notchpick.protocol.peer.LinkCondition;
 import notchpick.protocol.peer.LinkKind;
@@ -25,7 +25,10 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** A worker goes to the leader while that may work, and is relayed from the right controller where it does not. */
+/**
+ * Tests that workers are redirected to the leader while they may reach it, and otherwise relayed through the selected
+ * controller.
+ */
 class HeartbeatRoutingPolicyTest {
     private static final long TERM = 4;
     private static final long PERIOD_MS = 3000;
@@ -54,22 +57,22 @@
     }
 
     private void leaderCanRelay() {
-        links.peerRequestCompleted(LEADER, Response.empty(200), loop.nowMs());
-        peers.linkTableReceived(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
+        links.recordPeerRequest(LEADER, Response.empty(200), loop.nowMs());
+        peers.recordLinkTable(new LinkTable(LEADER, TERM, LEADER, null, 0L, List.of()));
     }
 
     private void otherReachesLeader(LinkRow... more) {
-        peers.heartbeatReceived(new Pulse(OTHER, TERM, LEADER, true, 0, List.of()));
+        peers.recordHeartbeat(new Pulse(OTHER, TERM, LEADER, true, 0, List.of()));
         List<LinkRow> rows = new ArrayList<>(List.of(more));
         rows.add(up(LinkKind.PEER, LEADER));
-        peers.linkTableReceived(new LinkTable(OTHER, TERM, LEADER, null, 0L, rows));
+        peers.recordLinkTable(new LinkTable(OTHER, TERM, LEADER, null, 0L, rows));
     }
 
     private static LinkRow up(LinkKind kind, String name) {
         return new LinkRow(kind, name, LinkCondition.UP, 0L, 1L, 1.0);
     }
 
-    /** Machines whose names' hash selects the second of two controllers. */
+    /** Machines for which the hash of the name selects the second of two controllers. */
     private static List<String> machinesOfSecond(int count) {
         return IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "m-" + i)
@@ -88,13 +91,13 @@
     }
 
     @Test
-    void redirectsAWorkerThatHasNotBeenAtTheLeader() {
+    void redirectsWorkerWithoutTokenOfThisTermToLeader() {
         leaderCanRelay();
         assertInstanceOf(RedirectToLeader.class, decide("m-1", TERM - 1));
     }
 
     @Test
-    void relaysAWorkerThatIsBackFromTheLeader() {
+    void relaysWorkerThatComesBackFromLeader() {
         leaderCanRelay();
         decide("m-1", TERM - 1);
         advance(PERIOD_MS);
@@ -102,28 +105,28 @@
     }
 
     @Test
-    void relaysAWorkerThatTheLeaderHasRepliedToInThisTerm() {
+    void relaysWorkerWithTokenOfThisTerm() {
         leaderCanRelay();
         assertInstanceOf(RelayToLeader.class, decide("m-1", TERM));
     }
 
     @Test
-    void redirectsOneWorkerOfAZoneToProbeTheLeaderAfterItsBackoff() {
+    void redirectsOneWorkerPerZoneToLeaderAfterBackoff() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.nowMs());
-        relay("m-2").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
+        relay("m-2").route().recordRelayedReply(loop.nowMs());
         advance(PERIOD_MS);
-        relay("m-1").route().relayed(loop.nowMs());
-        relay("m-2").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
+        relay("m-2").route().recordRelayedReply(loop.nowMs());
         advance(PERIOD_MS);
         assertInstanceOf(RedirectToLeader.class, decide("m-1", TERM));
         assertInstanceOf(RelayToLeader.class, decide("m-2", TERM));
     }
 
     @Test
-    void reportsAReplyDeliveredWhenTheNextHeartbeatComesToTheSamePlace() {
+    void recordsWorkerReplyWhenNextHeartbeatComesToSameController() {
         leaderCanRelay();
-        relay("m-1").route().relayed(loop.nowMs());
+        relay("m-1").route().recordRelayedReply(loop.nowMs());
         assertEquals(-1, links.workerLinkAgeMs());
         advance(PERIOD_MS);
         relay("m-1");
@@ -131,18 +134,18 @@
     }
 
     @Test
-    void sendsAWorkerToTheNextControllerWhenNobodyReachesTheLeader() {
-        assertInstanceOf(RedirectNowhere.class, decide("m-1", TERM));
+    void sendsWorkerToNextControllerWhenLeaderIsUnreachable() {
+        assertInstanceOf(TryNextController.class, decide("m-1", TERM));
     }
 
     @Test
-    void triesALiveLeaderAgainThatMayBeOfAVersionWithoutRelays() {
-        peers.heartbeatReceived(new Pulse(LEADER, TERM, LEADER, true, 0, List.of()));
+    void redirectsWorkerToLiveLeaderWithoutLinkTable() {
+        peers.recordHeartbeat(new Pulse(LEADER, TERM, LEADER, true, 0, List.of()));
         assertEquals(new RedirectToPeer(LEADER), decide("m-1", TERM));
     }
 
     @Test
-    void redirectsAWorkerToItsRelayOnceAndRelaysItHereIfItIsBack() {
+    void redirectsWorkerToRelayOnceAndThenRelaysLocally() {
         leaderCanRelay();
         otherReachesLeader(up(LinkKind.WORKERS, "east"));
         String machine = machinesOfSecond(1).get(0);
@@ -151,7 +154,7 @@
     }
 
     @Test
-    void probesAPeerThatNoWorkerHasReachedOnlyWhenBusyAndOnce() {
+    void probesUnreachedPeerOnceAndOnlyWhenBusy() {
         leaderCanRelay();
         otherReachesLeader();
         List<String> machines = machinesOfSecond(2);
--- a/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
+++ b/src/test/java/notchpick/coordination/membership/LinkHealthTest.java
@@ -8,7 +8,7 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** How a link is judged by the traffic that flows over it. */
+/** Tests how the condition, latency and rate of a link follow from its traffic. */
 class LinkHealthTest {
     private static final Response OK = Response.empty(200);
     private static final Response UNAVAILABLE = Response.empty(503);
@@ -24,21 +24,21 @@
     }
 
     @Test
-    void tellsRefusalSilenceAndUnavailabilityApart() {
-        link.requestCompleted(Response.CONNECTION_REFUSED, 0, 10);
+    void distinguishesRefusalSilenceAndUnavailability() {
+        link.recordRequest(Response.CONNECTION_REFUSED, 0, 10);
         assertEquals(Condition.REFUSED, link.condition());
-        link.requestCompleted(Response.UNANSWERED, 0, 20);
+        link.recordRequest(Response.UNANSWERED, 0, 20);
         assertEquals(Condition.SILENT, link.condition());
-        link.requestCompleted(UNAVAILABLE, 0, 30);
+        link.recordRequest(UNAVAILABLE, 0, 30);
         assertEquals(Condition.TURNED_AWAY, link.condition());
-        link.requestCompleted(OK, 0, 40);
+        link.recordRequest(OK, 0, 40);
         assertEquals(Condition.UP, link.condition());
     }
 
     @Test
-    void onlyResponsesAndMessagesAreActivity() {
-        link.messageReceived(100);
-        link.requestCompleted(Response.UNANSWERED, 0, 200);
+    void countsOnlyResponsesAndMessagesAsActivity() {
+        link.recordMessage(100);
+        link.recordRequest(Response.UNANSWERED, 0, 200);
         assertEquals(150, link.ageMs(250));
         assertTrue(link.isActiveWithin(150, 250));
         assertFalse(link.isActiveWithin(149, 250));
@@ -46,16 +46,16 @@
 
     @Test
     void averagesLatency() {
-        link.requestCompleted(OK, 0, 100);
+        link.recordRequest(OK, 0, 100);
         assertEquals(100, link.meanLatencyMs());
-        link.requestCompleted(OK, 100, 300);
+        link.recordRequest(OK, 100, 300);
         assertEquals(120, link.meanLatencyMs());
     }
 
     @Test
-    void countsActivityOverThePeriodThatHasEnded() {
-        link.messageReceived(100);
-        link.messageReceived(200);
+    void measuresRateOverLastCompletedPeriod() {
+        link.recordMessage(100);
+        link.recordMessage(200);
         assertEquals(0, link.ratePerS(900));
         assertEquals(2, link.ratePerS(1000));
         assertEquals(0, link.ratePerS(3000));
