--- a/src/main/java/notchpick/coordination/membership/package-info.java
+++ b/src/main/java/notchpick/coordination/membership/package-info.java
@@ -14,7 +14,7 @@
  * </ul>
  *
  * <p>Link and peer health may be stale or wrong. It is only used to choose a controller and a path. Whether a task, a
- * machine or a term is free is decided by leases and conditional transactions alone; otherwise a wrong observation could
- * let a task run twice or two leaders act at once.
+ * machine or a term is free is decided by leases and conditional transactions alone: if it were decided by health,
+ * a task could run twice, or two leaders could act at once.
  */
 package notchpick.coordination.membership;
