--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -32,8 +32,10 @@
     WRITES_UNANSWERED((run, leader, durationMs) -> leaveWritesUnanswered(run, durationMs, true)),
     HEARTBEATS_DUPLICATED((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, false)),
     HEARTBEATS_DUPLICATED_FOR_NEXT_LEADER((run, leader, durationMs) -> duplicateHeartbeats(run, durationMs, true)),
-    MACHINES_LOSE_INCOMING((run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setInboundLost)),
-    MACHINES_LOSE_HEARTBEATS((run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setOutboundLost)),
+    MACHINES_LOSE_INCOMING(
+            (run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setInboundLost)),
+    MACHINES_LOSE_HEARTBEATS(
+            (run, leader, durationMs) -> run.injectMachineFault(durationMs, SimulatedWorker::setOutboundLost)),
     MACHINES_HANG((run, leader, durationMs) -> run.workers().stream()
             .limit(run.between(1, 6))
             .forEach(worker -> run.cluster().fleet().hang(worker, Math.min(durationMs, 30_000)))),
