--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceAllocator.java
@@ -105,9 +105,9 @@
         List<WaitingJob<Job>> waiting = new ArrayList<>();
         for (Job job : jobs) {
             double runS = context.runtimes().runS(job.spec());
-            double remainingS =
+            double remainingCoreS =
                     job.unfinishedTasks() * runS * job.spec().demand().cores();
-            waiting.add(new WaitingJob<>(job, job.spec(), remainingS, runS));
+            waiting.add(new WaitingJob<>(job, job.spec(), remainingCoreS, runS));
         }
         List<Job> ordered = new ArrayList<>();
         double cores = expectedCores(team, capacity, activeTeams);
