--- a/src/main/java/notchpick/coordination/Deployment.java
+++ b/src/main/java/notchpick/coordination/Deployment.java
@@ -78,7 +78,7 @@
     private static final int JOB_END_WRITES = 2;
     /** One transaction writes at most the state store's write rate per second divided by this. */
     private static final int TRANSACTION_WRITE_RATE_DIVISOR = 5;
-    /** One connection in this many is reserved for this controller's own calls. */
+    /** One in this many connections is reserved for this controller's own calls. */
     private static final int RESERVED_CONNECTIONS_DIVISOR = 8;
     /** The margin, besides clock drift, after which a lease is considered expired at another process. */
     private static final long EXPIRY_MARGIN_MS = 100;
@@ -141,7 +141,7 @@
         return toMs(workerTiming.cancelTimeoutS());
     }
 
-    /** The length of the leader lease. */
+    /** The length of the leader lease: the worker lease times {@link Tuning#leaderLeaseRatio}. */
     public long leaderLeaseMs(Tuning tuning) {
         return (long) (workerTiming.leaseS() * Milliseconds.PER_SECOND * tuning.leaderLeaseRatio());
     }
@@ -170,8 +170,8 @@
      * How old the leader's last complete read of users' cancellations may be when the leader renews a worker's lease. A
      * cancellation that the leader has not read was confirmed after that read was sent. The worker's lease starts when
      * its heartbeat was sent and must expire within the cancellation timeout, with one heartbeat period to spare. If
-     * the settings leave too little time for that, the bound is the length of the leader lease, the least with which a
-     * leader can work.
+     * the settings leave too little time for that, the bound is the length of the leader lease; a leader can't work
+     * with a smaller bound.
      */
     public long stalenessBoundMs(double leaderLeaseS) {
         return Math.max(
@@ -189,9 +189,9 @@
     /**
      * How long a leader may continue to reply to heartbeats after its lease has expired. These replies carry no
      * command; they keep tasks running during an outage of the state store. Another controller may have confirmed a
-     * cancellation just after this one was cut off, while the lease was still held. Even then the leader lease, the
-     * grace period and the worker's lease must together fit into the cancellation timeout, with one heartbeat period to
-     * spare. The worker's lease starts when it sent the last heartbeat that was replied to.
+     * cancellation just after this one was cut off, while this controller still held its lease. Even then the leader
+     * lease, the grace period and the worker's lease must together fit into the cancellation timeout, with one
+     * heartbeat period to spare. The worker's lease starts when it sent the last heartbeat that was replied to.
      */
     public long gracePeriodMs(double leaderLeaseS) {
         double graceS = Math.min(
--- a/src/main/java/notchpick/coordination/JobOutcomes.java
+++ b/src/main/java/notchpick/coordination/JobOutcomes.java
@@ -38,7 +38,7 @@
         this.stateStore = stateStore;
     }
 
-    /** The cached outcome of a job; empty if none is cached, even though the job may have ended. */
+    /** The cached outcome of a job. An empty result does not mean that the job is still open. */
     public Optional<JobRecord> cached(String job) {
         return Optional.ofNullable(cache.get(job));
     }
--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -7,7 +7,10 @@
 
 /** Schedules allocation rounds shortly after a change, and limits the fraction of time that they take. */
 final class AllocationScheduler implements HeartbeatHandler.AllocationRounds {
-    /** The shortest delay of a round, as a fraction of the heartbeat period; one round handles all changes in it. */
+    /**
+     * The shortest delay of a round, as a fraction of the heartbeat period; one round handles all changes made during
+     * it.
+     */
     private static final double DELAY_RATIO = 0.01;
     /** A round is delayed by this many times the duration of the last one, so that rounds leave time for other work. */
     private static final int DELAY_PER_ROUND_TIME = 10;
@@ -21,7 +24,7 @@
     private long startedRounds;
     private long lastRoundMs;
 
-    /** @param roundEnded is run after each round, also after one that was skipped as the lease is not held */
+    /** @param roundEnded is run after each round, even if the round was skipped because the leader lease is not held */
     AllocationScheduler(
             TermContext context, LeaderAuthority authority, ResourceAllocator allocator, Runnable roundEnded) {
         this.context = context;
--- a/src/main/java/notchpick/coordination/leader/Leader.java
+++ b/src/main/java/notchpick/coordination/leader/Leader.java
@@ -48,7 +48,9 @@
     /** The term has ended. The leader refuses all pending heartbeats and stops. */
     public record TermEnded() implements Message {}
 
-    /** The current machine types. Recovery starts with the first, as it needs the resources of machines. */
+    /**
+     * The current machine types. Recovery starts at the first such message, because it needs the sizes of the machines.
+     */
     public record MachineTypesUpdated(List<MachineType> types) implements Message {}
 
     /**
@@ -69,8 +71,8 @@
     /** How often the periodic work runs in a heartbeat period. */
     private static final int TICKS_PER_HEARTBEAT = 3;
     /**
-     * Cancellations are read as often as the leader lease is renewed. Older reads would end the renewal of worker
-     * leases before the grace period is over.
+     * Cancellations are read as often as the leader lease is renewed. If they were read less often, the last read could
+     * become too old, and the leader would stop renewing worker leases before the grace period is over.
      */
     private static final int CANCELLATION_READS_PER_LEASE = 5;
     /** The leader's fraction of the write rate; the rest is left to users' submissions and cancellations. */
--- a/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
+++ b/src/main/java/notchpick/coordination/leader/ProcessPauseDetector.java
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects pauses of this process. After a pause, messages that arrived during it are still unread, so the absence of
- * messages from before its end is no evidence that their senders are gone.
+ * Detects pauses of this process. Messages that arrived during a pause are still unread when it ends, so messages
+ * missing from before its end do not show that their senders are gone.
  */
 final class ProcessPauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessPauseDetector.class);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The end of the last pause, or the start of the term; missing messages from before it are no evidence. */
+    /** The end of the last pause, or the start of the term. Messages missing from before it do not show a fault. */
     long runningSinceMs() {
         return runningSinceMs;
     }
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -21,7 +21,10 @@
     private static final double MAX_CANCELLATION_READ_AGE_RATIO = 0.25;
     /** A leader steps down if workers bypass it for longer than this fraction of the worker lease. */
     private static final double MAX_BYPASSED_LEASE_RATIO = 0.3;
-    /** A leader that has needed relays for longer than this many worker leases steps down, for one that needs none. */
+    /**
+     * A leader that has needed relays for longer than this many worker leases steps down in favor of one that needs
+     * none.
+     */
     private static final int MAX_RELAYED_LEASES = 2;
 
     private final TermContext context;
@@ -94,7 +97,7 @@
     /**
      * The reason to step down; empty if there is none.
      *
-     * @param runningSinceMs the end of the last pause of this process; nothing missing from before it counts
+     * @param runningSinceMs the end of the last pause of this process; messages missing from before it are ignored
      */
     Optional<String> reason(long runningSinceMs) {
         long nowMs = context.nowMs();
@@ -115,8 +118,8 @@
     }
 
     /**
-     * Whether workers have bypassed the leader for some time. A short time is not enough: it may come from one worker
-     * that has just started and is looking for the leader.
+     * Whether workers have bypassed the leader for some time. A short time does not count, because a single worker that
+     * has just started may be looking for the leader.
      */
     private boolean isBypassed(long nowMs, long runningSinceMs) {
         boolean hasRecentHeartbeat = nowMs - Math.max(lastHeartbeatAtMs, runningSinceMs) < maxBypassedMs;
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -33,7 +33,7 @@
 
     /** Lower bound of the fetch rate, which keeps the fetch time finite if the rate of the machine type is unknown. */
     private static final double MIN_FETCH_GB_PER_S = 0.01;
-    /** For how long other jobs may go before a job whose image is missing, as a multiple of the image's fetch time. */
+    /** How long a job whose image is missing may be deferred for others, as a multiple of the image's fetch time. */
     private static final double MAX_DEFERRAL_FETCHES = 2;
 
     private final TermContext context;
--- a/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/GrantEncoder.java
@@ -27,7 +27,7 @@
         this.leaseMs = leaseMs;
     }
 
-    /** Encodes the lease. Of each machine's images, it lists only those that the leased tasks need. */
+    /** Encodes the lease. For each machine, the grant lists only the images that the leased tasks need. */
     Grant encode(ResourceLease lease) {
         return new Grant(
                 context.term(), lease.number(), lease.team(), leaseMs, encodeMachines(lease), encodeTasks(lease));
--- a/src/main/java/notchpick/coordination/leader/allocation/MachineSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/MachineSelector.java
@@ -30,7 +30,8 @@
             BackfillReservations reservations,
             long nowMs) {
         JobSpec spec = job.spec();
-        // Limited in time: if there are few machines, the job may have failed on the only one that fits.
+        // The avoidance is limited in time: if there are few machines, the job may have failed on the only one that
+        // fits.
         long avoidanceMs = heartbeatPeriodMs * FAILURE_AVOIDANCE_PERIODS;
         Map<String, Integer> zones = spec.hasZoneConstraint() ? tasksByZone(job, allocation.lease()) : Map.of();
         Predicate<Machine> isEligible = machine -> spec.allowsZoneAmongTasks(machine.zone(), zones)
@@ -53,7 +54,8 @@
     private Map<String, Integer> tasksByZone(Job job, ResourceLease lease) {
         Map<String, Integer> zones = cluster.tasksByZone(job.id());
         if (lease.covers(job)) {
-            // The lease holder decides after the round which leased machine each task goes to, so all of them count.
+            // The lease holder decides after the round which leased machine each task goes to, so each leased machine
+            // counts as one task.
             lease.machines().forEach(machine -> zones.merge(machine.zone(), 1, Integer::sum));
         }
         return zones;
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLease.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLease.java
@@ -26,7 +26,8 @@
     }
 
     /**
-     * The number of the lease, which increases across terms. Tasks placed under the lease have it as attempt number.
+     * The number of the lease, which increases across terms. Tasks placed under the lease use it as their attempt
+     * number.
      */
     long number() {
         return number;
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -115,7 +115,7 @@
         lease.returnAll();
     }
 
-    /** Applies the placements of a holder, as far as its lease is still held and covers them. */
+    /** Applies the placements that the lease covers; refuses all of them if their sender does not hold the lease. */
     void applyPlacements(Placements placements) {
         ResourceLease lease = leases.get(placements.getLease());
         if (lease == null
@@ -134,8 +134,8 @@
         if (refused > 0) {
             LOG.info("placements refused: lease={} count={} accepted={}", lease.number(), refused, accepted);
         }
-        // While another controller held the lease, the team took no part in rounds; and the resources of tasks that
-        // were not placed are free again.
+        // The team took no part in rounds while another controller held the lease, and the resources of tasks that were
+        // not placed are free again.
         if (!lease.holder().equals(deployment.node()) || accepted < lease.taskCount()) {
             listener.resourcesReturned();
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/CommandPlanner.java
@@ -56,7 +56,8 @@
         TaskAssignment assignment = machine.assignment(status.name());
         if (assignment == null
                 || assignment.attempt() != status.attempt()
-                // The job was cancelled while there was no leader: its launch record exists, but it is no longer open.
+                // The job was cancelled while there was no leader: the launch record exists, but the job is no longer
+                // open.
                 || !cluster.isOpen(status.job())) {
             commands.add(new StopTask(status.name(), status.attempt(), 0));
         } else if (assignment.isStopRequested() && !(assignment.isCheckpointing() && assignment.stopGraceS() > 0)) {
@@ -87,7 +88,7 @@
         return stops;
     }
 
-    /** Whether the worker may forget an exited task; a completed one only once the state store has its completion. */
+    /** Whether the worker may forget an exited task; a completed task only once its completion is durable. */
     boolean canForget(TaskStatus status) {
         Job job = cluster.job(status.job());
         return status.exit() != ExitReason.DONE || job == null || job.canForgetCompletion(status.task());
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatHandler.java
@@ -27,7 +27,7 @@
  * the durable writes that the heartbeat caused are complete, so that it can carry the resulting commands.
  */
 public final class HeartbeatHandler {
-    /** The allocation rounds, as the handler uses them. */
+    /** Requests allocation rounds and counts them. */
     public interface AllocationRounds {
         /** Requests a round soon, because resources may have become free or tasks may have become schedulable. */
         void request();
@@ -49,7 +49,7 @@
     private final Map<Machine, PendingHeartbeat> pending = new LinkedHashMap<>();
     private Response emptyReply;
 
-    /** A heartbeat without a reply yet, and how many allocation rounds had started when it arrived. */
+    /** A heartbeat that has no reply yet, and how many allocation rounds had started when it arrived. */
     private static final class PendingHeartbeat {
         private final Consumer<Response> reply;
         private final List<TaskStatus> tasks;
@@ -101,7 +101,7 @@
     private void accept(Heartbeat heartbeat, Consumer<Response> reply) {
         long nowMs = context.nowMs();
         Machine machine = context.cluster().machineOrAdd(heartbeat.machine(), name -> newMachine(heartbeat, nowMs));
-        // A worker sends its next heartbeat only after it stopped waiting for the reply to the previous one.
+        // A worker sends its next heartbeat only after it has stopped waiting for the reply to the previous one.
         refuse(machine);
         if (machine.state() == Machine.State.PROVISIONING) {
             machine.markReady(nowMs);
--- a/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/HeartbeatReconciler.java
@@ -36,7 +36,8 @@
     }
 
     /**
-     * Applies the heartbeat; true if an allocation round may now do more: something ended, is new or is schedulable.
+     * Applies the heartbeat. Returns whether an allocation round may now place more tasks, because tasks have ended or
+     * the machine may have become schedulable.
      */
     boolean reconcile(Machine machine, Heartbeat heartbeat, long nowMs) {
         boolean changed = !machine.hasReported();
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Removes what ran under a former incarnation. A new incarnation starts when the worker's lease expires, at which
-     * point the worker has killed all its tasks.
+     * Removes the assignments of a former incarnation. A new incarnation starts when the worker's lease expires; by
+     * then, the worker has killed all its tasks.
      */
     private boolean endFormerIncarnation(Machine machine, Heartbeat heartbeat) {
         if (!machine.hasReported() || heartbeat.incarnation() <= machine.incarnation()) {
@@ -167,8 +168,9 @@
         }
         boolean dropped = false;
         for (TaskAssignment assignment : machine.copyOfAssignments()) {
-            // The worker executed the launch command before it made this heartbeat, or never will. That holds for a
-            // former leader's command too: the worker has seen this term and drops commands of earlier ones.
+            // The worker either executed the launch command before it made this heartbeat or will never execute it.
+            // This also holds for a former leader's command: the worker has seen this term and drops commands of
+            // earlier terms.
             if (!present.contains(assignment) && assignment.canBeOnWorker()) {
                 cluster.unassign(assignment);
                 dropped = true;
--- a/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
@@ -11,7 +11,7 @@
 /** Quarantines machines on which tasks of several jobs fail, and drains those where the failures persist. */
 public final class MachineHealthMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-    /** The number of jobs with failed tasks on a machine from which it is suspected to be faulty. */
+    /** A machine is suspected to be faulty once tasks of this many jobs have failed on it. */
     private static final int FAILED_JOBS_TO_SUSPECT = 2;
     /** How long a failure counts against its machine, in heartbeat periods. */
     private static final int FAILURE_RETENTION_PERIODS = 20;
@@ -56,8 +56,8 @@
 
     /**
      * Drains a suspected machine, or ends its quarantine. Draining waits for one heartbeat period after the machine was
-     * suspected: several faulty jobs may have failed first on a healthy machine, and by then they have failed on others
-     * too and no longer count.
+     * suspected: several faulty jobs may have failed first on a healthy machine, and by then these jobs have failed on
+     * other machines too and no longer count.
      */
     public void reviewSuspicion(Machine machine, long nowMs) {
         if (!machine.health().isSuspected()) {
--- a/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/DependencyTracker.java
@@ -39,9 +39,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
     private static final long RETRY_MS = 200;
     /**
-     * The number of writes that a transaction may hold, divided by this, limits how many dependents it cancels. Each
-     * takes two writes, so half of the transaction is left for more urgent changes: users already see these jobs as
-     * cancelled.
+     * A transaction cancels at most as many dependents as its maximum number of writes divided by this. Each
+     * cancellation takes two writes, so half of the transaction is left for more urgent changes. Cancelling dependents
+     * is less urgent because users already see these jobs as cancelled.
      */
     private static final int CASCADE_DIVISOR = 4;
 
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Prepares the cancellation of a limited number of dependents. Other writes may go first, as it already follows
-     * from the stored data that these jobs are cancelled.
+     * Prepares the cancellation of a limited number of dependents. Other writes may go first, because the stored data
+     * already implies that these jobs are cancelled.
      */
     private Optional<PreparedChange> prepareCancellations() {
         List<String> cancelled = new ArrayList<>();
--- a/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobTracker.java
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Closes jobs that were cancelled because a dependency was. Their outcome need not be read: as they never ran, it
-     * can only be the cancellation.
+     * Closes jobs that were cancelled because a dependency was. Their outcomes need not be read: these jobs never ran,
+     * so they can only have been cancelled.
      */
     private void closeCancelledDependents(Collection<String> ids) {
         for (String id : ids) {
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -22,7 +22,7 @@
         /** Another watch request is about to be sent. */
         void watchStarting();
 
-        /** The job is open. This may be called again for the same job, which must have no effect. */
+        /** The job is open. This may be called again for the same job; repeated calls must have no effect. */
         void jobOpened(String key, JsonNode description, long version);
 
         /** The job is no longer open. */
@@ -103,7 +103,7 @@
         }));
     }
 
-    /** Passes replies on by the timer of the term, which drops them once the term has ended. */
+    /** Delivers replies through the term's timer, which drops them once the term has ended. */
     private <T> Consumer<T> onTermTimer(Consumer<T> then) {
         return value -> context.timer().schedule(0, () -> then.accept(value));
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/Autoscaler.java
@@ -35,7 +35,7 @@
     private final CloudInventory inventory;
 
     /**
-     * @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; nothing runs there
+     * @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; it runs no tasks
      * @param requestReview is run when the cloud has rented out fewer machines than requested, to review again at once
      */
     public Autoscaler(
--- a/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/DemandEstimator.java
@@ -111,7 +111,7 @@
         return slackS >= 0 && queueS > slackS + bootS;
     }
 
-    /** Whether no spot machine that can run the job is rented or offered, so that it would wait for one forever. */
+    /** Whether no spot machine that can run the job is rented or offered, in which case the job would wait forever. */
     private boolean hasNoSpotMachine(JobSpec spec) {
         return !isSpotMachineRented(spec) && !isSpotMachineOffered(spec);
     }
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineReleaser.java
@@ -34,7 +34,7 @@
     private final Consumer<Machine> onMachineRemoved;
     private boolean requestOpen;
 
-    /** @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; nothing runs there */
+    /** @param onMachineRemoved is notified of each machine whose release the cloud has confirmed; it runs no tasks */
     MachineReleaser(TermContext context, CloudClient cloud, FencedWriter writer, Consumer<Machine> onMachineRemoved) {
         this.context = context;
         this.cluster = context.cluster();
--- a/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/MachineRenter.java
@@ -20,7 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
     private static final int MAX_ATTEMPTS = 3;
     private static final long RETRY_MS = 1000;
-    /** After the cloud has refused machines of a pool, none are requested there for this fraction of its boot time. */
+    /** After the cloud has refused machines of a pool, none are requested in it for this fraction of its boot time. */
     private static final double REFUSAL_BOOT_RATIO = 0.7;
 
     private final TermContext context;
@@ -70,7 +70,8 @@
                     } else if (result instanceof NoCapacity) {
                         handleRented(pool, count, batch, List.of());
                     } else if (attemptsLeft > 1) {
-                        // Idempotent by its name: a retry returns the machines that the first attempt rented.
+                        // The request name makes this idempotent: a retry returns the machines that the first attempt
+                        // rented.
                         context.timer().schedule(RETRY_MS, () -> rent(request, pool, count, attemptsLeft - 1));
                     } else {
                         poolsBeingRequested.remove(pool);
--- a/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -39,7 +39,7 @@
         this.heartbeatPeriodMs = context.heartbeatPeriodMs();
     }
 
-    /** Whether the pool is late; other pools need not be. */
+    /** Whether the pool is late. Other pools may be on time. */
     boolean isLate(NodePool pool) {
         return lateAgeMs.containsKey(pool);
     }
@@ -98,9 +98,9 @@
     }
 
     /**
-     * Whether the machine itself is at fault rather than its pool late. This is assumed if the pool has a machine in
-     * service that was rented more than a boot time later, or if at least as many machines that were rented with it or
-     * later are in service as are overdue.
+     * Whether the machine itself is at fault rather than its pool late. This is assumed in two cases: a machine of the
+     * pool that was rented more than a boot time later is in service, or the machines in service that were rented with
+     * it or later are at least as many as the overdue ones.
      */
     private boolean isFaulty(Machine machine, List<Machine> overdue) {
         int booted = 0;
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -8,7 +8,7 @@
 /** Decides which machines are released: idle ones that nothing needs, drained ones, and silent ones. */
 final class RetirementPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(RetirementPolicy.class);
-    /** A machine that is silent while its zone is not counts as lost after this fraction of the worker lease. */
+    /** A silent machine in a zone that is not silent counts as lost after this fraction of the worker lease. */
     private static final double LOST_LEASE_RATIO = 0.5;
     /** An idle on-demand machine is kept for this many heartbeat periods. */
     private static final int ON_DEMAND_IDLE_PERIODS = 2;
--- a/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ZoneOutageDetector.java
@@ -55,7 +55,7 @@
         isControllerCutOff = all.areMostSilent();
     }
 
-    /** Whether the machines of the zone are unreachable together, as the zone or this controller is cut off. */
+    /** Whether the machines of the zone are unreachable together, because the zone or this controller is cut off. */
     boolean hasOutage(String zone) {
         return isControllerCutOff || silentZones.contains(zone);
     }
--- a/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
@@ -7,8 +7,8 @@
  * Decides what the leader may currently send to workers; no other class decides this. The decision depends on the age
  * of the leader lease and on the age of the last complete read of users' cancellations. The two ages differ because
  * lease renewals and reads may take different paths. A cancellation that this leader has not read was confirmed after
- * that read was sent. Renewing a worker's lease past the time allowed for such a cancellation would break the
- * cancellation timeout; the same holds for a cancellation that the leader can't act on.
+ * that read was sent. Renewing a worker's lease past the time allowed for such a cancellation, or for one that the
+ * leader can't act on, would break the cancellation timeout.
  */
 public final class LeaderAuthority {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -69,7 +69,10 @@
         return clock.getAsLong() < leaseUntilMs;
     }
 
-    /** How long the lease has been held without a gap, in milliseconds; negative if it has expired. */
+    /**
+     * How long the lease has been held without a gap, in milliseconds; negative if it has expired. A lease that has not
+     * been regained in this term counts as held for a very long time.
+     */
     public long leaseHeldMs() {
         return hasLease() ? clock.getAsLong() - leaseRegainedAtMs : -1;
     }
