--- a/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
+++ b/src/main/java/notchpick/coordination/leader/AllocationScheduler.java
@@ -8,8 +8,7 @@
 /** Schedules allocation rounds shortly after a change, and limits the fraction of time that they take. */
 final class AllocationScheduler implements HeartbeatHandler.AllocationRounds {
     /**
-     * The shortest delay of a round, as a fraction of the heartbeat period; one round handles all changes made during
-     * it.
+     * The shortest delay of a round, as a fraction of the heartbeat period. Changes during the delay share one round.
      */
     private static final double DELAY_RATIO = 0.01;
     /** A round is delayed by this many times the duration of the last one, so that rounds leave time for other work. */
--- a/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
+++ b/src/main/java/notchpick/coordination/leader/LeaderEnvironment.java
@@ -10,7 +10,7 @@
 import notchpick.protocol.StateStoreClient;
 import notchpick.transport.EventLoop;
 
-/** The objects of the controller that its leader uses; they outlive each term. */
+/** The objects of the controller that the leader of a term uses. They outlive the term. */
 public record LeaderEnvironment(
         EventLoop loop,
         Deployment deployment,
--- a/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/StepDownPolicy.java
@@ -12,7 +12,7 @@
 /**
  * Decides when the leader steps down because it is badly connected, so that another controller may lead. Only this
  * decision may rely on estimates of the health of links and peers. Releasing a task, a machine or a term must rely on
- * facts.
+ * facts, not on estimates.
  */
 final class StepDownPolicy {
     /**
@@ -87,7 +87,7 @@
 
     /** The reason to step down before the former leader's state has been read; empty if there is none. */
     Optional<String> reasonBeforeRecovery() {
-        // If the lease can't be held either, the state store has an outage and no other controller could read the
+        // If the lease can't be renewed either, the state store has an outage and no other controller could read the
         // state.
         return !authority.hasRecovered() && authority.leaseHeldMs() > context.heartbeatPeriodMs()
                 ? Optional.of("the former leader's state can't be read")
--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -186,7 +186,7 @@
 
     /**
      * Whether jobs of the same priority whose image is already on a machine may go before this one. If there is no such
-     * job, this one gets the resources at once: they are never kept free.
+     * job, this one gets the resources at once, so resources are never kept free.
      */
     private boolean canDefer(Job job, Machine machine) {
         double rate = Math.max(context.machineTypes().fetchGbPerS(machine.type()), MIN_FETCH_GB_PER_S);
--- a/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/LeaseHolderSelector.java
@@ -42,7 +42,7 @@
         return controllers.get(Math.floorMod(teams.indexOf(team), controllers.size()));
     }
 
-    /** Excludes a controller that has let a lease expire, for a while. The leader itself is never excluded. */
+    /** Temporarily excludes a controller that has let a lease expire. The leader itself is never excluded. */
     void excludeTemporarily(String holder) {
         excludedUntilMs.put(holder, context.nowMs() + EXCLUSION_PERIODS * context.heartbeatPeriodMs());
     }
--- a/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/PreemptionPlanner.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Whether {@link #preemptFor} should be called. It is not called in every round, as it examines every running task
-     * and only jobs that have waited for a heartbeat period may preempt.
+     * Whether {@link #preemptFor} should be called. It is not called in every round because it examines every running
+     * task, and because only jobs that have waited for a heartbeat period may preempt.
      */
     boolean isDue(long nowMs) {
         return nowMs - lastPlannedAtMs >= context.heartbeatPeriodMs() * MIN_INTERVAL_PERIODS;
--- a/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/ResourceLeases.java
@@ -134,8 +134,8 @@
         if (refused > 0) {
             LOG.info("placements refused: lease={} count={} accepted={}", lease.number(), refused, accepted);
         }
-        // The team took no part in rounds while another controller held the lease, and the resources of tasks that were
-        // not placed are free again.
+        // If another controller held the lease, the team took no part in rounds meanwhile. If some tasks were not
+        // placed, their resources are free again.
         if (!lease.holder().equals(deployment.node()) || accepted < lease.taskCount()) {
             listener.resourcesReturned();
         }
--- a/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/heartbeat/MachineHealthMonitor.java
@@ -56,7 +56,7 @@
 
     /**
      * Drains a suspected machine, or ends its quarantine. Draining waits for one heartbeat period after the machine was
-     * suspected: several faulty jobs may have failed first on a healthy machine, and by then these jobs have failed on
+     * suspected: several faulty jobs may have failed first on a healthy machine, and by then those jobs have failed on
      * other machines too and no longer count.
      */
     public void reviewSuspicion(Machine machine, long nowMs) {
--- a/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
+++ b/src/main/java/notchpick/coordination/leader/jobs/JobWatch.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Lists all open jobs, as the state store no longer holds the changes since the last revision. */
+    /** Lists all open jobs, because the state store no longer holds the changes since the last revision. */
     private void relist() {
         long sentAtMs = context.nowMs();
         stateStore.listAll(StateKeys.OPEN_JOBS, onTermTimer(result -> {
--- a/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/ProvisioningMonitor.java
@@ -98,9 +98,9 @@
     }
 
     /**
-     * Whether the machine itself is at fault rather than its pool late. This is assumed in two cases: a machine of the
-     * pool that was rented more than a boot time later is in service, or the machines in service that were rented with
-     * it or later are at least as many as the overdue ones.
+     * Whether the machine itself is faulty, rather than its pool being late. This is assumed in two cases: a machine of
+     * the pool that was rented more than a boot time later is in service, or the machines in service that were rented
+     * with it or later are at least as many as the overdue ones.
      */
     private boolean isFaulty(Machine machine, List<Machine> overdue) {
         int booted = 0;
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -28,7 +28,7 @@
      *
      * @param isUnneeded whether the demand can be met without it
      * @param silentMs how long it has been silent
-     * @param isZoneSilent whether most machines of its zone are silent as well
+     * @param isZoneSilent whether most machines of its zone, or of all zones, are silent as well
      */
     boolean isDueForRelease(Machine machine, boolean isUnneeded, long silentMs, boolean isZoneSilent, long nowMs) {
         return switch (machine.state()) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * How long a machine that is silent together with its zone is kept: until that has cost as much as replacing it.
-     * Its tasks may go on running for the worker lease, and a replacement would first have to boot.
+     * How long a machine that is silent together with its zone is kept: until keeping it has cost as much as replacing
+     * it. Its tasks may go on running for the worker lease, and a replacement would first have to boot.
      */
     private double maxSilentMs(Machine machine) {
         return workerLeaseMs + provisioning.expectedBootMs(machine.type());
--- a/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
+++ b/src/main/java/notchpick/coordination/leader/term/LeaderAuthority.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * How long the lease has been held without a gap, in milliseconds; negative if it has expired. A lease that has not
-     * been regained in this term counts as held for a very long time.
+     * How long the lease has been held without a gap, in milliseconds; negative if it has expired. A lease that has
+     * never expired in this term counts as held for a very long time.
      */
     public long leaseHeldMs() {
         return hasLease() ? clock.getAsLong() - leaseRegainedAtMs : -1;
