--- a/src/main/java/notchpick/coordination/membership/ElectionPriority.java
+++ b/src/main/java/notchpick/coordination/membership/ElectionPriority.java
@@ -7,7 +7,7 @@
  * delay is bounded, so a badly connected controller still becomes leader if no other one campaigns.
  */
 public final class ElectionPriority implements ElectionDelay {
-    /** A controller that workers do not reach, while they reach a peer, waits for the leader lease divided by this. */
+    /** If workers reach a peer but not this controller, its wait is the leader lease divided by this number. */
     private static final int UNREACHED_BY_WORKERS_LEASE_PART = 8;
     /** Workers reach a controller if one of them received a reply from it within this many heartbeat periods. */
     private static final int WORKER_LINK_PERIODS = 2;
--- a/src/main/java/notchpick/coordination/membership/PeerClient.java
+++ b/src/main/java/notchpick/coordination/membership/PeerClient.java
@@ -15,7 +15,7 @@
 
 /** Sends requests to the other controllers and records in the link monitor how each one completes. */
 public final class PeerClient extends Actor<Void> {
-    /** The Retry-After value for users whose relayed request found the service unavailable, in seconds. */
+    /** The Retry-After value, in seconds, for a user whose relayed request got the status 503 from the peer. */
     private static final int RETRY_AFTER_S = 1;
 
     private final Deployment deployment;
--- a/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
+++ b/src/main/java/notchpick/coordination/membership/ProbeLimiter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Limits probes to one per target and interval, as a worker that probes a broken path loses a heartbeat. */
+/** Limits probes to one per target and interval, because a probe of a broken path costs the worker a heartbeat. */
 final class ProbeLimiter {
     private final long intervalMs;
     private final Map<String, Long> lastProbeAtMs = new HashMap<>();
--- a/src/main/java/notchpick/coordination/membership/WorkerRoute.java
+++ b/src/main/java/notchpick/coordination/membership/WorkerRoute.java
@@ -14,7 +14,7 @@
     private long redirectedToLeaderAtMs;
     /** When the leader last replied to a heartbeat of the worker that was relayed here. */
     private long relayedAtMs;
-    /** When the worker was last redirected in any other way: to a relay, to a leader that can't relay, or to no one. */
+    /** When the worker was last redirected otherwise: to a relay, to a leader that can't relay, or to no controller. */
     private long redirectedElsewhereAtMs;
 
     private int failedRedirects;
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -88,7 +88,7 @@
         return machines.get(name);
     }
 
-    /** The machine with this name, which is created by the factory and added if it is not known. */
+    /** The machine with this name. If there is none, the factory creates one, which is added. */
     public Machine machineOrAdd(String name, Function<String, Machine> factory) {
         return machines.computeIfAbsent(name, factory);
     }
--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Applies the outcome of a job; returns the dependents whose last unsatisfied dependency it was. */
+    /** Applies the outcome of a job. Returns the dependents that now have all their dependencies satisfied. */
     public Collection<String> applyOutcome(String job, JobRecord outcome) {
         unresolved.remove(job);
         Set<String> ready = new LinkedHashSet<>();
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -179,7 +179,7 @@
         lastHeartbeatAtMs = nowMs;
     }
 
-    /** When the last heartbeat came whose reply may renew the worker's lease, in milliseconds of the steady clock. */
+    /** When a heartbeat whose reply may renew the worker's lease last arrived, in milliseconds of the steady clock. */
     public long lastHeartbeatAtMs() {
         return lastHeartbeatAtMs;
     }
--- a/src/main/java/notchpick/model/TaskAssignment.java
+++ b/src/main/java/notchpick/model/TaskAssignment.java
@@ -163,7 +163,7 @@
         return jobOpenUntilMs;
     }
 
-    /** Whether the task can be stopped now without losing its work, and with its start still counting. */
+    /** Whether the task can be stopped without losing its work, and has run long enough for its start to count. */
     public boolean isPreemptible(long nowMs) {
         return spec.checkpointIntervalS() > 0
                 && running
--- a/src/main/java/notchpick/scheduling/Consolidation.java
+++ b/src/main/java/notchpick/scheduling/Consolidation.java
@@ -40,9 +40,9 @@
 
     /** If more than this fraction of the cores is in use, only one machine is drained at a time. */
     private static final double DENSE_USE_RATIO = 0.7;
-    /** At {@link #DENSE_USE_RATIO} some machines could be spared; this fraction of them is drained at a time. */
+    /** The machines drained at a time, as a fraction of the capacity by which use is below {@link #DENSE_USE_RATIO}. */
     private static final double CONCURRENT_DRAIN_RATIO = 0.2;
-    /** How many candidates are tried per machine to drain: if these can't be drained, fuller ones hardly can either. */
+    /** The candidates tried per machine to drain; if the emptiest ones fail, fuller ones are unlikely to succeed. */
     private static final int TRIES_PER_MACHINE = 32;
 
     /**
--- a/src/main/java/notchpick/scheduling/CriticalPath.java
+++ b/src/main/java/notchpick/scheduling/CriticalPath.java
@@ -45,7 +45,7 @@
     /**
      * Adds an open job.
      *
-     * @param spec with the priority and deadline that its user set
+     * @param spec the specification with the priority and deadline that the user set
      * @param stageS the expected time from when it is ready until it ends, in seconds
      * @return the ids of the jobs whose effective priority or deadline changes, including this one if it inherits any
      */
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -80,11 +80,11 @@
         nodesLike(entry.node()).add(entry);
     }
 
-    /** Runs a change of a node's free resources or images, then updates the index; a removed node stays removed. */
+    /** Changes a node's free resources or images and updates the index. A node removed from the index stays removed. */
     public void update(N node, Runnable change) {
         Entry<N> entry = entries.get(node);
         if (entry == null) {
-            // The node was chosen, then reserved for another job before the lease was granted.
+            // After the node was chosen, it was reserved for another job before the lease was granted.
             change.run();
             return;
         }
--- a/src/main/java/notchpick/scheduling/PoolSelector.java
+++ b/src/main/java/notchpick/scheduling/PoolSelector.java
@@ -42,7 +42,7 @@
         return spot.isPresent() || !demand.mayUseOnDemand() ? spot : cheapest(demand, tasks, false);
     }
 
-    /** Of equally cheap pools the one with the fewest machines, so that no reclaim wave or outage takes them all. */
+    /** Of equally cheap pools, takes the smallest, so that a reclaim wave or outage does not hit all machines. */
     private Optional<Offer> cheapest(JobDemand demand, int tasks, boolean spot) {
         Offer best = null;
         double bestPrice = 0;
--- a/src/main/java/notchpick/scheduling/Preemption.java
+++ b/src/main/java/notchpick/scheduling/Preemption.java
@@ -9,7 +9,7 @@
 
 /**
  * Chooses the running tasks to preempt for pending work that must not wait until they end. Work within its team's
- * guarantee preempts tasks that other teams run beyond theirs; urgent work preempts tasks of lower priority.
+ * guarantee preempts tasks of other teams beyond their guarantees; urgent work preempts tasks of lower priority.
  */
 public final class Preemption {
     private Preemption() {}
--- a/src/main/java/notchpick/scheduling/ServiceObjectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * How many seconds the job may wait and still meet the nearest objective that can be met; negative if none can be
-     * met any more.
+     * How many seconds the job may wait without missing any objective that it can still meet. If it can meet none, the
+     * result is negative: the smallest of the delays by which it misses them.
      *
      * @param ageS the time since the job became ready, in seconds
      * @param runS the expected run time of one of its tasks, in seconds
--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -26,7 +26,7 @@
 public final class JettyHttpServer implements AutoCloseable {
     /** The limit that the protocol sets for request bodies of users and workers. */
     private static final int MAX_BODY_BYTES = 64 << 10;
-    /** The limit between controllers, whose grants may be longer than what users may send. */
+    /** The limit for request bodies of other controllers, whose grants may be longer than the bodies of users. */
     private static final int MAX_PEER_BODY_BYTES = 4 << 20;
 
     private static final int OUTPUT_BUFFER_BYTES = 8 << 10;
@@ -164,7 +164,7 @@
                 });
     }
 
-    /** Refuses a request whose body is too long or incomplete, and closes the connection, as it can't be reused. */
+    /** Refuses a request whose body is too long or incomplete, and closes the connection, which can't be reused. */
     private static void refuse(Response response, Callback callback) {
         send(HttpCaller.Response.empty(HttpStatus.BAD_REQUEST).closingConnection(), response, callback);
     }
