--- a/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
+++ b/src/main/java/notchpick/coordination/membership/FailoverStateStoreTransport.java
@@ -18,14 +18,14 @@
 import notchpick.transport.HttpStatus;
 
 /**
- * Sends requests to the state store over the direct link, or through a peer as relay while the direct link is cut or
- * refused and the peer's link works.
+ * Sends requests to the state store over the direct link. While that link is cut or its connections are refused, sends
+ * them through a peer whose own link works.
  *
  * <p>A refused request has not been executed, so it is sent to a relay immediately. A request without a response may
  * have been executed; only hedged requests, which may be executed twice, are then sent over a second path. When a
- * request shows that a relay works and the direct link does not, all requests switch to the relay. Requests in flight
- * on the old path that are not hedged are completed as unanswered; they may still be executed late, which every sender
- * must tolerate.
+ * request shows that a relay works and the direct link does not, all requests switch to the relay. Unhedged requests
+ * in flight on the old path are completed as unanswered. They may still be executed late, which every sender must
+ * tolerate.
  */
 public final class FailoverStateStoreTransport extends Actor<Void> implements StateStoreTransport {
     /** The wait for a response before a hedged request is sent to a relay, as a fraction of the leader lease. */
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -66,7 +66,7 @@
 
     /**
      * Replaces the specification of the job and of its assignments. Its team and demand must stay the same, because the
-     * resources in use are accounted by them.
+     * usage of each team is the sum of the demands of its assignments.
      */
     public void replaceSpec(Job job, JobSpec spec) {
         job.replaceSpec(spec);
--- a/src/main/java/notchpick/model/DependencyGraph.java
+++ b/src/main/java/notchpick/model/DependencyGraph.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * The graph of dependencies among open jobs. A job that is no longer open has ended, but may have been done or
- * cancelled: its dependents stay blocked until its outcome has been read. Outcomes are final, so a dependency that is
- * satisfied stays so, and so does the cancellation of dependents.
+ * The graph of dependencies among open jobs. A job that is no longer open was either completed or cancelled, and its
+ * dependents stay blocked until its outcome has been read. Outcomes are final: a satisfied dependency stays satisfied,
+ * and dependents of a cancelled job stay cancelled.
  */
 public final class DependencyGraph {
     private final Predicate<String> isOpen;
--- a/src/main/java/notchpick/model/Job.java
+++ b/src/main/java/notchpick/model/Job.java
@@ -250,7 +250,7 @@
         deferredSinceMs = atMs;
     }
 
-    /** Sets whether spot machines alone are too slow: the job is guaranteed its resources, or it would be late. */
+    /** Sets whether spot machines alone are too slow: the job is within its team's guarantee, or it would be late. */
     public void setSpotTooSlow(boolean value) {
         spotTooSlow = value;
     }
--- a/src/main/java/notchpick/model/Machine.java
+++ b/src/main/java/notchpick/model/Machine.java
@@ -90,7 +90,7 @@
         return state;
     }
 
-    /** Whether its worker has reported and it has not been released. */
+    /** Whether the machine is ready or draining: no longer being provisioned, and not released. */
     public boolean isInService() {
         return state == State.READY || state == State.DRAINING;
     }
--- a/src/main/java/notchpick/model/MachineHealth.java
+++ b/src/main/java/notchpick/model/MachineHealth.java
@@ -35,7 +35,7 @@
         launchesSuppressedUntilMs = 0;
     }
 
-    /** For each job with failures here since any task last succeeded: the time of its last one, in milliseconds. */
+    /** The time of each job's last failure on the machine since any task last succeeded there, in milliseconds. */
     public Map<String, Long> taskFailures() {
         return Collections.unmodifiableMap(taskFailures);
     }
--- a/src/main/java/notchpick/scheduling/PlacementIndex.java
+++ b/src/main/java/notchpick/scheduling/PlacementIndex.java
@@ -109,7 +109,7 @@
                 .toList();
     }
 
-    /** The total number of examinations; a node that is examined twice counts twice. */
+    /** The number of nodes examined so far; a node that is examined twice counts twice. */
     public long examined() {
         return examined;
     }
--- a/src/main/java/notchpick/scheduling/PoolSelector.java
+++ b/src/main/java/notchpick/scheduling/PoolSelector.java
@@ -42,7 +42,7 @@
         return spot.isPresent() || !demand.mayUseOnDemand() ? spot : cheapest(demand, tasks, false);
     }
 
-    /** Of equally cheap pools, takes the smallest, so that a reclaim wave or outage does not hit all machines. */
+    /** At equal price, prefers the pool with the fewest machines, so that a reclaim wave or outage does not hit all. */
     private Optional<Offer> cheapest(JobDemand demand, int tasks, boolean spot) {
         Offer best = null;
         double bestPrice = 0;
--- a/src/main/java/notchpick/scheduling/ServiceObjectives.java
+++ b/src/main/java/notchpick/scheduling/ServiceObjectives.java
@@ -63,7 +63,7 @@
 
     /**
      * How many seconds the job may wait without missing any objective that it can still meet. If it can meet none, the
-     * result is negative: the smallest of the delays by which it misses them.
+     * result is negative, and its amount is the smallest delay by which an objective is missed.
      *
      * @param ageS the time since the job became ready, in seconds
      * @param runS the expected run time of one of its tasks, in seconds
