--- a/src/main/java/notchpick/protocol/StateStoreClient.java
+++ b/src/main/java/notchpick/protocol/StateStoreClient.java
@@ -184,7 +184,7 @@
      * @param urgent whether the request is sent even if the budget is used up
      */
     private record Call(Request request, long timeoutMs, boolean urgent, boolean hedged) {
-        /** Marks the call as urgent, as for leases: they must not expire because other requests used up the budget. */
+        /** Marks the call as urgent; for leases, which must not expire because other requests used up the budget. */
         Call asUrgent() {
             return new Call(request, timeoutMs, true, hedged);
         }
--- a/src/main/java/notchpick/transport/Actor.java
+++ b/src/main/java/notchpick/transport/Actor.java
@@ -5,9 +5,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Base class for objects whose state is accessed only on the event loop, by the messages sent to them and by their
- * callbacks and timers. All actors of a process share one event loop, which queues the messages and runs one piece of
- * work at a time; an actor has no thread of its own.
+ * Base class for objects whose state is accessed only on the event loop: when a message is handled, a callback runs or
+ * a timer expires. All actors of a process share one event loop, which queues the messages and runs one piece of work
+ * at a time; an actor has no thread of its own.
  *
  * @param <M> the type of the messages that it receives
  */
--- a/src/main/java/notchpick/transport/HttpCaller.java
+++ b/src/main/java/notchpick/transport/HttpCaller.java
@@ -25,7 +25,7 @@
      *
      * @param status the HTTP status code; 0 or less if there was no response
      * @param retryAfterS the number of seconds after which the client should retry; 0 if not specified
-     * @param closesConnection whether the server closes the connection after it
+     * @param closesConnection whether the server closes the connection after sending the response
      */
     record Response(int status, byte[] body, int retryAfterS, boolean closesConnection) {
         private static final byte[] NO_BODY = {};
--- a/src/main/java/notchpick/transport/IdleConnectionLimit.java
+++ b/src/main/java/notchpick/transport/IdleConnectionLimit.java
@@ -26,8 +26,8 @@
     @Override
     public void onOpened(Connection connection) {
         super.onOpened(connection);
-        // The connector now includes this connection in later changes of the idle timeout.
-        // The loop applies a change that was made before, and repeats if there is another one meanwhile.
+        // From now on, the connector also applies changes of the idle timeout to this connection.
+        // The loop applies a change that was made earlier, and repeats if another one is made meanwhile.
         // No lock is held, because setIdleTimeout() may close an idle connection within the call,
         // which may call unlimit().
         boolean limited = false;
