--- a/src/main/java/notchpick/model/JobRecord.java
+++ b/src/main/java/notchpick/model/JobRecord.java
@@ -8,12 +8,12 @@
  * @param endedAtMs wall-clock time of its end, in milliseconds; 0 if an earlier version wrote the record
  */
 public record JobRecord(JobStatus status, int tasks, int done, long endedAtMs, boolean service) {
-    /** A job that has been accepted and has not ended. */
+    /** The record of a job that has been accepted and has not ended. */
     public static JobRecord open(JobSpec spec) {
         return new JobRecord(JobStatus.OPEN, spec.tasks(), 0, 0, spec.isService());
     }
 
-    /** A job all of whose tasks have completed. */
+    /** The record of a job whose tasks have all completed. */
     public static JobRecord done(JobSpec spec, long atMs) {
         return new JobRecord(JobStatus.DONE, spec.tasks(), spec.tasks(), atMs, spec.isService());
     }
--- a/src/main/java/notchpick/scheduling/JobSpec.java
+++ b/src/main/java/notchpick/scheduling/JobSpec.java
@@ -261,7 +261,7 @@
     }
 
     /**
-     * The time since the job became ready, in seconds; it may have waited or run since then.
+     * The time since the job became ready, in seconds, whether it has waited or run since then.
      *
      * @param wallTimeMs the current wall-clock time, in milliseconds since the epoch
      */
@@ -334,7 +334,7 @@
         return zone == null || zone.equals(taskZone);
     }
 
-    /** Whether a task may run on such a machine; colocation and spreading of the tasks are not considered. */
+    /** Whether a task may run on a machine of this kind. Colocation and spreading are not considered. */
     public boolean allows(String type, String taskZone, boolean onSpot) {
         return allowsType(type) && allowsZone(taskZone) && (spot || !onSpot);
     }
--- a/src/main/java/notchpick/storage/KeyWrite.java
+++ b/src/main/java/notchpick/storage/KeyWrite.java
@@ -17,7 +17,7 @@
     public enum Precondition {
         /** The write is made whatever the version. */
         NONE,
-        /** The latest version that the writer knows. On a conflict that version is read again and the change repeated. */
+        /** The latest version that the writer knows. On a conflict the key is read again and the change is repeated. */
         LAST_SEEN,
         /** The version given with the write. On a conflict the change is abandoned. */
         VERSION
