--- a/src/main/java/notchpick/scheduling/MachineType.java
+++ b/src/main/java/notchpick/scheduling/MachineType.java
@@ -8,7 +8,7 @@
  * @param cacheGb the size of its image cache, in GB
  * @param fetchGbPerS how fast it fetches images, in GB per second
  * @param price the price of an on-demand machine per unit of time
- * @param spotPrice the price of a spot instance per unit of time
+ * @param spotPrice the price of a spot instance per the same unit of time
  * @param bootS the time from ordering a machine to its first heartbeat, in seconds
  * @param zones the zones in which it can be rented
  */
--- a/src/main/java/notchpick/scheduling/PoolSelector.java
+++ b/src/main/java/notchpick/scheduling/PoolSelector.java
@@ -42,7 +42,10 @@
         return spot.isPresent() || !demand.mayUseOnDemand() ? spot : cheapest(demand, tasks, false);
     }
 
-    /** At equal price, prefers the pool with the fewest machines, so that a reclaim wave or outage does not hit all. */
+    /**
+     * The cheapest suitable pool. Of equally cheap pools, it is the one with the fewest machines, so that a single
+     * reclaim wave or outage does not affect all machines.
+     */
     private Optional<Offer> cheapest(JobDemand demand, int tasks, boolean spot) {
         Offer best = null;
         double bestPrice = 0;
--- a/src/main/java/notchpick/storage/LaunchRecordCodec.java
+++ b/src/main/java/notchpick/storage/LaunchRecordCodec.java
@@ -17,7 +17,7 @@
 
 /**
  * Encodes launches, grouped by machine. A value also holds, for each task's job, the fields that count against the
- * team's limit: by the time a new leader reads the value, the job may have ended and its description may be gone.
+ * team's limit: by the time a new leader reads the value, the job may have ended, with its description deleted.
  */
 public final class LaunchRecordCodec {
     /** The tasks of a machine are encoded as one flat array of job id, task index and attempt. */
--- a/src/main/java/notchpick/transport/JettyHttpServer.java
+++ b/src/main/java/notchpick/transport/JettyHttpServer.java
@@ -26,7 +26,7 @@
 public final class JettyHttpServer implements AutoCloseable {
     /** The limit that the protocol sets for request bodies of users and workers. */
     private static final int MAX_BODY_BYTES = 64 << 10;
-    /** The limit for request bodies of other controllers, whose grants may be longer than the bodies of users. */
+    /** The limit for request bodies of other controllers, whose grants may be longer than what users may send. */
     private static final int MAX_PEER_BODY_BYTES = 4 << 20;
 
     private static final int OUTPUT_BUFFER_BYTES = 8 << 10;
