--- a/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
+++ b/src/main/java/notchpick/coordination/leader/allocation/AllocationRound.java
@@ -33,7 +33,7 @@
 
     /** Lower bound of the fetch rate, which keeps the fetch time finite if the rate of the machine type is unknown. */
     private static final double MIN_FETCH_GB_PER_S = 0.01;
-    /** For how long other jobs may go before a job whose image is missing, as a multiple of the image's fetch time. */
+    /** How long a job whose image is missing may be deferred for others, as a multiple of the image's fetch time. */
     private static final double MAX_DEFERRAL_FETCHES = 2;
 
     private final TermContext context;
@@ -186,7 +186,7 @@
 
     /**
      * Whether jobs of the same priority whose image is already on a machine may go before this one. If there is no such
-     * job, this one gets the resources at once: they are never kept free.
+     * job, this one gets the resources at once, so resources are never kept free.
      */
     private boolean canDefer(Job job, Machine machine) {
         double rate = Math.max(context.machineTypes().fetchGbPerS(machine.type()), MIN_FETCH_GB_PER_S);
--- a/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
+++ b/src/main/java/notchpick/coordination/leader/scaling/RetirementPolicy.java
@@ -8,7 +8,7 @@
 /** Decides which machines are released: idle ones that nothing needs, drained ones, and silent ones. */
 final class RetirementPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(RetirementPolicy.class);
-    /** A machine that is silent while its zone is not counts as lost after this fraction of the worker lease. */
+    /** A silent machine in a zone that is not silent counts as lost after this fraction of the worker lease. */
     private static final double LOST_LEASE_RATIO = 0.5;
     /** An idle on-demand machine is kept for this many heartbeat periods. */
     private static final int ON_DEMAND_IDLE_PERIODS = 2;
@@ -28,7 +28,7 @@
      *
      * @param isUnneeded whether the demand can be met without it
      * @param silentMs how long it has been silent
-     * @param isZoneSilent whether most machines of its zone are silent as well
+     * @param isZoneSilent whether most machines of its zone, or of all zones, are silent as well
      */
     boolean isDueForRelease(Machine machine, boolean isUnneeded, long silentMs, boolean isZoneSilent, long nowMs) {
         return switch (machine.state()) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * How long a machine that is silent together with its zone is kept: until that has cost as much as replacing it.
-     * Its tasks may go on running for the worker lease, and a replacement would first have to boot.
+     * How long a machine that is silent together with its zone is kept: until keeping it has cost as much as replacing
+     * it. Its tasks may go on running for the worker lease, and a replacement would first have to boot.
      */
     private double maxSilentMs(Machine machine) {
         return workerLeaseMs + provisioning.expectedBootMs(machine.type());
--- a/src/main/java/notchpick/model/ClusterState.java
+++ b/src/main/java/notchpick/model/ClusterState.java
@@ -66,7 +66,7 @@
 
     /**
      * Replaces the specification of the job and of its assignments. Its team and demand must stay the same, because the
-     * resources in use are accounted by them.
+     * usage of each team is the sum of the demands of its assignments.
      */
     public void replaceSpec(Job job, JobSpec spec) {
         job.replaceSpec(spec);
@@ -88,7 +88,7 @@
         return machines.get(name);
     }
 
-    /** The machine with this name, which is created by the factory and added if it is not known. */
+    /** The machine with this name. If there is none, the factory creates one, which is added. */
     public Machine machineOrAdd(String name, Function<String, Machine> factory) {
         return machines.computeIfAbsent(name, factory);
     }
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -13,9 +13,9 @@
 import notchpick.simulation.SimulatedNetwork.Cut;
 import notchpick.simulation.SimulatedWorker;
 
-/** What the verbs of scenarios do. */
+/** The verbs of the scenario language and their actions. */
 final class ScenarioVerbs {
-    /** What a verb does. */
+    /** The action of a verb. */
     private interface Verb {
         void run(SimulatedCluster cluster, ScenarioStep step) throws InvalidMessageException;
     }
@@ -68,17 +68,17 @@
                 Cut cut = Cut.valueOf(step.argument(2).toUpperCase(Locale.ROOT));
                 links(cluster, step).forEach(link -> cluster.network().cut(link.from(), link.to(), cut));
             }),
-            // Requests of the first to the second still pass.
+            // Requests from the first to the second still pass.
             entry(
                     "cut-answers",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.to(), link.from(), Cut.HOLD))),
-            // Answers of the second to the first still pass.
+            // Answers from the second to the first still pass.
             entry(
                     "cut-requests",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.from(), link.to(), Cut.HOLD))),
-            // Packets in one direction take this much longer; 0: no longer.
+            // Packets from the first to the second take this many seconds longer; 0 ends the delay.
             entry(
                     "slow",
                     (cluster, step) -> links(cluster, step)
@@ -97,7 +97,7 @@
             entry("outage", (cluster, step) -> cluster.setOutage(step.isOn(0))),
             entry("refuse", (cluster, step) -> cluster.setRefused(controller(cluster, step.subject()), step.isOn(1))),
             entry(
-                    "refuse-none",
+                    "accept-all",
                     (cluster, step) -> cluster.controllers()
                             .nodes()
                             .forEach(node -> cluster.stateStore().setRefused(node, false))),
@@ -107,7 +107,8 @@
             entry("enforce-announced-limits", (cluster, step) -> cluster.enforceAnnouncedLimits()),
             entry(
                     "lose-commits",
-                    (cluster, step) -> cluster.stateStore().loseCommits(step.intArgument(0), step.millisArgument(1))),
+                    (cluster, step) ->
+                            cluster.stateStore().leaveCommitsUnanswered(step.intArgument(0), step.millisArgument(1))),
             entry(
                     "unanswered-writes",
                     (cluster, step) -> cluster.stateStore()
@@ -140,20 +141,25 @@
             entry(
                     "unhang-all",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> worker.setHanging(false))),
-            entry("deaf", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setDeaf(true))),
-            entry("mute", (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setMute(true))),
+            entry(
+                    "lose-incoming",
+                    (cluster, step) -> workers(cluster, step.subject()).forEach(worker -> worker.setInboundLost(true))),
+            entry(
+                    "lose-heartbeats",
+                    (cluster, step) ->
+                            workers(cluster, step.subject()).forEach(worker -> worker.setOutboundLost(true))),
             entry(
                     "heal-machines",
                     (cluster, step) -> cluster.fleet().workers().forEach(worker -> {
-                        worker.setDeaf(false);
-                        worker.setMute(false);
+                        worker.setInboundLost(false);
+                        worker.setOutboundLost(false);
                     })),
-            entry("sick", (cluster, step) -> worker(cluster, step).setSick()));
+            entry("fail-all-tasks", (cluster, step) -> worker(cluster, step).setFaulty()));
 
     private static final Map<String, Verb> CHECK_VERBS = Map.of(
             "expect", ScenarioExpectations::check,
             "reset-longest-pause", (cluster, step) -> cluster.invariants().resetLongestPause(),
-            "faults-over", (cluster, step) -> cluster.faultsOver());
+            "faults-ended", (cluster, step) -> cluster.markFaultsOver());
 
     private ScenarioVerbs() {}
 
@@ -171,7 +177,7 @@
         return step.hasArgument(1) && step.argument(1).equals(flag);
     }
 
-    /** A controller by its own name, as the present leader, or by an alias given earlier in the scenario. */
+    /** A controller by its name, as the current leader, or by an alias set earlier in the scenario. */
     private static String controller(SimulatedCluster cluster, String word) {
         return word.equals("leader")
                 ? cluster.controllers().leader().orElseThrow()
@@ -196,7 +202,7 @@
         cluster.users().submitOnce(job, Json.bytes(Submissions.submission(job, step.options(1))));
     }
 
-    /** The links between the first and the second argument, where "peers" stands for all other controllers. */
+    /** The links from the first argument to the second, where "peers" stands for all other controllers. */
     private static List<Link> links(SimulatedCluster cluster, ScenarioStep step) {
         String from = controller(cluster, step.subject());
         if (!step.argument(1).equals("peers")) {
@@ -208,7 +214,7 @@
                 .toList();
     }
 
-    /** A machine by its name, or the first one with a task. */
+    /** A machine by its name, or for "busy" the first one with a task. */
     private static String machine(SimulatedCluster cluster, String word) {
         if (!word.equals("busy")) {
             return word;
@@ -224,7 +230,11 @@
         return cluster.fleet().worker(machine(cluster, step.subject()));
     }
 
-    /** All workers, those of a zone, or the first so many. */
+    /**
+     * Selects workers.
+     *
+     * @param which "all", a zone, or a number N for the first N workers
+     */
     private static List<SimulatedWorker> workers(SimulatedCluster cluster, String which) {
         List<SimulatedWorker> all = cluster.fleet().workers();
         if (Character.isDigit(which.charAt(0))) {
@@ -235,7 +245,7 @@
                 .toList();
     }
 
-    /** The cloud takes back all machines, or those of a zone. */
+    /** The cloud reclaims all machines, or those of a zone. */
     private static void reclaimAll(SimulatedCluster cluster, String zone) {
         cluster.fleet().machines().stream()
                 .filter(name ->
--- a/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
+++ b/src/test/java/notchpick/coordination/membership/LeaderElectionTest.java
@@ -15,14 +15,15 @@
 import notchpick.transport.EventLoop;
 import org.junit.jupiter.api.Test;
 
-/** A state store with records of another format is refused, not misread. */
+/** Tests that a controller does not campaign if the state store holds records of another format. */
 class LeaderElectionTest {
     private final SimulatedTime simulation = new SimulatedTime();
-    private final EventLoop loop = simulation.loop(0, 0, () -> true);
+    private final EventLoop loop = simulation.newEventLoop(0, 0, () -> true);
     private final SimulatedStateStore stateStore =
-            new SimulatedStateStore(simulation::now, simulation::after, 12, 300, 100);
+            new SimulatedStateStore(simulation::nowMs, simulation::schedule, 12, 300, 100);
     private final StateStoreClient client = new StateStoreClient(
-            (call, timeoutMs, hasty, then) -> simulation.after(5, () -> stateStore.handle(call, then)),
+            (request, timeoutMs, hedged, onResponse) ->
+                    simulation.schedule(5, () -> stateStore.handle(request, onResponse)),
             loop,
             "s:1",
             1500,
@@ -36,7 +37,7 @@
                 }
 
                 @Override
-                public void leaseRenewed(long leaseUntil) {}
+                public void leaseRenewed(long leaseUntilMs) {}
 
                 @Override
                 public void deposed() {}
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void leavesRecordsOfAnIncompatibleFormatAlone() {
+    void doesNotCampaignOnIncompatibleFormat() {
         startWithTermRecord(Json.object().put("term", 7));
         assertTrue(election.isFormatIncompatible());
         assertEquals(0, elections);
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void continuesFromTheTermOfItsOwnFormat() {
+    void continuesFromStoredTermOfSupportedFormat() {
         startWithTermRecord(Json.object().put("term", 7).put("format", StateKeys.FORMAT));
         assertFalse(election.isFormatIncompatible());
         assertEquals(1, elections);
--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -5,12 +5,12 @@
 import notchpick.scheduling.Resources;
 import notchpick.storage.StateKeys;
 
-/** Counts under which circumstances cancellations were confirmed to users. */
+/** Counts the circumstances under which cancellations were confirmed to users. */
 final class CancellationCircumstances implements SimulatedUsers.CancellationListener {
-    /** A cancellation and a refusal of the leader no further apart count as simultaneous. */
+    /** A cancellation and a refusal of the leader at most this far apart count as simultaneous. */
     private static final long SIMULTANEOUS_MS = 20;
-    /** A team that may not hold this much more is at its limit. */
-    private static final Resources LEAST_HEADROOM = new Resources(1, 0, 0);
+    /** A team that may not take this much more is at its limit. */
+    private static final Resources MIN_HEADROOM = new Resources(1, 0, 0);
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -20,7 +20,7 @@
     private final SimulatedControllers controllers;
     private final SimulatedFleet fleet;
     private final OccurrenceCounters occurrences;
-    private long leaderRefusedAt = NEVER;
+    private long leaderRefusedAtMs = NEVER;
 
     CancellationCircumstances(
             List<Quota> teams,
@@ -38,27 +38,27 @@
     }
 
     /**
-     * The state store refuses the leader alone from now on.
+     * Records that the state store refuses the leader's requests from now on.
      *
      * @param cancelRequested the jobs that users have asked to cancel
      */
-    void leaderRefused(List<String> cancelRequested) {
-        leaderRefusedAt = time.now();
-        // A cancellation from a moment before has left the store by now.
+    void recordLeaderRefusal(List<String> cancelRequested) {
+        leaderRefusedAtMs = time.nowMs();
+        // A cancellation just before the refusal has already deleted the record of the open job.
         cancelRequested.stream()
-                .map(this::openRecordDeletedAt)
-                .filter(deletedAt -> deletedAt >= 0 && leaderRefusedAt - deletedAt <= SIMULTANEOUS_MS)
-                .forEach(deletedAt -> occurrences.increment(Occurrence.CANCELLED_JUST_BEFORE_LEADER_REFUSED));
+                .map(this::openRecordDeletedAtMs)
+                .filter(deletedAtMs -> deletedAtMs >= 0 && leaderRefusedAtMs - deletedAtMs <= SIMULTANEOUS_MS)
+                .forEach(deletedAtMs -> occurrences.increment(Occurrence.CANCELLED_JUST_BEFORE_LEADER_REFUSED));
     }
 
-    private long openRecordDeletedAt(String job) {
-        return stateStore.deletedAt(StateKeys.OPEN_JOBS + job);
+    private long openRecordDeletedAtMs(String job) {
+        return stateStore.deletedAtMs(StateKeys.OPEN_JOBS + job);
     }
 
     @Override
     public void cancellationConfirmed(String job) {
         occurrences.increment(Occurrence.CANCELLATION_CONFIRMED);
-        long afterRefusalMs = openRecordDeletedAt(job) - leaderRefusedAt;
+        long afterRefusalMs = openRecordDeletedAtMs(job) - leaderRefusedAtMs;
         if (afterRefusalMs >= 0 && afterRefusalMs <= SIMULTANEOUS_MS) {
             occurrences.increment(Occurrence.CANCELLED_JUST_AFTER_LEADER_REFUSED);
         }
@@ -67,18 +67,18 @@
         }
         if (controllers.leader().isEmpty() || controllers.term() == controllers.lastTermEndedByCrash()) {
             occurrences.increment(Occurrence.CANCELLED_WITHOUT_LEADER);
-        } else if (stateStore.refuses(controllers.leader().get())) {
+        } else if (stateStore.isRefused(controllers.leader().get())) {
             occurrences.increment(Occurrence.CANCELLED_WHILE_LEADER_REFUSED);
         }
     }
 
-    /** Teams without a limit do not count; where none has one, none is at its limit. */
+    /** Ignores teams without a limit; false if no team has one. */
     private boolean areAllTeamsAtTheirLimits() {
         List<Quota> limited =
                 teams.stream().filter(team -> team.maximum().cores() > 0).toList();
         return !limited.isEmpty()
                 && limited.stream()
                         .noneMatch(
-                                team -> team.allows(fleet.usageOf(team.team()).plus(LEAST_HEADROOM)));
+                                team -> team.allows(fleet.usageOf(team.team()).plus(MIN_HEADROOM)));
     }
 }
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -6,14 +6,14 @@
 import notchpick.transport.HttpCaller;
 import notchpick.transport.HttpCaller.Request;
 
-/** Copies of workers' heartbeats, which arrive again at every controller: late, or as a new leader begins. */
+/** Sends copies of workers' heartbeats to every controller, either late or when a new leader is elected. */
 final class HeartbeatDuplicator {
-    /** The shortest time that a copy is under way. */
+    /** The shortest delay of a copy. */
     private static final int MIN_DELAY_MS = 2000;
-    /** How much longer it may be under way, in workers' leases. */
+    /** How much longer than the shortest delay a copy may take, as a multiple of the worker lease. */
     private static final double MAX_EXTRA_DELAY_LEASES = 1.4;
-    /** Copies that were kept for the next leader arrive within so long. */
-    private static final long KEPT_COPIES_WITHIN_MS = 2000;
+    /** The time over which copies that were kept for the next leader are sent. */
+    private static final long KEPT_COPIES_DELIVERY_MS = 2000;
 
     private static final long ELECTION_CHECK_PERIOD_MS = 20;
     private static final int TIMEOUT_MS = 5000;
@@ -27,8 +27,8 @@
     private final List<byte[]> keptForNextLeader = new ArrayList<>();
     private double share;
     private boolean forNextLeader;
-    private int keptInTerm;
-    private boolean awaitsElection;
+    private int lastSeenTerm;
+    private boolean isAwaitingElection;
 
     HeartbeatDuplicator(
             SimulatedTime time,
@@ -46,21 +46,21 @@
     }
 
     /**
-     * From now on a copy of this share of the heartbeats arrives again: from two seconds to well over a lease later, or
-     * as soon as the next leader has begun; what is kept for that one stays kept when the share falls to 0.
+     * Sets the share of heartbeats that are duplicated. A copy is sent two seconds to well over a lease later, or kept
+     * until the next leader is elected; copies that are already kept stay so when the share is set to 0.
      */
-    void set(double newShare, boolean keepForNextLeader) {
+    void setShare(double newShare, boolean keepForNextLeader) {
         share = newShare;
         forNextLeader = keepForNextLeader;
-        if (forNextLeader && !awaitsElection) {
-            awaitsElection = true;
-            keptInTerm = controllers.term();
+        if (forNextLeader && !isAwaitingElection) {
+            isAwaitingElection = true;
+            lastSeenTerm = controllers.term();
             awaitElection();
         }
     }
 
     /** A worker sends this heartbeat. */
-    void heartbeatSent(byte[] heartbeat) {
+    void onHeartbeatSent(byte[] heartbeat) {
         if (random.nextDouble() >= share) {
             return;
         }
@@ -68,7 +68,7 @@
             keptForNextLeader.add(heartbeat);
         } else {
             int sentInTerm = controllers.term();
-            time.after(MIN_DELAY_MS + random.nextInt((int) (MAX_EXTRA_DELAY_LEASES * leaseMs)), () -> {
+            time.schedule(MIN_DELAY_MS + random.nextInt((int) (MAX_EXTRA_DELAY_LEASES * leaseMs)), () -> {
                 boolean isLaterTerm = controllers.term() > sentInTerm;
                 occurrences.increment(
                         isLaterTerm ? Occurrence.HEARTBEAT_DUPLICATED_IN_LATER_TERM : Occurrence.HEARTBEAT_DUPLICATED);
@@ -78,26 +78,26 @@
     }
 
     private void awaitElection() {
-        time.after(ELECTION_CHECK_PERIOD_MS, () -> {
+        time.schedule(ELECTION_CHECK_PERIOD_MS, () -> {
             int term = controllers.leader().isPresent() ? controllers.term() : 0;
-            if (term > keptInTerm) {
-                keptInTerm = term;
+            if (term > lastSeenTerm) {
+                lastSeenTerm = term;
                 deliverKept();
             }
-            awaitsElection = forNextLeader;
-            if (awaitsElection) {
+            isAwaitingElection = forNextLeader;
+            if (isAwaitingElection) {
                 awaitElection();
             }
         });
     }
 
-    /** In their order, while the new leader recovers and just after. */
+    /** Sends the kept copies in order, while the new leader recovers and shortly after. */
     private void deliverKept() {
         List<byte[]> copies = List.copyOf(keptForNextLeader);
         keptForNextLeader.clear();
         for (int i = 0; i < copies.size(); i++) {
             byte[] copy = copies.get(i);
-            time.after(KEPT_COPIES_WITHIN_MS * i / copies.size(), () -> {
+            time.schedule(KEPT_COPIES_DELIVERY_MS * i / copies.size(), () -> {
                 occurrences.increment(Occurrence.HEARTBEAT_DUPLICATED_FOR_NEXT_LEADER);
                 deliver(copy);
             });
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -16,37 +16,37 @@
 import notchpick.transport.HttpCaller.Response;
 import notchpick.transport.HttpHandler;
 
-/** Carries calls between hosts; links can be cut or slowed down, hosts frozen or without power. */
+/** Delivers calls between hosts; tests can cut or delay links, freeze hosts and turn off their power. */
 public final class SimulatedNetwork {
     private static final long LATENCY_MS = 2;
 
-    /** How a cut treats packets: hold them and deliver them late, reset the connection, or refuse new ones. */
+    /** How a cut treats packets: holds them until it is healed, resets connections, or also refuses new ones. */
     public enum Cut {
         HOLD,
         RESET,
         REFUSE
     }
 
-    /** Packets from one host or group to another are cut. */
+    /** One direction between two hosts or groups. */
     private record Route(String from, String to) {}
 
     private final SimulatedTime time;
     private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final Map<String, String> hostsByAddress = new HashMap<>();
     private final Map<Route, Cut> cuts = new LinkedHashMap<>();
-    /** How much longer packets take, by route. */
+    /** Extra packet delay, by route. */
     private final Map<Route, Long> delaysMs = new LinkedHashMap<>();
-    /** How many calls went to each address. */
+    /** Number of calls, by address. */
     private final Map<String, Integer> callCounts = new HashMap<>();
 
     private int delayedPackets;
-    private final Map<Route, List<Runnable>> heldBack = new HashMap<>();
-    /** Names that stand for many hosts, by host. */
+    private final Map<Route, List<Runnable>> heldPackets = new HashMap<>();
+    /** The groups that each host belongs to, by host. */
     private final Map<String, Set<String>> groups = new HashMap<>();
-    /** Hosts without power: what is sent to them gets no answer of any kind. */
-    private final Set<String> withoutPower = new HashSet<>();
-    /** Hosts whose processes are paused, and until when. What comes meanwhile waits in their sockets. */
-    private final Map<String, Long> frozenUntil = new HashMap<>();
+    /** Hosts without power: packets to them are lost without a reset or refusal. */
+    private final Set<String> unpoweredHosts = new HashSet<>();
+    /** Until when the processes of a host are paused, by host; packets wait in its sockets until then. */
+    private final Map<String, Long> frozenUntilMs = new HashMap<>();
 
     private Transcript transcript = Transcript.NONE;
 
@@ -54,74 +54,74 @@
         this.time = time;
     }
 
-    /** From now on all calls and answers are written down. */
+    /** Writes all later calls and answers to the transcript. */
     void record(Transcript to) {
         transcript = to;
     }
 
-    /** A host serves this address. */
+    /** Registers a host's handler for this address. */
     public void serve(String address, String host, HttpHandler handler) {
         handlers.put(address, handler);
         hostsByAddress.put(address, host);
     }
 
-    /** Nobody serves this address any more: connections to it are refused. */
+    /** Stops serving this address; connections to it are refused from now on. */
     public void stopServing(String address) {
         handlers.remove(address);
     }
 
-    /** The host loses its power, or has it back. */
+    /** Turns the host's power on or off. */
     public void setPowered(String host, boolean powered) {
         if (powered) {
-            withoutPower.remove(host);
+            unpoweredHosts.remove(host);
         } else {
-            withoutPower.add(host);
+            unpoweredHosts.add(host);
         }
     }
 
-    /** The host's processes are paused until then; what is sent to it waits. */
+    /** Pauses the host's processes until the given time; packets to it wait. */
     public void freeze(String host, long untilMs) {
-        frozenUntil.put(host, untilMs);
+        frozenUntilMs.put(host, untilMs);
     }
 
-    /** A host belongs to a group, which cuts may name in its place. */
-    public void join(String host, String group) {
+    /** Adds a host to a group, which cuts and delays may name instead of single hosts. */
+    public void addToGroup(String host, String group) {
         groups.computeIfAbsent(host, h -> new HashSet<>()).add(group);
     }
 
-    /** A host is in this zone: it belongs to the zone's group, and to the group outside of each other zone. */
-    void joinZone(String host, String zone) {
+    /** Adds a host to the zone's group, and to the group of hosts outside each other zone. */
+    void addToZone(String host, String zone) {
         for (String other : ClusterConfig.ZONES) {
-            join(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
+            addToGroup(host, other.equals(zone) ? "zone-" + zone : "outside-" + other);
         }
     }
 
     /** Cuts both directions between two hosts or groups. */
-    public void cut(String one, String other, Cut how) {
-        cutOneWay(one, other, how);
-        cutOneWay(other, one, how);
+    public void cut(String one, String other, Cut mode) {
+        cutOneWay(one, other, mode);
+        cutOneWay(other, one, mode);
     }
 
-    /** Cuts one direction; packets in the other still pass. */
-    public void cutOneWay(String from, String to, Cut how) {
-        cuts.put(new Route(from, to), how);
+    /** Cuts one direction only. */
+    public void cutOneWay(String from, String to, Cut mode) {
+        cuts.put(new Route(from, to), mode);
     }
 
-    /** Packets in one direction take longer by this from now on; 0 ends that. */
-    public void delayOneWay(String from, String to, long byMs) {
-        if (byMs > 0) {
-            delaysMs.put(new Route(from, to), byMs);
+    /** Sets the extra delay of packets in one direction; 0 removes it. */
+    public void delayOneWay(String from, String to, long extraMs) {
+        if (extraMs > 0) {
+            delaysMs.put(new Route(from, to), extraMs);
         } else {
             delaysMs.remove(new Route(from, to));
         }
     }
 
-    /** How many packets have been slowed down. */
+    /** How many packets had an extra delay. */
     public int delayedPackets() {
         return delayedPackets;
     }
 
-    /** How many calls were made to addresses that begin like this. */
+    /** How many calls were made to addresses with this prefix. */
     public int callsTo(String prefix) {
         return callCounts.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(prefix))
@@ -129,70 +129,70 @@
                 .sum();
     }
 
-    /** Ends the cuts between two hosts or groups; what was held back is delivered. */
+    /** Removes the cuts in both directions between two hosts or groups and delivers the packets that they held. */
     public void heal(String one, String other) {
         for (Route route : List.of(new Route(one, other), new Route(other, one))) {
             cuts.remove(route);
-            List<Runnable> late = heldBack.remove(route);
-            if (late != null) {
-                late.forEach(packet -> time.after(LATENCY_MS, packet));
+            List<Runnable> released = heldPackets.remove(route);
+            if (released != null) {
+                released.forEach(packet -> time.schedule(LATENCY_MS, packet));
             }
         }
     }
 
-    private boolean isOrBelongsTo(String host, String name) {
+    private boolean matches(String host, String name) {
         return host.equals(name) || groups.getOrDefault(host, Set.of()).contains(name);
     }
 
-    /** The first cut between the two hosts in this direction. */
+    /** The earliest cut that applies to packets between the two hosts in this direction. */
     private Optional<Route> cutBetween(String from, String to) {
         return cuts.keySet().stream()
-                .filter(route -> isOrBelongsTo(from, route.from()) && isOrBelongsTo(to, route.to()))
+                .filter(route -> matches(from, route.from()) && matches(to, route.to()))
                 .findFirst();
     }
 
     private long delayMsBetween(String from, String to) {
-        long longest = 0;
+        long longestMs = 0;
         for (Map.Entry<Route, Long> delay : delaysMs.entrySet()) {
-            if (isOrBelongsTo(from, delay.getKey().from())
-                    && isOrBelongsTo(to, delay.getKey().to())) {
-                longest = Math.max(longest, delay.getValue());
+            if (matches(from, delay.getKey().from())
+                    && matches(to, delay.getKey().to())) {
+                longestMs = Math.max(longestMs, delay.getValue());
             }
         }
-        return longest;
+        return longestMs;
     }
 
-    private void carry(String from, String to, Runnable packet, Runnable reset) {
-        if (withoutPower.contains(to)) {
+    private void transmit(String from, String to, Runnable packet, Runnable reset) {
+        if (unpoweredHosts.contains(to)) {
             return;
         }
         Optional<Route> cut = cutBetween(from, to);
         if (cut.isEmpty()) {
             long delayMs = delayMsBetween(from, to);
             delayedPackets += delayMs > 0 ? 1 : 0;
-            long frozenForMs = frozenUntil.getOrDefault(to, 0L) - time.now();
-            time.after(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
+            long frozenForMs = frozenUntilMs.getOrDefault(to, 0L) - time.nowMs();
+            time.schedule(Math.max(LATENCY_MS + delayMs, frozenForMs), packet);
         } else if (cuts.get(cut.get()) == Cut.HOLD) {
-            heldBack.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> carry(from, to, packet, reset));
+            heldPackets.computeIfAbsent(cut.get(), c -> new ArrayList<>()).add(() -> transmit(from, to, packet, reset));
         } else {
-            time.after(LATENCY_MS, reset);
+            time.schedule(LATENCY_MS, reset);
         }
     }
 
-    /** Calls made by one host, whose answers count as long as its process lives. */
+    /** The caller of one host; answers that arrive after its process has ended are dropped. */
     public HttpCaller callerOf(String host, BooleanSupplier isAlive) {
         return (call, timeoutMs, then) -> {
             callCounts.merge(call.target(), 1, Integer::sum);
-            transcript.called(time.now(), host, call);
+            transcript.called(time.nowMs(), host, call);
             Consumer<Response> answerOnce = once(then, isAlive);
-            time.after(timeoutMs, () -> answerOnce.accept(Response.UNANSWERED));
+            time.schedule(timeoutMs, () -> answerOnce.accept(Response.UNANSWERED));
             String to = hostsByAddress.get(call.target());
             if (cutBetween(host, to).filter(cut -> cuts.get(cut) == Cut.REFUSE).isPresent()) {
-                time.after(LATENCY_MS, () -> answerOnce.accept(Response.CONNECTION_REFUSED));
+                time.schedule(LATENCY_MS, () -> answerOnce.accept(Response.CONNECTION_REFUSED));
                 return;
             }
             Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
-            carry(host, to, () -> serveCall(host, call, answerOnce), reset);
+            transmit(host, to, () -> serveCall(host, call, answerOnce), reset);
         };
     }
 
@@ -211,13 +211,13 @@
         Runnable reset = () -> answerOnce.accept(Response.UNANSWERED);
         HttpHandler handler = handlers.get(call.target());
         if (handler == null) {
-            carry(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
+            transmit(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
-        // The state store refuses by who calls, so the caller's name goes along.
+        // The target is replaced by the caller's host, from which the state store decides whom to refuse.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
-            transcript.answered(time.now(), to, from, call, answer);
-            carry(to, from, () -> answerOnce.accept(answer), reset);
+            transcript.answered(time.nowMs(), to, from, call, answer);
+            transmit(to, from, () -> answerOnce.accept(answer), reset);
         });
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -11,14 +11,14 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** A worker, written from its published protocol: exchanges heartbeats with a controller and carries out orders. */
+/** A worker that implements the published protocol: sends heartbeats to a controller and carries out its orders. */
 public final class SimulatedWorker {
-    /** What is true of the jobs that users submitted. */
-    public interface Jobs {
-        /** What each task of the job takes; null if there is no such job. */
+    /** How the tasks of submitted jobs behave when they run. */
+    public interface JobBehavior {
+        /** The resources that each task of the job takes; null if there is no job of this id. */
         Resources demand(String job);
 
-        /** How long the task runs, in milliseconds. */
+        /** How long the task runs without interruption, in milliseconds. */
         long runMs(String task);
 
         /** Whether tasks of the job save checkpoints. */
@@ -28,7 +28,7 @@
         boolean fails(String job);
     }
 
-    /** Is notified of what happens on a machine. */
+    /** Receives the events of a worker. */
     public interface Listener {
         /** A worker sends this heartbeat. */
         default void heartbeatSent(byte[] heartbeat) {}
@@ -36,33 +36,33 @@
         /** A task has completed. */
         default void taskCompleted(String task) {}
 
-        /** A worker carries out an order to start a task that was given under this fencing token. */
+        /** A worker carries out a start order that was sent under this fencing token. */
         default void startOrdered(long token) {}
 
-        /** An order to start a task was lost on its way to a deaf machine. */
+        /** A start order was lost because messages to the worker are lost. */
         default void startOrderLost() {}
 
-        /** A worker drops an answer, as it has seen a higher fencing token. */
+        /** A worker drops an answer because it has seen a higher fencing token. */
         default void staleAnswerDropped() {}
     }
 
-    /** What a heartbeat's answer is compared with. */
-    private record SentHeartbeat(long sentAt, long incarnation, ArrayNode tasks) {}
+    /** The state in which a heartbeat was sent, which its answer is compared with. */
+    private record SentHeartbeat(long sentAtMs, long incarnation, ArrayNode tasks) {}
 
-    /** Where workers could be sent direct commands. */
+    /** The address that every worker announces for direct commands. */
     static final String ADDRESS = "10.1.0.1:9000";
-    /** A worker gives a heartbeat up after so long, and drops an answer that comes later. */
+    /** A heartbeat without an answer counts as failed after this time; a later answer is dropped. */
     static final int ANSWER_TIMEOUT_MS = 4000;
 
     private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
     private static final long REDIRECT_DELAY_MS = 100;
     private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
-    /** Spreads the heartbeats of workers and over time. */
+    /** Varies the interval between a worker's heartbeats, so that workers do not all send at once. */
     private static final long JITTER_STEP_MS = 131;
 
     private static final Response MALFORMED = Response.empty(400);
     private static final Response STALE = Response.empty(409);
-    private static final Response OK = Response.empty(200);
+    private static final Response ACCEPTED = Response.empty(200);
 
     private final RentedMachine machine;
     private final HttpCaller caller;
@@ -74,23 +74,23 @@
     private final WorkerLease lease;
     private Double reclaimNoticeS;
     private long sequence;
-    private int controller;
-    private boolean awaitsAnswer;
-    private long lastHeartbeatAt;
-    private long nextHeartbeatAt;
+    private int controllerIndex;
+    private boolean isAwaitingAnswer;
+    private long lastHeartbeatAtMs;
+    private long nextHeartbeatAtMs;
 
-    /** Starts a worker, which sends its first heartbeat now. */
+    /** Starts a worker and schedules its first heartbeat for now. */
     public SimulatedWorker(RentedMachine machine, HttpCaller caller, WorkerEnvironment environment) {
         this.machine = machine;
         this.caller = caller;
         this.environment = environment;
         this.time = environment.time();
         this.controllers = List.copyOf(environment.controllers().keySet());
-        this.controller = Math.floorMod(machine.name().hashCode(), controllers.size());
+        this.controllerIndex = Math.floorMod(machine.name().hashCode(), controllers.size());
         this.tasks = new WorkerTasks(machine, environment, faults, this::reportChange);
         this.lease = new WorkerLease(time, environment.timing().leaseMs(), faults, this::leaseExpired);
         lease.scheduleExpiry();
-        scheduleHeartbeat(time.now());
+        scheduleHeartbeat(time.nowMs());
     }
 
     public String name() {
@@ -109,93 +109,89 @@
         return machine.spot();
     }
 
-    /** Tasks that are fetching, running or saving. */
+    /** Names of the tasks that are fetching, running or saving. */
     public List<String> tasks() {
         return tasks.active();
     }
 
-    // ---- faults --------------------------------------------------------------------------------
-
-    /** The machine stops with all that is on it. */
-    public void die() {
-        faults.setDead();
+    /** Stops the machine and all its tasks for good. */
+    public void terminate() {
+        faults.setTerminated();
         tasks.killAll();
     }
 
-    /** The machine stands still, or goes on with what came meanwhile. */
+    /** Hangs the machine, or resumes it; on resuming it handles what was due while it hung. */
     public void setHanging(boolean active) {
         if (active) {
             faults.startHanging();
         } else {
             faults.stopHanging();
-            scheduleHeartbeat(time.now());
+            scheduleHeartbeat(time.nowMs());
         }
     }
 
-    /** From now on what is sent to the worker is lost, while its heartbeats arrive; or no longer. */
-    public void setDeaf(boolean active) {
-        faults.setDeaf(active);
+    /** Starts or stops losing all messages to the worker, while its heartbeats still arrive. */
+    public void setInboundLost(boolean active) {
+        faults.setInboundLost(active);
     }
 
-    /** From now on the worker's heartbeats are lost, or no longer. */
-    public void setMute(boolean active) {
-        faults.setMute(active);
+    /** Starts or stops losing the worker's heartbeats. */
+    public void setOutboundLost(boolean active) {
+        faults.setOutboundLost(active);
     }
 
-    /** From now on every task on the machine fails soon after its start. */
-    public void setSick() {
-        faults.setSick();
+    /** Makes every task on the machine fail soon after its start from now on. */
+    public void setFaulty() {
+        faults.setFaulty();
     }
 
-    /** The cloud announces that it takes the machine back after so many seconds. */
+    /** Announces that the cloud reclaims the machine after this many seconds. */
     public void announceReclaim(double seconds) {
         reclaimNoticeS = seconds;
         reportChange();
     }
 
-    /** Whether a controller can be expected to start tasks there: the worker can be reached and is to stay. */
+    /** Whether a controller should start tasks here: no fault is active and no reclaim is announced. */
     public boolean canStartTasks() {
         return faults.isHealthy() && reclaimNoticeS == null;
     }
 
     private void leaseExpired() {
-        environment.invariants().killedByLeaseExpiry(tasks.active().size());
+        environment.invariants().recordKilledByLeaseExpiry(tasks.active().size());
         tasks.killAll();
         reportChange();
     }
 
-    // ---- heartbeats ----------------------------------------------------------------------------
-
-    private void scheduleHeartbeat(long at) {
-        long scheduledAt = Math.max(at, lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS);
-        nextHeartbeatAt = scheduledAt;
-        time.after(scheduledAt - time.now(), () -> {
-            if (nextHeartbeatAt == scheduledAt) {
+    private void scheduleHeartbeat(long atMs) {
+        long scheduledAtMs = Math.max(atMs, lastHeartbeatAtMs + MIN_HEARTBEAT_INTERVAL_MS);
+        nextHeartbeatAtMs = scheduledAtMs;
+        time.schedule(scheduledAtMs - time.nowMs(), () -> {
+            if (nextHeartbeatAtMs == scheduledAtMs) {
                 sendHeartbeat();
             }
         });
     }
 
     private void reportChange() {
-        if (!awaitsAnswer) {
-            scheduleHeartbeat(Math.min(nextHeartbeatAt, time.now()));
+        if (!isAwaitingAnswer) {
+            scheduleHeartbeat(Math.min(nextHeartbeatAtMs, time.nowMs()));
         }
     }
 
     private void sendHeartbeat() {
-        if (faults.isDead() || faults.isHanging() || awaitsAnswer) {
+        if (faults.isTerminated() || faults.isHanging() || isAwaitingAnswer) {
             return;
         }
-        awaitsAnswer = true;
-        lastHeartbeatAt = time.now();
-        SentHeartbeat sent = new SentHeartbeat(time.now(), lease.incarnation(), tasks.toHeartbeat());
+        isAwaitingAnswer = true;
+        lastHeartbeatAtMs = time.nowMs();
+        SentHeartbeat sent = new SentHeartbeat(time.nowMs(), lease.incarnation(), tasks.toHeartbeat());
         byte[] heartbeat = Json.bytes(heartbeat(sent.tasks()));
         environment.listener().heartbeatSent(heartbeat);
-        if (faults.isMute()) {
-            time.after(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
+        if (faults.isOutboundLost()) {
+            time.schedule(ANSWER_TIMEOUT_MS, () -> handleAnswer(Response.UNANSWERED, sent));
             return;
         }
-        String address = environment.controllers().get(controllers.get(controller));
+        String address = environment.controllers().get(controllers.get(controllerIndex));
         caller.call(
                 new Request(address, "POST", "/hello", heartbeat),
                 ANSWER_TIMEOUT_MS,
@@ -218,7 +214,7 @@
     }
 
     private void receiveAnswer(Response answer, SentHeartbeat sent) {
-        if (!faults.isDeaf()) {
+        if (!faults.isInboundLost()) {
             handleAnswer(answer, sent);
             return;
         }
@@ -229,16 +225,17 @@
                 }
             });
         }
-        time.after(sent.sentAt() + ANSWER_TIMEOUT_MS - time.now(), () -> handleAnswer(Response.UNANSWERED, sent));
+        time.schedule(
+                sent.sentAtMs() + ANSWER_TIMEOUT_MS - time.nowMs(), () -> handleAnswer(Response.UNANSWERED, sent));
     }
 
     private void handleAnswer(Response answer, SentHeartbeat sent) {
-        if (faults.isHanging() && !faults.isDead()) {
+        if (faults.isHanging() && !faults.isTerminated()) {
             faults.defer(() -> handleAnswer(isTimedOut(sent) ? Response.UNANSWERED : answer, sent));
             return;
         }
-        awaitsAnswer = false;
-        if (faults.isDead()) {
+        isAwaitingAnswer = false;
+        if (faults.isTerminated()) {
             return;
         }
         switch (answer.status()) {
@@ -250,7 +247,7 @@
     }
 
     private boolean isTimedOut(SentHeartbeat sent) {
-        return time.now() - sent.sentAt() >= ANSWER_TIMEOUT_MS;
+        return time.nowMs() - sent.sentAtMs() >= ANSWER_TIMEOUT_MS;
     }
 
     private void handleOrders(ObjectNode answer, SentHeartbeat sent) {
@@ -260,35 +257,33 @@
             environment.listener().staleAnswerDropped();
         } else if (sent.incarnation() == lease.incarnation()) {
             lease.raiseToken(token);
-            lease.renew(sent.sentAt());
+            lease.renew(sent.sentAtMs());
             executeAll(answer.path("orders"));
         }
         boolean hasChanged =
                 isNewTerm || !sent.tasks().equals(tasks.toHeartbeat()) || sent.incarnation() != lease.incarnation();
-        scheduleHeartbeat(hasChanged ? time.now() : nextPeriodicHeartbeatAt());
+        scheduleHeartbeat(hasChanged ? time.nowMs() : nextPeriodicHeartbeatAtMs());
     }
 
-    private long nextPeriodicHeartbeatAt() {
+    private long nextPeriodicHeartbeatAtMs() {
         long periodMs = environment.timing().heartbeatPeriodMs();
-        return lastHeartbeatAt + periodMs * 3 / 4 + sequence * JITTER_STEP_MS % (periodMs / 2);
+        return lastHeartbeatAtMs + periodMs * 3 / 4 + sequence * JITTER_STEP_MS % (periodMs / 2);
     }
 
     private void followRedirect(String leader) {
-        if (controllers.contains(leader) && controllers.indexOf(leader) != controller) {
-            controller = controllers.indexOf(leader);
-            scheduleHeartbeat(time.now() + REDIRECT_DELAY_MS);
+        if (controllers.contains(leader) && controllers.indexOf(leader) != controllerIndex) {
+            controllerIndex = controllers.indexOf(leader);
+            scheduleHeartbeat(time.nowMs() + REDIRECT_DELAY_MS);
         } else {
             tryNextController();
         }
     }
 
     private void tryNextController() {
-        controller = (controller + 1) % controllers.size();
-        scheduleHeartbeat(time.now() + NEXT_CONTROLLER_DELAY_MS);
+        controllerIndex = (controllerIndex + 1) % controllers.size();
+        scheduleHeartbeat(time.nowMs() + NEXT_CONTROLLER_DELAY_MS);
     }
 
-    // ---- orders --------------------------------------------------------------------------------
-
     private static boolean isStart(JsonNode order) {
         return order.path("orderKind").asText().equals("run");
     }
@@ -302,12 +297,12 @@
         }
     }
 
-    /** Serves a direct command: carried out only under the newest token, for the present incarnation. */
-    public Response command(ObjectNode body) {
+    /** Handles a direct command; rejects it under an older fencing token or for another incarnation. */
+    public Response handleCommand(ObjectNode body) {
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
         }
-        if (faults.isDead() || faults.isHanging() || faults.isDeaf()) {
+        if (faults.isTerminated() || faults.isHanging() || faults.isInboundLost()) {
             return Response.UNANSWERED;
         }
         long token = body.path("mandate").asLong();
@@ -317,6 +312,6 @@
         lease.raiseToken(token);
         executeAll(body.path("orders"));
         reportChange();
-        return OK;
+        return ACCEPTED;
     }
 }
--- a/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorkerTest.java
@@ -11,25 +11,25 @@
 import notchpick.transport.HttpCaller.Response;
 import org.junit.jupiter.api.Test;
 
-/** A worker carries out orders only under the newest fencing token that it has seen, and for its present incarnation. */
+/** A worker carries out orders only for its current incarnation and under the highest fencing token it has seen. */
 class SimulatedWorkerTest {
     private static final WorkerTiming TIMING = new WorkerTiming(3, 20, 40);
 
     private final SimulatedTime time = new SimulatedTime();
     private final SimulatedWorker worker = new SimulatedWorker(
             new RentedMachine("m-1", ClusterConfig.machineType("m8", 10), "east", true, 0),
-            (call, timeoutMs, then) -> time.after(timeoutMs, () -> then.accept(Response.UNANSWERED)),
+            (call, timeoutMs, then) -> time.schedule(timeoutMs, () -> then.accept(Response.UNANSWERED)),
             new WorkerEnvironment(
                     time,
-                    new InvariantChecker(time::now, TIMING.cancelTimeoutMs(), Map.of()),
+                    new InvariantChecker(time::nowMs, TIMING.cancelTimeoutMs(), Map.of()),
                     new OneMinuteJobs(),
                     new SimulatedWorker.Listener() {},
                     Map.of("node-0", "10.0.0.1:8080"),
                     TIMING,
                     new HashMap<>()));
 
-    /** Every task takes one core for a minute. */
-    private static final class OneMinuteJobs implements SimulatedWorker.Jobs {
+    /** Every task takes one core and runs for one minute. */
+    private static final class OneMinuteJobs implements SimulatedWorker.JobBehavior {
         @Override
         public Resources demand(String job) {
             return new Resources(1, 0, 1);
@@ -58,11 +58,11 @@
                 .put("orderKind", "run")
                 .put("piece", task)
                 .put("tryNo", 1);
-        return worker.command(body).status();
+        return worker.handleCommand(body).status();
     }
 
     @Test
-    void dropsCommandsUnderAnEarlierToken() {
+    void rejectsCommandsUnderAnEarlierToken() {
         assertEquals(200, start(2, 1, "run-1/0"));
         assertEquals(409, start(1, 1, "run-1/1"));
         assertEquals(List.of("run-1/0"), worker.tasks());
@@ -71,9 +71,9 @@
     }
 
     @Test
-    void dropsCommandsForAnEarlierIncarnation() {
+    void rejectsCommandsForAnEarlierIncarnation() {
         assertEquals(200, start(2, 1, "run-1/0"));
-        // No heartbeat is answered: with the lease the incarnation ends, and all its tasks.
+        // No heartbeat is answered, so the lease expires, which ends the incarnation and all its tasks.
         time.runUntil(TIMING.leaseMs() + 2);
         assertEquals(409, start(2, 1, "run-1/1"));
         assertEquals(List.of(), worker.tasks());
@@ -82,14 +82,14 @@
 
     @Test
     void rejectsCommandsWithoutTokenOrIncarnation() {
-        assertEquals(400, worker.command(Json.object().put("mandate", 2)).status());
-        assertEquals(400, worker.command(Json.object().put("shift", 1)).status());
+        assertEquals(400, worker.handleCommand(Json.object().put("mandate", 2)).status());
+        assertEquals(400, worker.handleCommand(Json.object().put("shift", 1)).status());
         assertEquals(List.of(), worker.tasks());
     }
 
     @Test
-    void receivesNoCommandWhileDeaf() {
-        worker.setDeaf(true);
+    void answersNoCommandWhileInboundMessagesAreLost() {
+        worker.setInboundLost(true);
         assertEquals(Response.UNANSWERED.status(), start(2, 1, "run-1/0"));
         assertEquals(List.of(), worker.tasks());
     }
--- a/src/test/java/notchpick/simulation/TokenBucket.java
+++ b/src/test/java/notchpick/simulation/TokenBucket.java
@@ -2,31 +2,31 @@
 
 import java.util.function.LongSupplier;
 
-/** Limits a rate; bursts of one second's worth are accepted. */
+/** A token bucket that holds as many tokens as are added in one second. */
 final class TokenBucket {
     private static final double MS_PER_S = 1000;
 
     private final LongSupplier clock;
     private double ratePerS;
     private double tokens;
-    private long refilledAt;
+    private long refilledAtMs;
 
     TokenBucket(LongSupplier clock, double ratePerS) {
         this.clock = clock;
         this.ratePerS = ratePerS;
         this.tokens = ratePerS;
-        this.refilledAt = clock.getAsLong();
+        this.refilledAtMs = clock.getAsLong();
     }
 
     void setRate(double newRatePerS) {
         ratePerS = newRatePerS;
     }
 
-    /** Takes so many tokens, or none and answers false. */
+    /** Takes {@code count} tokens; takes none and returns false if there are too few. */
     boolean tryTake(int count) {
-        long now = clock.getAsLong();
-        tokens = Math.min(ratePerS, tokens + (now - refilledAt) * ratePerS / MS_PER_S);
-        refilledAt = now;
+        long nowMs = clock.getAsLong();
+        tokens = Math.min(ratePerS, tokens + (nowMs - refilledAtMs) * ratePerS / MS_PER_S);
+        refilledAtMs = nowMs;
         if (tokens < count) {
             return false;
         }
--- a/src/test/java/notchpick/simulation/WorkerFaults.java
+++ b/src/test/java/notchpick/simulation/WorkerFaults.java
@@ -3,23 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is wrong with a worker's machine. */
+/** The faults that are currently injected into a worker and its machine. */
 final class WorkerFaults {
-    /** What would have happened on the machine while it hung, in order. */
+    /** Work that fell due while the machine hung, in order. */
     private final List<Runnable> deferred = new ArrayList<>();
 
-    private boolean dead;
+    private boolean terminated;
     private boolean hanging;
-    private boolean deaf;
-    private boolean mute;
-    private boolean sick;
+    private boolean inboundLost;
+    private boolean outboundLost;
+    private boolean faulty;
 
-    boolean isDead() {
-        return dead;
+    boolean isTerminated() {
+        return terminated;
     }
 
-    void setDead() {
-        dead = true;
+    void setTerminated() {
+        terminated = true;
     }
 
     boolean isHanging() {
@@ -30,48 +30,48 @@
         hanging = true;
     }
 
-    /** The machine goes on; what it should have done meanwhile happens now. */
+    /** Resumes the machine and runs the deferred work now. */
     void stopHanging() {
         hanging = false;
-        List<Runnable> due = List.copyOf(deferred);
+        List<Runnable> deferredWork = List.copyOf(deferred);
         deferred.clear();
-        due.forEach(Runnable::run);
+        deferredWork.forEach(Runnable::run);
     }
 
-    /** Runs the work when the machine goes on after a hang. */
+    /** Runs the work when the machine resumes after a hang. */
     void defer(Runnable work) {
         deferred.add(work);
     }
 
-    /** Whether its heartbeats arrive and what is sent to it is lost. */
-    boolean isDeaf() {
-        return deaf;
+    /** Whether messages to the worker are lost, while its heartbeats arrive. */
+    boolean isInboundLost() {
+        return inboundLost;
     }
 
-    void setDeaf(boolean active) {
-        deaf = active;
+    void setInboundLost(boolean active) {
+        inboundLost = active;
     }
 
-    /** Whether its heartbeats are lost. */
-    boolean isMute() {
-        return mute;
+    /** Whether the worker's heartbeats are lost. */
+    boolean isOutboundLost() {
+        return outboundLost;
     }
 
-    void setMute(boolean active) {
-        mute = active;
+    void setOutboundLost(boolean active) {
+        outboundLost = active;
     }
 
-    /** Whether every task on it fails soon after its start. */
-    boolean isSick() {
-        return sick;
+    /** Whether every task on the machine fails soon after its start. */
+    boolean isFaulty() {
+        return faulty;
     }
 
-    void setSick() {
-        sick = true;
+    void setFaulty() {
+        faulty = true;
     }
 
-    /** Whether the machine can take part in the work like any other. */
+    /** Whether no fault is active. */
     boolean isHealthy() {
-        return !dead && !hanging && !deaf && !mute && !sick;
+        return !terminated && !hanging && !inboundLost && !outboundLost && !faulty;
     }
 }
--- a/src/test/java/notchpick/simulation/WorkerTasks.java
+++ b/src/test/java/notchpick/simulation/WorkerTasks.java
@@ -9,9 +9,9 @@
 import notchpick.scheduling.Resources;
 import notchpick.simulation.WorkerTask.State;
 
-/** The tasks of one machine: carries out orders and lets tasks fetch their image, run, save and exit. */
+/** The tasks of one machine: carries out orders and simulates how tasks fetch their image, run, save and exit. */
 final class WorkerTasks {
-    /** Is notified when there is something new to report in a heartbeat. */
+    /** Called when the tasks that a heartbeat lists have changed. */
     interface ChangeListener {
         void tasksChanged();
     }
@@ -19,7 +19,7 @@
     private static final long FETCH_MS = 1000;
     private static final long SAVE_MS = 1000;
     private static final long MIN_RUN_MS = 10;
-    private static final long RUN_ON_SICK_MACHINE_MS = 200;
+    private static final long RUN_ON_FAULTY_MACHINE_MS = 200;
 
     private final RentedMachine machine;
     private final WorkerEnvironment environment;
@@ -46,7 +46,7 @@
                 .toList();
     }
 
-    /** All tasks as a heartbeat lists them. */
+    /** All tasks, in the format of the heartbeat. */
     ArrayNode toHeartbeat() {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         for (WorkerTask task : tasks.values()) {
@@ -59,17 +59,17 @@
         return list;
     }
 
-    /** Ends all tasks without a trace, as at the end of the lease or of the machine. */
+    /** Drops all tasks without reporting an exit, as when the lease expires or the machine terminates. */
     void killAll() {
         for (WorkerTask task : tasks.values()) {
             if (task.isOnMachine()) {
-                invariants.stopped(machine.name(), task.name());
+                invariants.recordStop(machine.name(), task.name());
             }
         }
         tasks.clear();
     }
 
-    /** Carries out one order: start, stop or forget an attempt; an order that came before does nothing. */
+    /** Carries out one order: starts, stops or forgets an attempt. A repeated order has no effect. */
     void execute(JsonNode order) {
         String name = order.path("piece").asText();
         long attempt = order.path("tryNo").asLong();
@@ -79,7 +79,7 @@
             case "run" -> {
                 if (task == null) {
                     long maxDelayMs = environment.timing().heartbeatPeriodMs() + SimulatedWorker.ANSWER_TIMEOUT_MS;
-                    invariants.startOrdered(machine.name(), name, maxDelayMs);
+                    invariants.recordStartOrder(machine.name(), name, maxDelayMs);
                     fetch(key, new WorkerTask(name, attempt));
                 }
             }
@@ -97,18 +97,18 @@
     }
 
     private void fetch(String key, WorkerTask task) {
-        boolean isPresent = active().contains(task.name());
+        boolean isAlreadyActive = active().contains(task.name());
         Resources used = usedResources();
         tasks.put(key, task);
         Resources demand = environment.jobs().demand(task.job());
         if (demand == null) {
             exit(task, "unknown");
-        } else if (isPresent) {
+        } else if (isAlreadyActive) {
             exit(task, "in_use");
         } else if (!demand.fitsIn(machine.type().size().minus(used))) {
             exit(task, "full");
         } else {
-            time.after(FETCH_MS, () -> run(key, task));
+            time.schedule(FETCH_MS, () -> run(key, task));
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     private boolean isActive(String key, WorkerTask task) {
-        return !faults.isDead() && tasks.get(key) == task && !task.hasExited();
+        return !faults.isTerminated() && tasks.get(key) == task && !task.hasExited();
     }
 
     private void run(String key, WorkerTask task) {
@@ -134,11 +134,11 @@
             faults.defer(() -> run(key, task));
             return;
         }
-        task.start(time.now());
-        invariants.started(machine.name(), task.name(), machine.type().name(), machine.zone(), machine.spot());
+        task.start(time.nowMs());
+        invariants.recordStart(machine.name(), task.name(), machine.type().name(), machine.zone(), machine.spot());
         listener.tasksChanged();
-        long runMs = faults.isSick() ? RUN_ON_SICK_MACHINE_MS : remainingRunMs(task.name());
-        time.after(Math.max(MIN_RUN_MS, runMs), () -> complete(key, task));
+        long runMs = faults.isFaulty() ? RUN_ON_FAULTY_MACHINE_MS : remainingRunMs(task.name());
+        time.schedule(Math.max(MIN_RUN_MS, runMs), () -> complete(key, task));
     }
 
     private long remainingRunMs(String task) {
@@ -155,11 +155,11 @@
             faults.defer(() -> complete(key, task));
             return;
         }
-        invariants.stopped(machine.name(), task.name());
-        if (faults.isSick() || environment.jobs().fails(task.job())) {
+        invariants.recordStop(machine.name(), task.name());
+        if (faults.isFaulty() || environment.jobs().fails(task.job())) {
             exit(task, "error");
         } else {
-            invariants.completed(task.name());
+            invariants.recordCompletion(task.name());
             exit(task, "done");
             environment.listener().taskCompleted(task.name());
         }
@@ -173,7 +173,7 @@
             save(task);
         } else if (!mayFinishSaving || task.state() != State.SAVING) {
             if (task.isOnMachine()) {
-                invariants.stopped(machine.name(), task.name());
+                invariants.recordStop(machine.name(), task.name());
             }
             exit(task, "stopped");
         }
@@ -181,10 +181,10 @@
 
     private void save(WorkerTask task) {
         task.startSaving();
-        time.after(SAVE_MS, () -> {
-            if (!faults.isDead() && tasks.containsValue(task) && task.state() == State.SAVING) {
-                environment.checkpoints().merge(task.name(), time.now() - task.startedAt(), Long::sum);
-                invariants.stopped(machine.name(), task.name());
+        time.schedule(SAVE_MS, () -> {
+            if (!faults.isTerminated() && tasks.containsValue(task) && task.state() == State.SAVING) {
+                environment.checkpoints().merge(task.name(), time.nowMs() - task.startedAtMs(), Long::sum);
+                invariants.recordStop(machine.name(), task.name());
                 exit(task, "stopped");
             }
         });
