--- a/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/CancellationHandler.java
@@ -50,7 +50,7 @@
         this.callbacks = callbacks;
     }
 
-    /** Cancels a job; idempotent, and has no effect on a job that has ended. */
+    /** Cancels a job. Idempotent: a job that has ended is left unchanged. */
     void cancel(String id, Consumer<Response> reply) {
         if (!UserProtocol.isJobId(id)) {
             reply.accept(UserReplies.noSuchJob());
--- a/src/main/java/notchpick/coordination/userapi/DependencyVerdict.java
+++ b/src/main/java/notchpick/coordination/userapi/DependencyVerdict.java
@@ -12,7 +12,7 @@
     /**
      * The dependencies can never be satisfied.
      *
-     * @param reason why not, as text for users
+     * @param reason why the job is rejected, as text for users
      */
     record Rejected(String reason) implements DependencyVerdict {}
 
--- a/src/main/java/notchpick/coordination/userapi/JobLookup.java
+++ b/src/main/java/notchpick/coordination/userapi/JobLookup.java
@@ -17,7 +17,7 @@
     /**
      * The job could not be read, so it may or may not exist.
      *
-     * @param reason why not, as text for users
+     * @param reason why the job could not be read, as text for users
      */
     record Unavailable(String reason) implements JobLookup {}
 }
--- a/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
+++ b/src/main/java/notchpick/coordination/userapi/OpenJobCache.java
@@ -28,9 +28,9 @@
 
 /**
  * A copy of the open jobs, for linearizable reads. Each read waits for a request to the state store that is sent after
- * the read began and brings the copy up to date. A read therefore never returns a state older than what any controller
- * had replied before the read began. All waiting reads share one request, so the load on the state store does not grow
- * with the number of reads.
+ * the read began and brings the copy up to date. A read therefore never returns a state older than one that any
+ * controller reported before the read began. All waiting reads share one request, so the load on the state store does
+ * not grow with the number of reads.
  */
 final class OpenJobCache {
     /** The result of a read. */
--- a/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/SubmissionHandler.java
@@ -15,7 +15,7 @@
 
 /**
  * Accepts submissions: validates them, checks their dependencies, and stores them before it replies. Submissions are
- * idempotent: if the job already exists, the reply is its status, whatever the other fields of the submission hold.
+ * idempotent: if the job already exists, the reply is its status, even if the submission's other fields differ.
  */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
--- a/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRequestHandler.java
@@ -20,7 +20,7 @@
     /** The messages that this actor receives. */
     public sealed interface Message {}
 
-    /** A request of a user; {@code reply} is called once. */
+    /** A user's request; {@code reply} is called once. */
     public record UserRequest(Request request, Consumer<Response> reply) implements Message {}
 
     /** The machine types that the cloud offers have been loaded or refreshed; they decide which jobs can run. */
--- a/src/main/java/notchpick/coordination/userapi/UserRoute.java
+++ b/src/main/java/notchpick/coordination/userapi/UserRoute.java
@@ -5,7 +5,7 @@
 /**
  * The resource and the job that the path of a user's request refers to.
  *
- * @param jobId the job id in the path, not checked; empty for {@link Resource#SUBMISSIONS}
+ * @param jobId the job id in the path, not validated; empty for {@link Resource#SUBMISSIONS}
  */
 record UserRoute(Resource resource, String jobId) {
     /** The resources served to users, each with its only HTTP method. */
