--- a/src/main/java/notchpick/app/ClientRequestRouter.java
+++ b/src/main/java/notchpick/app/ClientRequestRouter.java
@@ -38,7 +38,7 @@
     /**
      * Handles a request.
      *
-     * @param receivedAtMs when it was received, by the monotonic clock
+     * @param receivedAtMs the time on the monotonic clock at which the request was received
      */
     void route(Request request, Consumer<Response> reply, long receivedAtMs) {
         if (request.path().equals(HEARTBEAT_PATH)) {
--- a/src/main/java/notchpick/app/ControllerComponents.java
+++ b/src/main/java/notchpick/app/ControllerComponents.java
@@ -76,14 +76,17 @@
         userRequests = new UserRequestHandler(loop, deployment, stateStore, this::progress);
     }
 
-    /** Starts the components that act on timers, without being called. */
+    /** Starts the components that act on timers of their own. */
     void start() {
         election.tell(new LeaderElection.Begin());
         membership.tell(new PeerMembership.Begin());
         heartbeatRouter.tell(new HeartbeatRouter.Begin());
     }
 
-    /** The status that this controller announces; it reads components that are built after its users. */
+    /**
+     * The status that this controller announces. The announcer is looked up on each call, because it does not exist yet
+     * when this object is created.
+     */
     private final class AnnouncedStatus implements LocalStatus {
         @Override
         public Pulse heartbeat() {
--- a/src/main/java/notchpick/app/ControllerServer.java
+++ b/src/main/java/notchpick/app/ControllerServer.java
@@ -50,7 +50,10 @@
         server.start();
     }
 
-    /** Jetty's default thread factory looks up the security manager, which takes a tenth of the start-up time. */
+    /**
+     * Creates the thread pool with a thread factory of its own: Jetty's default factory looks up the security manager,
+     * which takes a tenth of the start-up time.
+     */
     private static QueuedThreadPool threads() {
         return new QueuedThreadPool(
                 MAX_THREADS, MIN_THREADS, THREAD_IDLE_TIMEOUT_MS, -1, null, null, work -> new Thread(work, "jetty"));
--- a/src/main/java/notchpick/app/HeartbeatReceiver.java
+++ b/src/main/java/notchpick/app/HeartbeatReceiver.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Handles heartbeats that a peer relays. They are not relayed again, because they could then circulate forever. */
+    /** Handles heartbeats that a peer relays. They are not relayed again, as they could circulate forever. */
     void receiveRelayed(ReportBatch batch, Consumer<Response> reply, long receivedAtMs) {
         long timeLeftMs = batch.getPatienceMs() - (loop.nowMs() - receivedAtMs);
         ResultCollector<Outcome> outcomes = new ResultCollector<>(
--- a/src/main/java/notchpick/app/LinkStatusCommand.java
+++ b/src/main/java/notchpick/app/LinkStatusCommand.java
@@ -68,7 +68,7 @@
                     responses.put(node, response);
                     pending.countDown();
                 }));
-        // Each call has its own timeout. If one does not end even so, its controller is reported as unanswered.
+        // Each call has its own timeout. A call that still does not end counts as unanswered after twice that time.
         pending.await(2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         List<NodeResponse> ordered = new ArrayList<>();
         addresses
--- a/src/main/java/notchpick/app/LocalLeader.java
+++ b/src/main/java/notchpick/app/LocalLeader.java
@@ -8,7 +8,7 @@
 import notchpick.coordination.membership.LeaderElection;
 import notchpick.scheduling.MachineType;
 
-/** Holds the {@link Leader} of this controller: a new one for each term that it is elected for, none in between. */
+/** Creates a {@link Leader} for each term that this controller is elected for, and holds it until the term ends. */
 final class LocalLeader implements LeaderElection.Listener {
     private final LeaderEnvironment environment;
     private final Leader.StepDownHandler stepDownHandler;
--- a/src/main/java/notchpick/app/PeerRequestDispatcher.java
+++ b/src/main/java/notchpick/app/PeerRequestDispatcher.java
@@ -19,7 +19,7 @@
 import notchpick.transport.HttpCaller.Request;
 import notchpick.transport.HttpCaller.Response;
 
-/** Dispatches the messages of other controllers to their handlers, by type. */
+/** Dispatches the messages from other controllers to the handlers of their types. */
 final class PeerRequestDispatcher {
     private final String node;
     private final EventLoop loop;
@@ -49,7 +49,7 @@
     /**
      * Handles a message.
      *
-     * @param receivedAtMs when it was received, by the monotonic clock
+     * @param receivedAtMs the time on the monotonic clock at which the request was received
      */
     void dispatch(Request request, Consumer<Response> reply, long receivedAtMs) {
         Object message = request.path().equals(PeerProtocol.PATH) ? PeerProtocol.decode(request.body()) : null;
--- a/src/main/java/notchpick/app/Settings.java
+++ b/src/main/java/notchpick/app/Settings.java
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Parses an objective of a class of jobs. Empty if its limit is missing, if it applies to anything else, or if this
-     * version does not support its kind; such objectives are ignored.
+     * Parses an objective; empty if its limit is missing or this version does not support its kind. Such objectives are
+     * ignored, as are those that don't apply to a class of jobs.
      */
     private static Optional<Objective> objective(JsonNode node) {
         return switch (node.path("kind").asText()) {
@@ -141,14 +141,14 @@
 
     private static double cloudRps(SettingsSection cloud) throws InvalidSettingsException {
         double requestsPerS = cloud.positive("rps");
-        // Not used, but checked: settings without it don't come from the platform.
+        // The value is not used, but it is required: settings without it don't come from the platform.
         cloud.positive("list_lag_s");
         return requestsPerS;
     }
 
     /**
-     * The lower of a limit's present and announced value. The settings don't say when the announced value takes effect,
-     * so a controller stays within both from the start.
+     * The lower of a limit's current and announced values. The settings don't say when the announced value takes
+     * effect, so a controller stays within both from the start.
      */
     private static double lowestLimit(SettingsSection stateStore, String field) throws InvalidSettingsException {
         double present = stateStore.positive(field);
