--- a/src/test/java/notchpick/Fault.java
+++ b/src/test/java/notchpick/Fault.java
@@ -84,7 +84,7 @@
                 durationMs, "boot times are normal again", () -> run.cloud().setBootTimeFactor(1));
     }),
     INVALID_REQUESTS((run, leader, durationMs) -> Submissions.sendInvalid(run.cluster(), FaultRun.JOBS.get(0))),
-    /** The resource leases of teams are divided among the controllers that send heartbeats; some of these stop. */
+    /** Stops some controllers. The resource leases of teams are divided among the controllers that send heartbeats. */
     OTHER_CONTROLLERS_LOSE_POWER((run, leader, durationMs) -> {
         List<String> others = new ArrayList<>(run.nodesExcept(leader));
         Collections.shuffle(others, run.random());
--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -28,7 +28,7 @@
     /** The number of controllers and the workers' periods. */
     private record Setting(int controllers, WorkerTiming timing) {}
 
-    /** Seeds take these in turn; in the next round of all pairs, each pair gets another setting. */
+    /** Seeds take the settings in turn. When the seeds go through all pairs again, each pair gets another setting. */
     private static final List<Setting> SETTINGS = List.of(
             new Setting(5, new WorkerTiming(5, 22, 42)),
             new Setting(7, new WorkerTiming(5, 29, 54)),
@@ -42,7 +42,6 @@
 
     private static final long SETTLING_MS = 300_000;
 
-    /** The seeds to run. */
     static IntStream seeds() {
         String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-", 2);
         return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]));
--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -22,7 +22,7 @@
 import notchpick.simulation.Transcript;
 import notchpick.simulation.WorkerTiming;
 
-/** One run of {@link FaultCombinationTest}: a cluster with work, all random decisions, and a log of the events. */
+/** One run of {@link FaultCombinationTest}: a cluster with jobs, its random decisions, and a log of the events. */
 final class FaultRun {
     /** Long jobs, which users cancel. */
     private static final int LONG_JOBS = 6;
@@ -52,7 +52,7 @@
     private final SimulatedCluster cluster;
     private int wideJobs;
 
-    /** Creates a cluster with this number of controllers, as yet without machine capacity and without jobs. */
+    /** Creates a cluster with this number of controllers, but no machine capacity and no jobs yet. */
     FaultRun(int seed, int controllers, WorkerTiming timing) {
         random = new Random(seed);
         cluster = new SimulatedCluster(ClusterConfig.builder()
@@ -155,7 +155,7 @@
         eventLog.add("at " + cluster.time().nowMs() / 1000.0 + " " + event);
     }
 
-    /** Schedules the work, and logs the event when it runs. */
+    /** Schedules the work, and logs the event when the work runs. */
     void runLater(long delayMs, String event, Runnable work) {
         cluster.time().schedule(delayMs, () -> {
             log(event);
@@ -175,13 +175,13 @@
         fault.inject(this, leader, durationMs);
     }
 
-    /** Cuts the link between two hosts or groups for a while. */
+    /** Cuts the link between two hosts or groups for this long. */
     void cut(String one, String other, long durationMs) {
         network().cut(one, other, Cut.HOLD);
         cluster.time().schedule(durationMs, () -> network().heal(one, other));
     }
 
-    /** Delays packets in one direction for a while. */
+    /** Delays packets in one direction for this long. */
     void slowDown(String from, String to, long durationMs) {
         network().delayOneWay(from, to, between(200, 3800));
         runLater(
@@ -190,26 +190,26 @@
                 () -> network().delayOneWay(from, to, 0));
     }
 
-    /** Injects the fault into some machines for a while. */
+    /** Injects the fault into some machines for this long. */
     void injectMachineFault(long durationMs, MachineFault fault) {
         List<SimulatedWorker> some = workers().stream().limit(between(1, 20)).toList();
         some.forEach(worker -> fault.set(worker, true));
         runLater(durationMs, "machines are healthy again", () -> some.forEach(worker -> fault.set(worker, false)));
     }
 
-    /** The cloud reclaims from 1 to this many machines. */
+    /** Has the cloud reclaim a random number of machines, from 1 to this many. */
     void reclaimMachines(int most) {
         cluster.fleet().machines().stream().limit(between(1, most)).forEach(cloud()::reclaim);
     }
 
-    /** Users cancel this many of the running jobs; returns the jobs. */
+    /** Has users cancel up to this many running jobs; returns the chosen jobs. */
     List<String> cancelRunning(int count) {
         List<String> jobs = cluster.cancelRunning(count);
         log("users cancel " + jobs);
         return jobs;
     }
 
-    /** Users cancel some jobs; at random, the machines of these jobs hang as well. */
+    /** Has users cancel some jobs; at random, some machines of these jobs hang as well. */
     void cancelSome() {
         if (random.nextBoolean()) {
             cancelWhileStarting();
--- a/src/test/java/notchpick/LayersTest.java
+++ b/src/test/java/notchpick/LayersTest.java
@@ -99,8 +99,9 @@
 
     /**
      * The health of links and peers is an estimate, and may only decide which controller to contact. Decisions that
-     * release a task, a machine or a term must rest on durable facts. Of the leader's classes, only the two that decide
-     * when to step down and whom to lease resources may depend on membership, and the two that pass it on to these.
+     * release a task, a machine or a term must rest on durable facts. Of the leader's classes, only those that decide
+     * when to step down and to whom resources are leased may depend on membership, besides the two classes that pass
+     * its objects on to them.
      */
     @Test
     void linkHealthDoesNotDecideWhatIsReleased() throws IOException {
--- a/src/test/java/notchpick/LinkFaultTest.java
+++ b/src/test/java/notchpick/LinkFaultTest.java
@@ -24,7 +24,10 @@
     private static final int CONTROLLERS = 5;
     /** The controller that keeps all its links in the test that requires a path for every request. */
     private static final String FULLY_CONNECTED = "node-4";
-    /** Workers try controllers in turn, five seconds each, so that at most three may be unreachable for them. */
+    /**
+     * A second controller that keeps its links with workers. Workers try controllers in turn, five seconds each, so at
+     * most three may be unreachable for them.
+     */
     private static final String REACHABLE_FOR_WORKERS = "node-2";
 
     private static final long SETTLING_MS = 260_000;
--- a/src/test/java/notchpick/ScenarioRunner.java
+++ b/src/test/java/notchpick/ScenarioRunner.java
@@ -54,7 +54,7 @@
         InvariantChecker invariants = cluster.invariants();
         assertEquals(List.of(), invariants.violations());
         assertTrue(invariants.starts() > 0, "no task was started");
-        // Orders are sent only in answers to heartbeats, so that none is delayed for longer than its receiver waits.
+        // Orders are sent only in answers to heartbeats, so no order is delayed for longer than its receiver waits.
         assertEquals(0, cluster.directCommands(), "direct commands");
         System.out.printf(
                 "%s: after cancellations, longest run %.1f s and start order %.1f s, %d start orders, %d starts%n",
--- a/src/test/java/notchpick/ScenarioVerbs.java
+++ b/src/test/java/notchpick/ScenarioVerbs.java
@@ -68,17 +68,17 @@
                 Cut cut = Cut.valueOf(step.argument(2).toUpperCase(Locale.ROOT));
                 links(cluster, step).forEach(link -> cluster.network().cut(link.from(), link.to(), cut));
             }),
-            // Requests from the first to the second still pass.
+            // Requests from the first host to the second still pass.
             entry(
                     "cut-answers",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.to(), link.from(), Cut.HOLD))),
-            // Answers from the second to the first still pass.
+            // Answers from the second host to the first still pass.
             entry(
                     "cut-requests",
                     (cluster, step) -> links(cluster, step)
                             .forEach(link -> cluster.network().cutOneWay(link.from(), link.to(), Cut.HOLD))),
-            // Packets from the first to the second take this many seconds longer; 0 ends the delay.
+            // Packets from the first host to the second take this many seconds longer; 0 ends the delay.
             entry(
                     "slow",
                     (cluster, step) -> links(cluster, step)
@@ -177,7 +177,7 @@
         return step.hasArgument(1) && step.argument(1).equals(flag);
     }
 
-    /** A controller by its name, as the current leader, or by an alias set earlier in the scenario. */
+    /** The controller with this name or alias, where "leader" stands for the current leader. */
     private static String controller(SimulatedCluster cluster, String word) {
         return word.equals("leader")
                 ? cluster.controllers().leader().orElseThrow()
@@ -245,7 +245,7 @@
                 .toList();
     }
 
-    /** The cloud reclaims all machines, or those of a zone. */
+    /** Has the cloud reclaim all machines, or those of a zone. */
     private static void reclaimAll(SimulatedCluster cluster, String zone) {
         cluster.fleet().machines().stream()
                 .filter(name ->
--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Resubmits a job, and sends submissions that cannot run or lack a field to all controllers. */
+    /** Resubmits a job, and sends invalid submissions to all controllers: a field is missing or has an invalid value. */
     static void sendInvalid(SimulatedCluster cluster, String job) {
         cluster.users().resubmit(job);
         int number = 0;
@@ -163,7 +163,7 @@
         return body;
     }
 
-    /** Submits a job; options that are no fields of a submission, such as its run time, go to the simulation. */
+    /** Submits a job; options that are not fields of a submission, such as its run time, go to the simulation. */
     static void submit(SimulatedCluster cluster, String job, Map<String, String> options)
             throws InvalidMessageException {
         cluster.users()
