--- a/src/test/java/notchpick/simulation/CancellationCircumstances.java
+++ b/src/test/java/notchpick/simulation/CancellationCircumstances.java
@@ -9,7 +9,7 @@
 final class CancellationCircumstances implements SimulatedUsers.CancellationListener {
     /** A cancellation and a refusal of the leader at most this far apart count as simultaneous. */
     private static final long SIMULTANEOUS_MS = 20;
-    /** A team that may not take this much more is at its limit. */
+    /** A team is at its limit if it may not take this much more. */
     private static final Resources MIN_HEADROOM = new Resources(1, 0, 0);
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Ignores teams without a limit; false if no team has one. */
+    /** Teams without a limit are ignored; false if no team has a limit. */
     private boolean areAllTeamsAtTheirLimits() {
         List<Quota> limited =
                 teams.stream().filter(team -> team.maximum().cores() > 0).toList();
--- a/src/test/java/notchpick/simulation/ClusterConfig.java
+++ b/src/test/java/notchpick/simulation/ClusterConfig.java
@@ -26,7 +26,7 @@
         boolean limitsAnnouncedAtRestart) {
     static final List<String> ZONES = List.of("east", "west");
 
-    /** Three controllers, one team without a quota and one machine type. */
+    /** Creates a builder with the defaults: three controllers, one team without a quota and one machine type. */
     public static Builder builder() {
         return new Builder();
     }
--- a/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
+++ b/src/test/java/notchpick/simulation/HeartbeatDuplicator.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Sets the share of heartbeats that are duplicated. A copy is sent two seconds to well over a lease later, or kept
-     * until the next leader is elected; copies that are already kept stay so when the share is set to 0.
+     * Sets the share of heartbeats that are duplicated. A copy is sent between two seconds and well over a lease later,
+     * or kept until the next leader is elected. Copies that are already kept stay kept when the share is set to 0.
      */
     void setShare(double newShare, boolean keepForNextLeader) {
         share = newShare;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A worker sends this heartbeat. */
+    /** Called when a worker sends this heartbeat. */
     void onHeartbeatSent(byte[] heartbeat) {
         if (random.nextDouble() >= share) {
             return;
--- a/src/test/java/notchpick/simulation/JobGroundTruth.java
+++ b/src/test/java/notchpick/simulation/JobGroundTruth.java
@@ -58,7 +58,7 @@
     @Override
     public long runMs(String task) {
         SubmittedJob job = jobs.get(InvariantChecker.jobOf(task));
-        // Derived from the task's name, so that every attempt of the task has the same run time.
+        // The deviation is derived from the task's name, so that every attempt of the task has the same run time.
         double deviation = Math.floorMod(task.hashCode() * 31L, 1000) / 500.0 - 1;
         return Math.round(job.runMs() * (1 + job.runTimeVariation() * deviation));
     }
--- a/src/test/java/notchpick/simulation/SimulatedCloud.java
+++ b/src/test/java/notchpick/simulation/SimulatedCloud.java
@@ -80,12 +80,12 @@
         unavailable = active;
     }
 
-    /** The next release gets no answer and is carried out after the delay. */
+    /** Leaves the next release unanswered and carries it out after the delay. */
     public void delayNextRelease(long delayMs) {
         releaseDelayMs = delayMs;
     }
 
-    /** The next rental gets no answer and is carried out after the delay. */
+    /** Leaves the next rental unanswered and carries it out after the delay. */
     public void delayNextRental(long delayMs) {
         rentalDelayMs = delayMs;
     }
@@ -95,7 +95,7 @@
         listing = newListing;
     }
 
-    /** The next {@code machineCount} rented machines never boot. */
+    /** Keeps the next {@code machineCount} rented machines from ever booting. */
     public void failNextBoots(int machineCount) {
         bootsToFail = machineCount;
     }
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -31,8 +31,8 @@
     private final List<String> nodes = new ArrayList<>();
     private final Map<String, String> userAddresses = new LinkedHashMap<>();
     /**
-     * Counts the starts and crashes of each controller: odd while a process runs. A process runs only as long as the
-     * count has the value from its start.
+     * The number of starts and crashes of each controller, which is odd while a process runs. A process has ended once
+     * the number differs from that at its start.
      */
     private final Map<String, Integer> generations = new HashMap<>();
 
@@ -116,7 +116,7 @@
         controller.tell(new Controller.Begin());
     }
 
-    /** The first controller's clock runs as fast, the second one's as slow as the settings allow. */
+    /** The first controller's clock runs as fast as the settings allow, and the second one's as slow. */
     private EventLoop eventLoop(String node, int generation) {
         int index = nodes.indexOf(node);
         double fastPercent = switch (index) {
--- a/src/test/java/notchpick/simulation/SimulatedFleet.java
+++ b/src/test/java/notchpick/simulation/SimulatedFleet.java
@@ -60,7 +60,7 @@
         return List.copyOf(workers.keySet());
     }
 
-    /** The worker on the machine of this name; null if that is not booted. */
+    /** The worker on the machine with this name; null if no such machine is booted. */
     public SimulatedWorker worker(String machine) {
         return workers.get(machine);
     }
--- a/src/test/java/notchpick/simulation/SimulatedNetwork.java
+++ b/src/test/java/notchpick/simulation/SimulatedNetwork.java
@@ -20,7 +20,7 @@
 public final class SimulatedNetwork {
     private static final long LATENCY_MS = 2;
 
-    /** How a cut treats packets: holds them until it is healed, resets connections, or also refuses new ones. */
+    /** How a cut treats packets: holds them until the cut is healed, resets connections, or also refuses new ones. */
     public enum Cut {
         HOLD,
         RESET,
@@ -214,7 +214,7 @@
             transmit(to, from, () -> answerOnce.accept(Response.CONNECTION_REFUSED), reset);
             return;
         }
-        // The target is replaced by the caller's host, from which the state store decides whom to refuse.
+        // The target is replaced by the caller's host, by which the state store decides whose requests to refuse.
         handler.handle(new Request(from, call.method(), call.path(), call.body()), answer -> {
             transcript.answered(time.nowMs(), to, from, call, answer);
             transmit(to, from, () -> answerOnce.accept(answer), reset);
--- a/src/test/java/notchpick/simulation/SimulatedStateStore.java
+++ b/src/test/java/notchpick/simulation/SimulatedStateStore.java
@@ -150,7 +150,7 @@
         return faults.isRefused(host);
     }
 
-    /** The next {@code count} transactions get no answer and are applied after the delay. */
+    /** Leaves the next {@code count} transactions unanswered and applies them after the delay. */
     public void leaveCommitsUnanswered(int count, long delayMs) {
         faults.leaveCommitsUnanswered(count, delayMs);
     }
--- a/src/test/java/notchpick/simulation/SimulatedTime.java
+++ b/src/test/java/notchpick/simulation/SimulatedTime.java
@@ -47,7 +47,7 @@
     /**
      * Creates the event loop of one process, which drops its work once the process has ended.
      *
-     * @param fastPercent by how many percent its steady clock runs fast; slow if negative
+     * @param fastPercent by how many percent its steady clock runs fast; negative if it runs slow
      * @param wallOffsetMs the offset of its wall clock
      * @param frozenUntilMs until when the process is paused, in simulated time; its clocks keep running
      */
--- a/src/test/java/notchpick/simulation/SimulatedUsers.java
+++ b/src/test/java/notchpick/simulation/SimulatedUsers.java
@@ -20,7 +20,7 @@
 public final class SimulatedUsers {
     /** Called on cancellations. */
     interface CancellationListener {
-        /** An answer to a cancel request has confirmed the cancellation, and no answer before it had. */
+        /** An answer to a cancel request was the first answer of any kind that showed the job as cancelled. */
         void cancellationConfirmed(String job);
     }
 
@@ -235,21 +235,21 @@
         readAtElections = enabled;
     }
 
-    /** A controller has become leader. */
+    /** Called when a controller has become leader. */
     void onLeaderElected() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_ELECTION);
         }
     }
 
-    /** An outage of the state store has ended. */
+    /** Called when an outage of the state store has ended. */
     void onOutageEnded() {
         if (readAtElections) {
             readLatestJobs(Occurrence.READ_AT_OUTAGE_END);
         }
     }
 
-    /** Reads the latest open, done and cancelled job, as far as there is one, from all controllers. */
+    /** Reads the latest open, done and cancelled job, as far as each exists, from all controllers. */
     private void readLatestJobs(Occurrence occurrence) {
         Map<String, String> latest = new HashMap<>();
         lastStates.forEach((job, state) -> latest.put(InvariantChecker.isFinal(state) ? state : "open", job));
@@ -293,7 +293,7 @@
         cancelAtCompletionShare = share;
     }
 
-    /** A task has completed; the job may be cancelled now if it was the last one. */
+    /** Called when a task has completed; if it was the job's last one, the job may be cancelled now. */
     void onTaskCompleted(String task) {
         SubmittedJob job = jobs.job(InvariantChecker.jobOf(task));
         if (cancelAtCompletionShare > 0
--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -15,7 +15,7 @@
 public final class SimulatedWorker {
     /** How the tasks of submitted jobs behave when they run. */
     public interface JobBehavior {
-        /** The resources that each task of the job takes; null if there is no job of this id. */
+        /** The resources that each task of the job takes; null if there is no job with this id. */
         Resources demand(String job);
 
         /** How long the task runs without interruption, in milliseconds. */
@@ -46,7 +46,7 @@
         default void staleAnswerDropped() {}
     }
 
-    /** The state in which a heartbeat was sent, which its answer is compared with. */
+    /** The worker's state when it sent a heartbeat, against which the answer is checked. */
     private record SentHeartbeat(long sentAtMs, long incarnation, ArrayNode tasks) {}
 
     /** The address that every worker announces for direct commands. */
@@ -297,7 +297,7 @@
         }
     }
 
-    /** Handles a direct command; rejects it under an older fencing token or for another incarnation. */
+    /** Handles a direct command; rejects it if its fencing token is older or it is for another incarnation. */
     public Response handleCommand(ObjectNode body) {
         if (!body.has("mandate") || !body.has("shift")) {
             return MALFORMED;
--- a/src/test/java/notchpick/simulation/StateStoreFaults.java
+++ b/src/test/java/notchpick/simulation/StateStoreFaults.java
@@ -60,7 +60,7 @@
         listDelayMs = delayMs;
     }
 
-    /** The next {@code count} transactions get no answer and are applied after the delay. */
+    /** Leaves the next {@code count} transactions unanswered; they are applied after the delay. */
     void leaveCommitsUnanswered(int count, long delayMs) {
         commitsToLeaveUnanswered = count;
         unansweredCommitDelayMs = delayMs;
@@ -72,7 +72,7 @@
         unansweredAppliedImmediately = appliedImmediately;
     }
 
-    /** Decides whether the arriving transaction is answered (empty), or else after which delay it is applied. */
+    /** The delay after which the arriving transaction is applied without an answer; empty if it is answered. */
     OptionalLong nextUnansweredCommitDelayMs() {
         if (commitsToLeaveUnanswered > 0) {
             commitsToLeaveUnanswered--;
--- a/src/test/java/notchpick/simulation/StateStoreLeases.java
+++ b/src/test/java/notchpick/simulation/StateStoreLeases.java
@@ -43,7 +43,7 @@
         extend(lease, durationsMs.get(lease));
     }
 
-    /** Renews every lease for its full duration, so that an outage costs no lease any time. */
+    /** Renews every lease for its full duration, so that no lease loses time in an outage. */
     void renewAll() {
         durationsMs.forEach(this::extend);
     }
--- a/src/test/java/notchpick/simulation/WaitingJobMonitor.java
+++ b/src/test/java/notchpick/simulation/WaitingJobMonitor.java
@@ -7,7 +7,7 @@
 import notchpick.scheduling.Resources;
 import notchpick.simulation.JobGroundTruth.SubmittedJob;
 
-/** Reports to the invariant checker every second for each job whether one of its waiting tasks could start. */
+/** Reports to the invariant checker, every second and for each job, whether a waiting task of the job could start. */
 final class WaitingJobMonitor {
     private static final long PERIOD_MS = 1000;
 
--- a/src/test/java/notchpick/simulation/WorkerLease.java
+++ b/src/test/java/notchpick/simulation/WorkerLease.java
@@ -45,7 +45,7 @@
         scheduleExpiry();
     }
 
-    /** Schedules the end of the incarnation for the lease's expiry; a renewal before that voids it. */
+    /** Schedules the end of the incarnation at the lease's expiry; cancelled by a renewal before then. */
     void scheduleExpiry() {
         long renewedAtBeforeMs = renewedAtMs;
         time.schedule(renewedAtBeforeMs + leaseMs - time.nowMs() + 1, () -> {
