--- a/src/test/java/notchpick/Submissions.java
+++ b/src/test/java/notchpick/Submissions.java
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Resubmits a job, and sends invalid submissions to all controllers: a field is missing or has an invalid value. */
+    /** Resubmits a job, and sends submissions with a missing field or an invalid value to all controllers. */
     static void sendInvalid(SimulatedCluster cluster, String job) {
         cluster.users().resubmit(job);
         int number = 0;
