--- a/src/test/java/notchpick/simulation/SimulatedWorker.java
+++ b/src/test/java/notchpick/simulation/SimulatedWorker.java
@@ -46,7 +46,7 @@
         default void staleAnswerDropped() {}
     }
 
-    /** The worker's state when it sent a heartbeat, against which the answer is checked. */
+    /** The worker's state when it sent a heartbeat, which is compared with its state when the answer arrives. */
     private record SentHeartbeat(long sentAtMs, long incarnation, ArrayNode tasks) {}
 
     /** The address that every worker announces for direct commands. */
