--- a/src/test/java/notchpick/simulation/CancellationChecker.java
+++ b/src/test/java/notchpick/simulation/CancellationChecker.java
@@ -51,7 +51,7 @@
         return sinceConfirmationMs(job).filter(ms -> ms > cancelTimeoutMs).isPresent();
     }
 
-    /** Records a start order for a task of the job; returns the time since the confirmation, empty without one. */
+    /** Records a start order for a task of the job; returns the time since the confirmation, if there was one. */
     Optional<Long> recordStartOrder(String job) {
         Optional<Long> delayMs = sinceConfirmationMs(job);
         delayMs.ifPresent(ms -> {
--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -66,7 +66,10 @@
         return all;
     }
 
-    /** Classes, teams and largest jobs of a class that were less than half served, or mostly started too late. */
+    /**
+     * The classes, the teams and the groups of a class's largest jobs that were less than half served, and the groups of
+     * largest jobs that mostly started too late.
+     */
     public List<String> underserved() {
         return servedJobs.underserved();
     }
--- a/src/test/java/notchpick/simulation/InvariantCheckerTest.java
+++ b/src/test/java/notchpick/simulation/InvariantCheckerTest.java
@@ -222,7 +222,7 @@
         invariants.recordCompletion("run-1/0");
         nowMs = 10;
         invariants.recordAnswer("run-1", 200, "done", 6);
-        // Sent before any user received the final state, so an older answer may arrive after it.
+        // This request was sent before any user received the final state, so its answer may show an older state.
         nowMs = 12;
         invariants.recordAnswer("run-1", 200, "running", 9);
         assertNoViolation();
--- a/src/test/java/notchpick/simulation/JobGroundTruth.java
+++ b/src/test/java/notchpick/simulation/JobGroundTruth.java
@@ -35,7 +35,7 @@
         return jobs.containsKey(job);
     }
 
-    /** The submitted job of this id, which must exist. */
+    /** The submitted job with this id, which must exist. */
     SubmittedJob job(String id) {
         return jobs.get(id);
     }
--- a/src/test/java/notchpick/simulation/SimulatedControllers.java
+++ b/src/test/java/notchpick/simulation/SimulatedControllers.java
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Cuts the host's power for a while. Connections to it time out instead of being refused; a new process starts when
-     * power returns.
+     * Cuts the host's power for this long. Connections to it time out instead of being refused; a new process starts
+     * when power returns.
      */
     public void losePower(String node, long durationMs) {
         crash(node, durationMs);
