--- a/src/test/java/notchpick/FaultRun.java
+++ b/src/test/java/notchpick/FaultRun.java
@@ -24,7 +24,7 @@
 
 /** One run of {@link FaultCombinationTest}: a cluster with jobs, its random decisions, and a log of the events. */
 final class FaultRun {
-    /** Long jobs, which users cancel. */
+    /** The number of long jobs, which users cancel. */
     private static final int LONG_JOBS = 6;
 
     /** The jobs that every run submits at its start. */
@@ -33,7 +33,7 @@
                     IntStream.range(0, LONG_JOBS).mapToObj(i -> "run-00001" + i))
             .toList();
 
-    /** Jobs that arrive one after another while faults are active. */
+    /** The number of jobs that arrive one after another while faults are active. */
     private static final int STREAM_JOBS = 25;
 
     private static final long STREAM_INTERVAL_MS = 2000;
--- a/src/test/java/notchpick/ScenarioStep.java
+++ b/src/test/java/notchpick/ScenarioStep.java
@@ -6,7 +6,7 @@
  * One line of a scenario that starts with a time.
  *
  * @param line the number of the line in its file
- * @param atS when it is carried out, in simulated seconds
+ * @param atS when the step is carried out, in simulated seconds
  * @param words all words of the line: {@code at SECONDS VERB ARGUMENTS...}
  */
 record ScenarioStep(int line, double atS, String[] words) {
