--- a/src/test/java/notchpick/simulation/InvariantChecker.java
+++ b/src/test/java/notchpick/simulation/InvariantChecker.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * The classes, the teams and the groups of a class's largest jobs that were less than half served, and the groups of
-     * largest jobs that mostly started too late.
+     * The classes, the teams and the groups of a class's largest jobs that were less than half served, and the groups
+     * of largest jobs that mostly started too late.
      */
     public List<String> underserved() {
         return servedJobs.underserved();
