--- a/src/test/java/notchpick/FaultCombinationTest.java
+++ b/src/test/java/notchpick/FaultCombinationTest.java
@@ -42,6 +42,7 @@
 
     private static final long SETTLING_MS = 300_000;
 
+    /** The range of seeds to run, both ends included. */
     static IntStream seeds() {
         String[] range = System.getProperty("meetings", "1-" + PAIRS).split("-", 2);
         return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]));
